--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -1,4 +1,4 @@
-//! What a shard is told, and what it asks for.
+//! Input events and output actions of a shard.
 
 use crate::ids::{RackId, ServiceName, Ticket, VmId};
 use crate::job::{Image, Job, JobId, Label, QueueName, RunNumber, ShownState, StepRef, TaskRef};
@@ -16,59 +16,59 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The present time, on both clocks.
+/// The current time on the monotonic and the wall clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Never goes back; counts suspension.
+    /// Monotonic time, including time the machine was suspended.
     pub steady: Duration,
-    /// Time of day, since 1970; may jump.
+    /// Wall-clock time since the Unix epoch; may jump.
     pub wall: Duration,
 }
 
-/// What a shard is told.
+/// An input to a shard.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes.
+    /// Periodic timer.
     Tick,
-    /// The queues in force.
+    /// The current queue configuration.
     Queues(Arc<Queues>),
-    /// All VMs of the shard that the platform announces, whether a missing one is telling, and when
-    /// they were asked for as they are; `None` if nobody knows how old the list is.
+    /// All VMs of the shard that the platform lists, whether a VM's absence from the list is
+    /// meaningful, and when the list was requested; `None` if its age is unknown.
     Fleet { vms: Vec<VmEntry>, announcements: Announcements, at: Option<Duration> },
-    /// Answer to [`Action::Look`].
+    /// Response to [`Action::Look`].
     Looked { vm: VmId, sent: Duration, result: vm::Result<LookResp> },
-    /// Answer to [`Action::Start`].
+    /// Response to [`Action::Start`].
     Started { vm: VmId, task: TaskRef, run: RunNumber, result: vm::Result<VmTime> },
-    /// Answer to [`Action::Stop`].
+    /// Response to [`Action::Stop`].
     Stopped { vm: VmId, task: TaskRef, run: RunNumber, result: vm::Result<VmTime> },
-    /// Answer to [`Action::Pace`].
+    /// Response to [`Action::Pace`].
     Paced { vm: VmId, task: TaskRef, run: RunNumber, percent: u8, result: vm::Result<VmTime> },
-    /// Answer to [`Action::Ask`].
+    /// Response to [`Action::Ask`].
     Permitted { step: StepRef, vms: Vec<VmId>, sent: Duration, result: permit::Result<PermitResp> },
-    /// Answer to [`Action::Commit`].
+    /// Result of [`Action::Commit`].
     Committed { seq: u64, result: CommitResult },
-    /// A caller hands in a job.
+    /// A caller submits a job.
     Submit { ticket: Ticket, job: Arc<Job>, urge: Urge },
-    /// A caller gives a job up.
+    /// A caller cancels a job.
     Cancel { ticket: Ticket, job: JobId },
-    /// A caller asks for a job's state.
+    /// A caller queries a job's state.
     Show { ticket: Ticket, job: JobId },
-    /// What another shard has learned of how images disturb each other.
+    /// Interference between images, as measured by another shard.
     Learned { from: String, learned: Vec<Learned> },
-    /// Other shards, as they were last heard of.
+    /// Last known state of the other shards.
     Neighbours(Vec<Neighbour>),
-    /// VMs that are to be empty, and those whose turn comes later.
+    /// VMs to drain now, and VMs to drain later.
     Vacate(VacateOrder),
-    /// Questions about permits that may be under way at a time.
+    /// Maximum number of concurrent permit requests.
     Askers(u32),
-    /// Another shard's owner says something about a loan.
+    /// A message about a loan from another shard's owner.
     Message { from: Arc<str>, to: Fence, msg: LoanMsg },
-    /// The owner stops as planned: begin nothing more, and finish what is being committed.
+    /// Planned shutdown of the owner: start nothing new, and wait for the pending commit.
     HandOver,
 }
 
 impl Event {
-    /// The caller that waits for an answer to it.
+    /// Identifies the caller that waits for a reply to this event.
     pub fn ticket(&self) -> Option<Ticket> {
         match self {
             Self::Submit { ticket, .. }
@@ -79,46 +79,47 @@
     }
 }
 
-/// VMs whose machines go down for upkeep.
+/// VMs to drain because their machines go down for maintenance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VacateOrder {
-    /// To be empty as soon as can be.
+    /// VMs to drain immediately.
     pub vms: Vec<VmId>,
-    /// Their turn comes after.
+    /// VMs to drain in a later wave.
     pub later: Vec<VmId>,
-    /// Time that work which can't be resumed is left to end by itself.
+    /// How long tasks that can't be resumed may run on before they are stopped.
     pub patience: Duration,
 }
 
-/// Whether a job is taken though it would be better off elsewhere.
+/// Whether to accept a job even if other shards have more room for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Urge {
-    /// Refuse it if the shard has little room for it.
+    /// Refuse the job if the shard has little room for it.
     IfRoom,
     Always,
 }
 
-/// Whether the platform's announcements are complete.
+/// Completeness of the platform's list of VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announcements {
     Complete,
-    /// The store was away a moment ago; VMs that lapsed meanwhile are announced again.
+    /// The store has just recovered from an outage; VMs whose registrations expired during it are
+    /// being listed again.
     Recovering,
-    /// They could not be read; those known before are given again.
+    /// The list could not be read; the previous list is repeated.
     Unread,
 }
 
-/// How a commit ended.
+/// Result of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitResult {
     Durable,
-    /// Another daemon owns the shard; whether this commit came before that.
+    /// Another daemon owns the shard; the value tells whether this commit was applied before that.
     Superseded(Landed),
-    /// These jobs are known already, in this shard or another; nothing was written.
+    /// These jobs already exist, in this shard or another; nothing was written.
     JobExists(Vec<JobId>),
 }
 
-/// Whether a write took effect.
+/// Whether a write was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Landed {
     Yes,
@@ -126,7 +127,7 @@
     Unknown,
 }
 
-/// What a shard asks for.
+/// An output of a shard, to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Look {
@@ -145,44 +146,44 @@
         vm: VmAddr,
         req: PaceReq,
     },
-    /// Asks on which VMs a step may run.
+    /// Requests permits for the VMs a step may run on.
     Ask(PermitReq),
-    /// Makes changes durable; at most one is under way.
+    /// Makes changes durable; at most one commit is in flight.
     Commit {
         seq: u64,
         txn: Txn,
     },
-    /// Tells another shard's owner something about a loan; lost if it isn't there any more.
+    /// Sends a message about a loan to another shard's owner; dropped if that owner was replaced.
     Tell {
         to: Arc<str>,
         fence: Fence,
         msg: LoanMsg,
     },
-    /// Answers a caller.
+    /// Replies to a caller.
     Reply {
         ticket: Ticket,
         answer: Answer,
     },
-    /// A line for the log.
+    /// A log entry.
     Note(Note),
-    /// A higher fencing token was seen; the shard's owner has to be looked up.
+    /// A higher fencing token was seen, so the current owner of the shard must be looked up.
     Fenced,
-    /// Nothing is under way any more; the shard can be given away.
+    /// Nothing is in flight any more; ownership of the shard can be transferred.
     HandedOver,
 }
 
-/// The answer to a caller.
+/// A reply to a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// The job is durable.
     Accepted,
-    /// The job is durable in another shard, which accepted it before.
+    /// The job is durable in another shard, which accepted it earlier.
     AcceptedElsewhere,
     /// Nothing was recorded and nothing will run.
     NotRun { reason: String, retry_after: Duration },
-    /// The job can never run, and wasn't accepted.
+    /// The job can never run and was rejected.
     Impossible { reason: String },
-    /// What becomes of the call isn't known; it can be made again with the same id.
+    /// The outcome of the call is unknown; it can be retried with the same id.
     Unknown { reason: String },
     /// The job's state.
     Shown(ShownState),
@@ -192,16 +193,16 @@
     NotHere,
 }
 
-/// Another shard, as it was last heard of.
+/// Last known state of another shard.
 #[derive(Clone, Debug)]
 pub struct Neighbour {
     pub name: Arc<str>,
-    /// Token of its owner.
+    /// Fencing token of its owner.
     pub fence: Fence,
     pub summary: Arc<Summary>,
 }
 
-/// Room on one VM.
+/// Free resources on one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreeRoom {
     pub free: Resources,
@@ -210,29 +211,30 @@
     pub service: ServiceName,
 }
 
-/// What others are told of a shard.
+/// Summary of a shard's capacity and load, published to other shards.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Processors that can be reserved, in thousandths of a core, on VMs that take work.
+    /// CPU that can be reserved on VMs that accept tasks, in millicores.
     pub capacity: u64,
-    /// Of these, not reserved.
+    /// Unreserved part of `capacity`.
     pub free: u64,
-    /// Of these, reserved or waited for by lasting tasks.
+    /// Part of `capacity` that long-running tasks reserve or wait for.
     pub lasting: u64,
-    /// Processors that leftover work gets, in thousandths of a core.
+    /// CPU available to best-effort tasks, in millicores.
     pub leftover: u64,
-    /// Of these, what leftover work of an image gets without harm to those served beside it.
+    /// Part of `leftover` that best-effort tasks of each image can use without slowing the serving
+    /// tasks on the same VM.
     pub harmless: Vec<(Image, u64)>,
-    /// The same of what nothing uses yet.
+    /// The part of `harmless` that is still unused.
     pub harmless_free: Vec<(Image, u64)>,
-    /// Leftover work that is left, in milliseconds times thousandths of a core.
+    /// Remaining best-effort work, in milliseconds times millicores.
     pub leftover_work: u64,
-    /// Reserved work that waits, in milliseconds times thousandths of a core.
+    /// Waiting work on reserved CPU, in milliseconds times millicores.
     pub waiting_work: u64,
-    /// Jobs that no task of has started, by queue.
+    /// Number of jobs without any started task, by queue.
     pub queued: Vec<(QueueName, u32)>,
-    /// Room that is free on the VMs that take work.
+    /// Free resources on each VM that accepts tasks.
     pub rooms: Vec<FreeRoom>,
-    /// VMs that take work.
+    /// Number of VMs that accept tasks.
     pub vms: u32,
 }
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to VMs: starts and stops, sent again until it is known what became of them.
+//! Commands to VMs: starts and stops, retried until their outcome is known.
 
 use super::Shard;
 use super::event::Action;
@@ -10,7 +10,7 @@
 use crate::vm::{self, RunReq, StartReq, VmTime};
 
 impl Shard {
-    /// The binding is durable: the start may be sent.
+    /// Allows the start to be sent once the binding is durable.
     pub(super) fn start_bound(&mut self, task: TaskRef, run: RunNumber, vm: &VmId) {
         let now = self.now.steady;
         let key = RunKey { task, run };
@@ -21,8 +21,9 @@
         }
     }
 
-    /// Sends the orders whose time has come. Starts wait while it isn't known who leaves: they may have
-    /// been decided long before, as when the store was away while they became durable.
+    /// Sends the start and stop commands that are due. Starts are held back while the list of
+    /// leaving VMs is out of date: they may have been decided long before, for example when the
+    /// store was unavailable while their bindings were being committed.
     pub(super) fn send_orders(&mut self) {
         let now = self.now.steady;
         let may_start = self.knows_who_leaves();
@@ -49,24 +50,24 @@
         }
     }
 
-    /// Sends a start, after a last look at what might have changed since it was decided.
+    /// Sends a start, after rechecking the conditions that may have changed since it was decided.
     fn send_start(&mut self, id: &VmId, key: RunKey) {
         let (now, keep) = (self.now.steady, self.settings.max_keep);
         let wanted = self.jobs.get(&key.task.job).is_some_and(|job| !job.is_final());
         let Some(vm) = self.vms.get_mut(id) else { return };
         if !wanted || vm.leaving.is_some() {
-            return self.give_up(id, key, "it is not wanted there any more");
+            return self.give_up(id, key, "the job has ended or the VM is leaving");
         }
-        // It may have become smaller since the binding, which can wait for the store.
+        // The VM may have shrunk since the task was bound: the commit can be delayed by the store.
         if vm.is_over() {
-            return self.give_up(id, key, "the VM has no room for it any more");
+            return self.give_up(id, key, "the VM no longer has room for the task");
         }
         let permit = match self.permits_of(key.task).map(|permits| permits.valid(id, now)) {
             None => None,
             Some(Some(permit)) => Some(permit.clone()),
-            Some(None) => return self.give_up(id, key, "its permit has run out"),
+            Some(None) => return self.give_up(id, key, "the permit has expired"),
         };
-        // A start extends all work there; see `silence`.
+        // A start extends the deadline of every task on the VM; see `silence`.
         if !self.log.silence.may_extend(id) {
             return;
         }
@@ -121,33 +122,34 @@
             Err(vm::Error::Fenced) => self.fenced(id),
             Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
             Err(vm::Error::OldRun) => {
-                // It ran there already, or was barred: the next look tells.
+                // This run or a later one has already ended or been stopped there; the next
+                // status poll tells which.
                 let answered = Some(now);
                 known.stage = Stage::Stopping { next_send: None, answered };
             }
             Err(vm::Error::TooLate) => {
                 vm.clock = None;
                 vm.contact.next_look = now;
-                self.retry_start(id, key, "its clock is not as it was read");
+                self.retry_start(id, key, "the VM's clock differs from the last reading");
             }
-            Err(vm::Error::NotSent { .. }) => self.retry_start(id, key, "it can't be reached"),
+            Err(vm::Error::NotSent { .. }) => self.retry_start(id, key, "the VM is unreachable"),
             Err(vm::Error::NoAnswer { .. }) => {
                 known.unanswered = Unanswered::Yes;
-                self.retry_start(id, key, "it doesn't answer");
+                self.retry_start(id, key, "the VM did not answer");
             }
             Err(vm::Error::Unwell { .. }) => {
                 self.blame(id, None, task);
-                self.give_up(id, key, "the VM refused it");
+                self.give_up(id, key, "the VM refused the start");
             }
             Err(vm::Error::NoPermit) => {
                 let step = self.jobs.get_mut(&task.job).and_then(|job| job.step_run_mut(task));
                 if let Some(step) = step {
                     step.permits.lapse(id);
                 }
-                self.give_up(id, key, "the VM didn't take its permit");
+                self.give_up(id, key, "the VM rejected the permit");
             }
             Err(vm::Error::NoRoom | vm::Error::Malformed { .. }) => {
-                self.give_up(id, key, "the VM refused it");
+                self.give_up(id, key, "the VM refused the start");
             }
         }
     }
@@ -203,7 +205,8 @@
             Err(vm::Error::Fenced) => self.fenced(id),
             Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
             Err(_) => {
-                // The order may be carried out late or never: it is decided anew by the next look.
+                // The command may take effect late or never, so the next poll decides the pace
+                // again.
                 let key = RunKey { task, run };
                 let run = self.vms.get_mut(id).and_then(|vm| vm.runs.get_mut(&key));
                 if let Some(run) = run.filter(|run| run.pace == percent) {
@@ -214,5 +217,5 @@
     }
 }
 
-/// Pace of a run whose last pace order wasn't answered; differs from any that is ordered.
-pub(super) const UNKNOWN_PACE: u8 = u8::MAX;
+/// Pace of a run whose last pace command was not acknowledged; differs from every valid pace.
+const UNKNOWN_PACE: u8 = u8::MAX;
