--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -1,4 +1,4 @@
-//! Callers' calls: handing a job in, giving it up, asking for its state.
+//! Caller requests: submitting a job, cancelling it and querying its state.
 
 use super::event::{Action, Answer, CommitResult, Landed, Urge};
 use super::job_run::{Effect, JobRun, RecordState, Started};
@@ -12,19 +12,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When to come back to a shard that changes hands; a hand-over takes a tenth of a second.
-const RETRY_HAND_OVER: Duration = Duration::from_millis(300);
+/// Retry delay while ownership of the shard is transferred, which takes about 100 ms.
+const RETRY_AFTER_HANDOVER: Duration = Duration::from_millis(300);
 
-/// When to come back while the store is away; outages last for seconds.
-const RETRY_OUTAGE: Duration = Duration::from_millis(1500);
+/// Retry delay while the store is unavailable; outages last for seconds.
+const RETRY_AFTER_OUTAGE: Duration = Duration::from_millis(1500);
 
-/// Answer of a shard that takes no more lasting tasks from anybody. Room comes back as other jobs are
+/// Refusal when the shard accepts no more long-running tasks. Capacity is freed as other jobs are
 /// cancelled, which takes seconds.
-const NO_MORE: (&str, Duration) =
-    ("lasting tasks have all the room that they may take", Duration::from_secs(2));
+const LASTING_LIMIT_REACHED: (&str, Duration) =
+    ("the capacity limit for lasting tasks is reached", Duration::from_secs(2));
 
-/// Answer of a shard that has little room for a job's lasting tasks.
-const FULL: (&str, Duration) = ("other shards have more room", Duration::ZERO);
+/// Refusal when the shard has little room for a job's long-running tasks.
+const LITTLE_ROOM: (&str, Duration) = ("other shards have more room", Duration::ZERO);
 
 impl Shard {
     pub(super) fn submit(&mut self, ticket: Ticket, job: Arc<Job>, urge: Urge) {
@@ -40,11 +40,13 @@
                 return self.reply(ticket, Answer::Accepted);
             }
             known.effects.push(Effect::Reply { ticket, answer: Answer::Accepted });
-            // The effect may have missed the commit that the job is in.
+            // The commit that contains the job may already be in flight without this effect.
             self.log.touch(id);
             return;
         }
-        if let Some((reason, retry_after)) = self.refusal().or_else(|| self.is_full(&job, urge)) {
+        if let Some((reason, retry_after)) =
+            self.unavailable().or_else(|| self.capacity_refusal(&job, urge))
+        {
             let note = Note::JobRefused {
                 job: id,
                 queue: job.queue.clone(),
@@ -62,19 +64,20 @@
         self.log.touch(id);
     }
 
-    /// Why nothing is accepted just now.
-    fn refusal(&self) -> Option<(&'static str, Duration)> {
+    /// Reason and retry delay if the shard can't accept any job at the moment.
+    fn unavailable(&self) -> Option<(&'static str, Duration)> {
         if self.stage != Stage::Serving {
-            return Some(("the shard changes hands", RETRY_HAND_OVER));
+            return Some(("the shard is changing its owner", RETRY_AFTER_HANDOVER));
         }
         if self.log.age(self.now.steady) > STALLED_COMMIT {
-            return Some(("the store does not answer", RETRY_OUTAGE));
+            return Some(("the store does not respond", RETRY_AFTER_OUTAGE));
         }
         None
     }
 
-    /// The refusal of a job whose lasting tasks would take what is kept for work that must start at once.
-    fn is_full(&self, job: &Job, urge: Urge) -> Option<(&'static str, Duration)> {
+    /// Refuses a job whose long-running tasks would take the capacity reserved for jobs that must
+    /// start immediately.
+    fn capacity_refusal(&self, job: &Job, urge: Urge) -> Option<(&'static str, Duration)> {
         let lasting = lasting_cores(job);
         if lasting == 0 {
             return None;
@@ -82,8 +85,8 @@
         let summary = self.summary();
         let full = summary.is_full_with((summary.lasting + lasting) as f64, urge);
         full.then_some(match urge {
-            Urge::IfRoom => FULL,
-            Urge::Always => NO_MORE,
+            Urge::IfRoom => LITTLE_ROOM,
+            Urge::Always => LASTING_LIMIT_REACHED,
         })
     }
 
@@ -110,17 +113,19 @@
     pub(super) fn show(&mut self, ticket: Ticket, id: JobId) {
         let state = match (self.closed.get(&id), self.jobs.get(&id)) {
             (Some(closed), _) => Some(closed.state),
-            (None, Some(job)) if !job.is_guest() => job.durable.map(|durable| shown(job, durable)),
+            (None, Some(job)) if !job.is_guest() => {
+                job.durable.map(|durable| visible_state(job, durable))
+            }
             (None, _) => return self.reply(ticket, Answer::NotHere),
         };
         let answer = state.map_or_else(
-            || Answer::Unknown { reason: "the job isn't durable yet; ask again".to_owned() },
+            || Answer::Unknown { reason: "the job is not durable yet; try again".to_owned() },
             Answer::Shown,
         );
         self.reply(ticket, answer);
     }
 
-    /// Ends everything of a job.
+    /// Stops all runs of a job.
     pub(super) fn stop_job(&mut self, id: JobId, reason: &'static str) {
         let Some(job) = self.jobs.get(&id) else { return };
         for (task, place) in job.places() {
@@ -142,21 +147,22 @@
             }
             CommitResult::JobExists(known) => {
                 self.log.redo(commit, &mut self.jobs);
-                known.into_iter().for_each(|id| self.drop_known(id));
+                known.into_iter().for_each(|id| self.drop_duplicate(id));
             }
             CommitResult::Superseded(landed) => {
-                // What was in the commit isn't durable, and nothing may be said as if it were.
+                // The commit may not have been applied, so its effects must not be reported as
+                // durable.
                 self.stage = Stage::HandedOver;
                 for effect in commit.parts.into_iter().flat_map(|part| part.effects) {
                     if let Effect::Reply { ticket, answer } = effect {
-                        self.answer_superseded(ticket, answer, landed);
+                        self.reply_superseded(ticket, answer, landed);
                     }
                 }
             }
         }
     }
 
-    /// Answers whoever waits: the shard is not decided on here any more.
+    /// Replies to all waiting callers, because this owner no longer decides for the shard.
     pub fn abandon(&mut self) -> Vec<Action> {
         let parts = self.log.abandon().map(|commit| commit.parts).unwrap_or_default();
         let sent: IndexSet<JobId> = parts.iter().map(|part| part.id).collect();
@@ -165,21 +171,21 @@
             effects.extend(part.effects.into_iter().map(|effect| (Landed::Unknown, effect)));
         }
         for job in self.jobs.values_mut() {
-            // What isn't in any commit was never written.
+            // A new job that is not part of any commit was never written.
             let unwritten = job.record == RecordState::New && !sent.contains(&job.id());
             let landed = if unwritten { Landed::No } else { Landed::Unknown };
             effects.extend(job.effects.drain(..).map(|effect| (landed, effect)));
         }
         for (landed, effect) in effects {
             if let Effect::Reply { ticket, answer } = effect {
-                self.answer_superseded(ticket, answer, landed);
+                self.reply_superseded(ticket, answer, landed);
             }
         }
         std::mem::take(&mut self.out)
     }
 
-    fn answer_superseded(&mut self, ticket: Ticket, answer: Answer, landed: Landed) {
-        let retry_after = RETRY_HAND_OVER;
+    fn reply_superseded(&mut self, ticket: Ticket, answer: Answer, landed: Landed) {
+        let retry_after = RETRY_AFTER_HANDOVER;
         let reason = "the shard has another owner".to_owned();
         let answer = match (landed, answer) {
             (Landed::Yes, answer) => answer,
@@ -189,8 +195,8 @@
         self.reply(ticket, answer);
     }
 
-    /// A job that was handed in here is known elsewhere: it remains one job.
-    fn drop_known(&mut self, id: JobId) {
+    /// Drops a submitted job that already exists in another shard, so that it is not run twice.
+    fn drop_duplicate(&mut self, id: JobId) {
         self.log.forget(id);
         let Some(job) = self.jobs.shift_remove(&id) else { return };
         for effect in job.effects {
@@ -210,7 +216,7 @@
         let before = job.durable.replace(state);
         let was = std::mem::replace(&mut job.record, record);
         let queue = job.job.queue.clone();
-        let (waited, tasks) = (now.saturating_sub(job.since), tasks_of(&job.job));
+        let (waited, tasks) = (now.saturating_sub(job.since), task_count(&job.job));
         if job.is_guest() {
             if record == RecordState::Dropped && !self.log.waits(id) {
                 self.jobs.shift_remove(&id);
@@ -247,7 +253,7 @@
         }
     }
 
-    /// Forgets jobs whose final state has been shown for long enough.
+    /// Removes finished jobs whose final state has been kept for the retention time.
     pub(super) fn expire_closed(&mut self) {
         let (now, keep) = (self.now.steady, self.settings.show_for);
         while let Some((id, closed)) = self.closed.first() {
@@ -265,24 +271,26 @@
     }
 }
 
-/// Added to the time that a finished job is shown for, counted from here and not from the caller.
+/// Added to the retention time of a finished job, because that time is counted from the commit
+/// here and not from when the caller hears of it.
 const SHOW_MARGIN: Duration = Duration::from_secs(5);
 
-/// What callers are shown: a job whose start isn't durable is shown as queued.
-fn shown(job: &JobRun, durable: ShownState) -> ShownState {
+/// The state shown to callers. A job counts as running once one of its tasks has started, even if
+/// its durable state is still queued.
+fn visible_state(job: &JobRun, durable: ShownState) -> ShownState {
     match durable {
         ShownState::Queued if job.started == Started::Yes => ShownState::Running,
         state => state,
     }
 }
 
-/// Processors that a job's lasting tasks reserve, in thousandths of a core.
+/// CPU reserved by a job's long-running tasks, in millicores.
 pub(super) fn lasting_cores(job: &Job) -> u64 {
     let lasting =
         job.steps.iter().filter(|s| s.life == Life::Lasting && s.share == Share::Reserved);
     lasting.map(|step| u64::from(step.tasks) * u64::from(step.size.milli_cores.0)).sum()
 }
 
-fn tasks_of(job: &Job) -> u32 {
+fn task_count(job: &Job) -> u32 {
     job.steps.iter().map(|step| step.tasks).sum()
 }
