--- a/src/shard/job_run.rs
+++ b/src/shard/job_run.rs
@@ -1,4 +1,4 @@
-//! A job on its way: what of it waits, runs and has ended.
+//! State of a job in progress: which of its tasks wait, run or have ended.
 
 use crate::ids::{Ticket, VmId};
 use crate::job::progress::{
@@ -17,48 +17,48 @@
 #[derive(Debug)]
 pub struct JobRun {
     pub job: Arc<Job>,
-    /// Numbers of its steps' images.
+    /// Image index of each step.
     pub images: Vec<ImageIx>,
-    /// Shard that lent tasks of it to this one; `None` for a job accepted here.
+    /// Shard that lent this job's tasks to this one; `None` for a job accepted here.
     pub home: Option<Arc<str>>,
-    /// As decided here.
+    /// Current state, possibly not durable yet.
     pub state: ShownState,
-    /// As it is durable; callers are shown nothing else.
+    /// Last durable state, which is the one reported to callers.
     pub durable: Option<ShownState>,
-    /// Occurrences begun so far.
+    /// Number of occurrences begun so far.
     pub begun: u32,
     /// Occurrences that haven't ended, in order.
     pub open: Vec<Occurrence>,
-    /// When the job became known here.
+    /// When the job was accepted, or became known here if it belongs to another shard.
     pub since: Duration,
-    /// What waits for the job's next commit.
+    /// Effects to apply once the job's next commit is durable.
     pub effects: Vec<Effect>,
     pub record: RecordState,
-    /// Whether a task of it ever started.
+    /// Whether any task of the job has ever started.
     pub started: Started,
 }
 
-/// Whether a task of a job has started.
+/// Whether any task of a job has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Started {
     No,
     Yes,
 }
 
-/// What the store has of a job.
+/// What the store holds for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordState {
-    /// Nothing yet.
+    /// No record yet.
     New,
     /// The job itself and its progress.
     Kept,
     /// Only the final state.
     Closed,
-    /// Nothing any more: its lent tasks have been given back.
+    /// Removed, because its borrowed tasks have been returned.
     Dropped,
 }
 
-/// What takes place once a job's changes are durable.
+/// An effect applied once a job's changes are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Reply { ticket: Ticket, answer: Answer },
@@ -77,34 +77,34 @@
 #[derive(Debug)]
 pub struct StepRun {
     pub tasks: Vec<Task>,
-    /// When the step's turn came.
+    /// When all preceding steps had succeeded.
     pub ready: Option<Duration>,
-    /// Load of its tasks, where they serve.
+    /// Load of its tasks, if they serve requests.
     pub load: Option<OwnLoad>,
-    /// Where it may run, if its queue needs permits.
+    /// VMs on which the step may run, if its queue requires permits.
     pub permits: StepPermits,
-    /// Whether a task of it that might have crashed its VM has worked for a while since.
+    /// Whether a task suspected of crashing its VM has since run for a while without a crash.
     pub proven: bool,
 }
 
-/// A task.
+/// State of a task.
 #[derive(Debug, Default)]
 pub struct Task {
     pub phase: TaskPhase,
     pub last_run: RunNumber,
     pub failed: u32,
     pub checkpoint: Option<Checkpoint>,
-    /// Runs that may have started and aren't known to have ended.
+    /// Runs that may have started and are not known to have ended.
     pub runs: Vec<Place>,
-    /// VM of the last failed run; the next one goes elsewhere if it can.
+    /// VM of the last failed run; the next run avoids it if possible.
     pub failed_on: Option<VmId>,
-    /// When it last ended or stopped being at work.
+    /// When the task last ended or stopped running.
     pub away_since: Option<Duration>,
-    /// Shard that runs it in place of this one.
+    /// Set while another shard runs the task in place of this one.
     pub lent: Option<Lent>,
-    /// Number of the loan by which it is here.
+    /// Number of the loan by which this shard borrows the task.
     pub loan: u64,
-    /// VMs that crashed under it.
+    /// Number of VM crashes while the task ran there.
     pub crashes: Crashes,
 }
 
@@ -116,29 +116,30 @@
     pub known: LoanKnown,
 }
 
-/// What the other shard has said of a loan.
+/// Last known state of a loan at the borrowing shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoanKnown {
+    /// This owner has not told the borrower of the loan yet.
     Nothing,
-    /// Nothing, though it was told of it.
+    /// The borrower was told of the loan and has not replied.
     Told {
-        /// When it is to be told again.
+        /// When to repeat the offer.
         ask: Duration,
     },
-    /// It has it.
+    /// The borrower has accepted the loan.
     Taken {
-        /// When it is to be asked again whether it has begun.
+        /// When to ask again whether a task has started.
         ask: Duration,
     },
-    /// A task of the job has started there.
+    /// The borrower has started a task of the job.
     Begun,
 }
 
-/// Where a run is.
+/// A run and the VM it is bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     pub vm: VmId,
-    /// `ip:port` of the VM.
+    /// `ip:port` address of the VM.
     pub addr: Arc<str>,
     pub run: RunNumber,
 }
@@ -150,7 +151,7 @@
 }
 
 impl JobRun {
-    /// A job just handed in.
+    /// Creates the state of a newly submitted job.
     pub fn new(job: Arc<Job>, images: Vec<ImageIx>, now: Duration) -> Self {
         Self {
             job,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// A job as the store has it. `age` is the time since its acceptance.
+    /// Restores a job from the store. `age` is the time since its acceptance.
     pub fn recovered(
         job: Arc<Job>,
         images: Vec<ImageIx>,
@@ -196,22 +197,21 @@
         run
     }
 
-    /// The job's id.
     pub fn id(&self) -> JobId {
         self.job.id
     }
 
-    /// Whether nothing more of it is to start.
+    /// Whether no further tasks of the job may start.
     pub fn is_final(&self) -> bool {
         self.state.is_final()
     }
 
-    /// Every task of the open occurrences.
+    /// All tasks of the open occurrences.
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
         self.open.iter().flat_map(|o| o.steps.iter()).flat_map(|s| s.tasks.iter())
     }
 
-    /// Runs that aren't known to have ended.
+    /// All runs that are not known to have ended.
     pub fn places(&self) -> Vec<(TaskRef, Place)> {
         let mut places = Vec::new();
         for occurrence in &self.open {
@@ -225,17 +225,17 @@
         places
     }
 
-    /// Whether tasks of it are lent here by another shard.
+    /// Whether the job belongs to another shard that lent its tasks to this one.
     pub fn is_guest(&self) -> bool {
         self.home.is_some()
     }
 
-    /// Whether another shard runs any task.
+    /// Whether any task is lent to another shard.
     pub fn has_lent(&self) -> bool {
         self.tasks().any(|task| task.lent.is_some())
     }
 
-    /// Every task of the open occurrences, with its name.
+    /// All tasks of the open occurrences, with their references.
     pub fn named_tasks(&self) -> impl Iterator<Item = (TaskRef, &Task)> {
         self.open.iter().flat_map(move |occurrence| {
             occurrence.steps.iter().enumerate().flat_map(move |(step, run)| {
@@ -247,45 +247,45 @@
         })
     }
 
-    /// Whether any run isn't known to have ended.
+    /// Whether any run is not known to have ended.
     pub fn has_runs(&self) -> bool {
         self.tasks().any(|task| !task.runs.is_empty())
     }
 
-    /// A task, unless its occurrence has ended.
+    /// Looks up a task; `None` if its occurrence has ended.
     pub fn task(&self, task: TaskRef) -> Option<&Task> {
         let occurrence = self.open.iter().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get(usize::from(task.step))?.tasks.get(task.index as usize)
     }
 
-    /// A task, unless its occurrence has ended.
+    /// Mutable variant of [`Self::task`].
     pub fn task_mut(&mut self, task: TaskRef) -> Option<&mut Task> {
         self.step_run_mut(task)?.tasks.get_mut(task.index as usize)
     }
 
-    /// The step run of a task.
+    /// The step run that a task belongs to; `None` if its occurrence has ended.
     pub fn step_run(&self, task: TaskRef) -> Option<&StepRun> {
         let occurrence = self.open.iter().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get(usize::from(task.step))
     }
 
-    /// The step run of a task.
+    /// Mutable variant of [`Self::step_run`].
     pub fn step_run_mut(&mut self, task: TaskRef) -> Option<&mut StepRun> {
         let occurrence = self.open.iter_mut().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get_mut(usize::from(task.step))
     }
 
-    /// The step that a task belongs to.
+    /// The definition of the step that a task belongs to.
     pub fn step(&self, task: TaskRef) -> Option<&Step> {
         self.job.steps.get(usize::from(task.step))
     }
 
-    /// The number of a task's image.
+    /// The index of a task's image.
     pub fn image(&self, task: TaskRef) -> ImageIx {
         self.images.get(usize::from(task.step)).copied().unwrap_or_default()
     }
 
-    /// Names a task.
+    /// Builds the reference of a task.
     pub fn task_ref(&self, occurrence: u32, step: usize, index: usize) -> TaskRef {
         TaskRef {
             job: self.job.id,
@@ -308,10 +308,10 @@
         self.begun += 1;
     }
 
-    /// Marks steps whose turn has come, and drops occurrences that have ended and run nothing.
+    /// Marks the steps that may start, and drops finished occurrences without remaining runs.
     pub fn advance(&mut self, now: Duration) {
         if self.is_guest() {
-            // What is lent here has had its turn where it comes from.
+            // The lending shard has already checked that the preceding steps succeeded.
             let steps = self.open.iter_mut().flat_map(|occurrence| &mut occurrence.steps);
             steps.for_each(|step| step.ready = step.ready.or(Some(now)));
             return;
@@ -320,15 +320,15 @@
         for occurrence in &mut self.open {
             occurrence.mark_ready(&job, now);
         }
-        self.open.retain(|o| !o.is_over());
+        self.open.retain(|o| !o.is_finished());
     }
 
-    /// Whether every occurrence has begun and ended.
+    /// Whether every occurrence has begun and succeeded.
     pub fn all_succeeded(&self) -> bool {
         self.begun == self.job.repeat.occurrences() && self.open.iter().all(Occurrence::succeeded)
     }
 
-    /// What has to be durable.
+    /// The progress record to store.
     pub fn progress(&self) -> Progress {
         let mut tables = Tables::default();
         let open = self.open.iter().map(|o| o.progress(&mut tables)).collect();
@@ -367,8 +367,8 @@
         self.steps.iter().all(StepRun::succeeded)
     }
 
-    /// Whether every task has succeeded and no copy of one runs any more.
-    fn is_over(&self) -> bool {
+    /// Whether every task has succeeded and no duplicate run remains.
+    fn is_finished(&self) -> bool {
         self.succeeded() && self.steps.iter().flat_map(|s| &s.tasks).all(|t| t.runs.is_empty())
     }
 
@@ -384,7 +384,7 @@
         self.tasks.iter().all(|task| task.phase == TaskPhase::Succeeded)
     }
 
-    /// Failed runs of all tasks.
+    /// Total number of failed runs of all tasks.
     pub fn failed(&self) -> u32 {
         self.tasks.iter().map(|task| task.failed).sum()
     }
@@ -412,7 +412,7 @@
             loan: progress.loan,
             crashes: Crashes::default(),
         };
-        // Without it a borrowed task that waits would never be given back.
+        // Without a waiting time, a waiting borrowed task would never be returned to its lender.
         task.away_since = task.is_waiting().then_some(now);
         task
     }
@@ -438,12 +438,12 @@
         }
     }
 
-    /// Whether a run may be added.
+    /// Whether the task is waiting to be placed on a VM.
     pub fn is_waiting(&self) -> bool {
         self.phase == TaskPhase::Open && self.runs.is_empty() && self.lent.is_none()
     }
 
-    /// Takes a run off; false if it isn't there.
+    /// Removes a run; returns false if there is no such run.
     pub fn remove(&mut self, vm: &VmId, run: RunNumber) -> bool {
         let before = self.runs.len();
         self.runs.retain(|place| place.run != run || place.vm != *vm);
@@ -451,23 +451,23 @@
     }
 }
 
-/// Tables of a record.
+/// Tables of VMs and shards that a progress record refers to by index.
 #[derive(Default)]
 struct Tables {
     vms: Vec<BoundVm>,
     shards: Vec<String>,
 }
 
-/// The place of a name in a table, which gains it if it lacks it.
+/// Returns the index of a value in a table, adding the value if it is missing.
 fn intern<T: Clone + PartialEq>(table: &mut Vec<T>, name: &T) -> u16 {
-    let place = table.iter().position(|known| known == name).unwrap_or_else(|| {
+    let index = table.iter().position(|known| known == name).unwrap_or_else(|| {
         table.push(name.clone());
         table.len() - 1
     });
-    u16::try_from(place).unwrap_or(u16::MAX)
+    u16::try_from(index).unwrap_or(u16::MAX)
 }
 
-/// Whether the tasks of a step are started again however they end.
+/// Whether a step's tasks are long-running: they are restarted however they end.
 pub fn lasts(step: &Step) -> bool {
     step.life == Life::Lasting
 }
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -1,4 +1,4 @@
-//! A VM of the shard: what runs there, what is known of its clock, and when it was last heard.
+//! State of a VM of the shard: its runs, its clock, and when it last responded.
 
 use super::interference::Serving;
 use super::settings::{
@@ -12,51 +12,51 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A run, by its task and number.
+/// Identifies a run by its task and run number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RunKey {
     pub task: TaskRef,
     pub run: RunNumber,
 }
 
-/// One life of a VM.
+/// One instance of a VM; a restarted VM is a new instance with a new id.
 #[derive(Debug)]
 pub struct Vm {
     pub id: VmId,
-    /// As last announced.
+    /// The platform's latest entry for the VM.
     pub entry: VmEntry,
     pub announced: Announced,
     pub known_since: Duration,
-    /// When the platform first said that it leaves, and the time it left then.
+    /// When the platform first reported that the VM is leaving, and how much time was left then.
     pub leaving: Option<Leaving>,
     pub clock: Option<ClockReading>,
-    /// Runs that aren't known to have ended; each takes room.
+    /// Runs that are not known to have ended; each reserves resources.
     pub runs: IndexMap<RunKey, Run>,
     pub ends: Ends,
     pub contact: Contact,
-    /// Time from which on everything there has surely ended, unless it is extended.
+    /// Time by which every run on the VM is certain to have ended, unless it is extended.
     pub lapsed_by: Duration,
     pub health: super::health::Health,
 }
 
-/// Whether the platform announces a VM.
+/// Whether the platform lists a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announced {
     Yes,
-    /// Not any more, since then.
+    /// No longer listed since the given time.
     Missing {
         since: Duration,
     },
 }
 
-/// A VM's announcement that it leaves.
+/// Notice that a VM is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaving {
     pub since: Duration,
     pub left: Option<Duration>,
 }
 
-/// A VM's clock as read, and when its answer came.
+/// A reading of a VM's clock, and when the response with it arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
     pub clock: VmTime,
@@ -67,54 +67,54 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     pub stage: Stage,
-    /// What it takes from the VM's room.
+    /// Resources reserved for the run on the VM.
     pub reserved: Resources,
-    /// Processors it would use, in thousandths of a core.
+    /// CPU the run would use, in millicores.
     pub milli_cores: u32,
     pub share: Share,
-    /// When the present stage began.
+    /// When the current stage began.
     pub since: Duration,
-    /// When it was first seen at work.
+    /// When the VM first reported the run as running.
     pub running_since: Option<Duration>,
-    /// Starts sent.
+    /// Number of start commands sent.
     pub sends: u32,
-    /// Whether a start may still be on its way.
+    /// Whether a start command may still take effect.
     pub unanswered: Unanswered,
-    /// Share of its work done, of 100.
+    /// Progress in percent.
     pub percent: u8,
-    /// Figure of the last half second.
+    /// Gauge value of the last half second.
     pub gauge: u32,
-    /// Speed it is paced to, of 100.
+    /// Speed limit in percent.
     pub pace: u8,
-    /// Since when that is little.
+    /// Since when the speed limit has been low.
     pub slowed: Option<Duration>,
-    /// What its tail has told, for a task with a bound on it.
+    /// Tail latency measurements, for a task with a tail latency target.
     pub serving: Serving,
 }
 
-/// Whether an order without an answer may still be carried out.
+/// Whether an unacknowledged command may still take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unanswered {
     No,
     Yes,
 }
 
-/// Stage of a run's life on its VM.
+/// Lifecycle stage of a run on its VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The binding isn't durable yet; nothing was sent.
+    /// The binding is not durable yet; no start was sent.
     Binding,
-    /// To be sent, or sent and not answered.
+    /// The start is to be sent, or was sent and not acknowledged.
     Starting { next_send: Option<Duration> },
     /// Confirmed by the VM.
     Running,
-    /// To be stopped. `answered` is the time of the VM's answer to the order.
+    /// To be stopped. `answered` is when the VM acknowledged the stop command.
     Stopping { next_send: Option<Duration>, answered: Option<Duration> },
-    /// Known from the store only; the VM hasn't been asked yet.
+    /// Known from the store only; the VM has not been polled yet.
     Recovered,
 }
 
-/// Ends that the VM listed and hasn't been told to forget.
+/// Ended runs that the VM has reported and has not yet been told to forget.
 #[derive(Debug, Default)]
 pub struct Ends {
     listed: VecDeque<ListedEnd>,
@@ -127,27 +127,28 @@
     durable: bool,
 }
 
-/// When a VM was heard, and when to look next.
+/// When a VM last responded, and when to poll it next.
 #[derive(Clone, Debug)]
 pub struct Contact {
     pub looking: Looking,
     pub next_look: Duration,
-    /// When the last answered look was sent.
+    /// When the last successful poll was sent.
     pub heard: Option<Duration>,
+    /// Consecutive failed polls.
     pub failures: u32,
-    /// When the first of these failures was known.
+    /// When the first of these failures was detected.
     pub failing_since: Option<Duration>,
     pub silent: Silent,
 }
 
-/// Whether a look is under way.
+/// Whether a poll is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Looking {
     No,
     Yes,
 }
 
-/// Whether a VM has stopped answering.
+/// Whether a VM has stopped responding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silent {
     No,
@@ -155,7 +156,8 @@
 }
 
 impl Vm {
-    /// A VM not looked at yet. What an earlier owner started may run until `lapsed_by`.
+    /// Creates a VM that has not been polled yet. Runs started by an earlier owner may last until
+    /// `lapsed_by`.
     pub fn new(entry: VmEntry, now: Duration, lapsed_by: Duration) -> Self {
         Self {
             id: entry.id.clone(),
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Takes over what the platform announces now.
+    /// Updates the VM from the platform's current entry.
     pub fn announce(&mut self, entry: VmEntry, now: Duration) {
         if self.leaving.is_none() {
             self.leaving = leaving(&entry, now);
@@ -188,63 +190,64 @@
         self.announced = Announced::Yes;
     }
 
-    /// Where to call it.
+    /// The id and address to call the VM with.
     pub fn addr(&self) -> VmAddr {
         VmAddr { id: self.id.clone(), addr: self.entry.addr.clone() }
     }
 
-    /// Its clock as it is now, at the latest; `None` before the first answer.
+    /// Estimates the VM's clock from the last reading; `None` if there is no reading. A response
+    /// takes time to arrive, so apart from drift the estimate is not ahead of the VM's clock.
     pub fn clock_now(&self, now: Duration) -> Option<VmTime> {
         let reading = self.clock?;
         Some(VmTime(reading.clock.0 + now.saturating_sub(reading.at)))
     }
 
-    /// Notes the clock that an answer brought.
+    /// Records a clock reading from a response.
     pub fn read_clock(&mut self, clock: VmTime, now: Duration) {
         self.clock = Some(ClockReading { clock, at: now });
     }
 
-    /// Notes that everything there may be kept running from now on.
+    /// Records that the VM may keep all of its tasks running for `keep` from now on.
     pub fn extended(&mut self, now: Duration, keep: Duration) {
         let drift = keep.mul_f64(CLOCK_DRIFT);
         self.lapsed_by = self.lapsed_by.max(now + keep + drift + LAPSE_MARGIN);
     }
 
-    /// How long a run is known to have been at work: from the answer that first listed it to the last look
-    /// that was answered.
+    /// How long a run is known to have been running: from the response that first reported it to
+    /// the last successful poll.
     pub fn worked(&self, key: RunKey) -> Duration {
         let since = self.runs.get(&key).and_then(|run| run.running_since);
         let worked = since.zip(self.contact.heard).map(|(since, at)| at.saturating_sub(since));
         worked.unwrap_or_default()
     }
 
-    /// Room that is taken.
+    /// Resources reserved by all runs.
     pub fn reserved(&self) -> Resources {
         self.runs.values().fold(Resources::ZERO, |sum, run| sum.saturating_add(&run.reserved))
     }
 
-    /// Whether more is taken than it has.
+    /// Whether the reservations exceed the VM's size.
     pub fn is_over(&self) -> bool {
         !self.reserved().fits_in(&self.entry.size)
     }
 
-    /// Room that is left.
+    /// Unreserved resources.
     pub fn free(&self) -> Resources {
         self.entry.size.saturating_sub(&self.reserved())
     }
 
-    /// Whether it has answered this owner and still does.
+    /// Whether the VM has responded to this owner recently.
     pub fn is_heard(&self, now: Duration) -> bool {
         self.contact.silent == Silent::No
             && self.contact.heard.is_some_and(|at| now.saturating_sub(at) < 2 * SILENT_AFTER)
     }
 
-    /// Whether it takes new work.
+    /// Whether new tasks may be placed on the VM.
     pub fn takes_work(&self, now: Duration) -> bool {
         self.announced == Announced::Yes && self.leaving.is_none() && self.is_heard(now)
     }
 
-    /// Whether work there is to be kept running by the next look.
+    /// Whether the next poll extends the deadline of the VM's tasks.
     pub fn extends(&self, now: Duration) -> bool {
         match self.contact.heard {
             Some(at) => now.saturating_sub(at) < SILENT_AFTER + BUSY_LOOK,
@@ -252,7 +255,7 @@
         }
     }
 
-    /// How long the next look may wait for an end.
+    /// How long the VM may delay its response to the next poll to wait for a run to end.
     pub fn look_wait(&self) -> Duration {
         if self.contact.failures > 0 || self.contact.heard.is_none() || self.ends.has_listed() {
             return Duration::ZERO;
@@ -260,7 +263,7 @@
         if self.runs.is_empty() { IDLE_LOOK } else { BUSY_LOOK }
     }
 
-    /// Sets the time of the next look after an answer.
+    /// Schedules the next poll once the previous one has completed.
     pub fn plan_look(&mut self, now: Duration) {
         let pause = if self.contact.failures > 0 {
             LOOK_RETRY
@@ -281,7 +284,7 @@
 }
 
 impl Run {
-    /// A run whose binding isn't durable yet.
+    /// Creates a run whose binding is not durable yet.
     pub fn binding(reserved: Resources, milli_cores: u32, share: Share, now: Duration) -> Self {
         Self {
             stage: Stage::Binding,
@@ -300,19 +303,19 @@
         }
     }
 
-    /// Whether it is to end.
+    /// Whether the run is being stopped.
     pub fn is_stopping(&self) -> bool {
         matches!(self.stage, Stage::Stopping { .. })
     }
 
-    /// Whether it has been seen at work on the VM.
+    /// Whether the VM has confirmed the run.
     pub fn is_running(&self) -> bool {
         self.stage == Stage::Running
     }
 }
 
 impl Ends {
-    /// Notes an end that the VM lists; false if it was listed before.
+    /// Records an ended run reported by the VM; returns false if it was reported before.
     pub fn list(&mut self, number: u64) -> bool {
         let known = number <= self.forget || self.listed.iter().any(|end| end.number == number);
         if !known {
@@ -321,7 +324,7 @@
         !known
     }
 
-    /// Notes that what an end means is durable.
+    /// Records that the consequences of an ended run are durable.
     pub fn settle(&mut self, number: u64) {
         if let Some(end) = self.listed.iter_mut().find(|end| end.number == number) {
             end.durable = true;
@@ -335,12 +338,12 @@
         }
     }
 
-    /// Ends up to this number may be forgotten.
+    /// The VM may forget ended runs up to this number.
     pub fn forget(&self) -> u64 {
         self.forget
     }
 
-    /// Whether the VM would repeat ends.
+    /// Whether the VM would report ended runs again.
     pub fn has_listed(&self) -> bool {
         !self.listed.is_empty()
     }
