--- a/tests/shards/crashes.rs
+++ b/tests/shards/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the VMs that they run on, and their neighbours.
+//! Tasks that crash their VMs, and other tasks on those VMs.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, crashing, work};
@@ -14,10 +14,10 @@
 const SHARD: &str = "kacyiru";
 const SIZE: Resources = Resources::new(8000, 8000, 0);
 
-/// Soon after the start, before any look tells of the run.
+/// Shortly after the start, before any poll reports the run.
 const AT_ONCE: Duration = Duration::from_millis(10);
 
-/// Crashes under one task after which it may not be started three times more.
+/// Number of crashes after which a task may be started at most two more times.
 const CRASHES: usize = 3;
 
 fn seconds(n: u64) -> Duration {
@@ -39,19 +39,19 @@
     }
 }
 
-/// Starts of a job's tasks so far, over all VMs.
+/// Number of starts of a job's tasks so far, on all VMs.
 fn starts(world: &World<Sound>, job: &Job) -> usize {
     let tables = world.past.iter().chain(world.vms.iter().map(|vm| &vm.table));
     let started = |seen: &&Seen| matches!(seen, Seen::Started { task, .. } if task.job == job.id);
     tables.map(|table| table.seen.iter().filter(started).count()).sum()
 }
 
-/// Work of two seconds on two cores.
+/// A task of two seconds on two cores.
 fn usual() -> Work {
     work(2000, 2)
 }
 
-// Guards against a task that crashes VM after VM and is started again without end.
+// Guards against endless restarts of a task that crashes one VM after the other.
 #[test]
 fn a_task_that_crashes_its_vms_is_given_up() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -63,7 +63,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against the same where the task works for a while before it crashes the VM.
+// Guards against endless restarts of a task that runs for a while before it crashes its VM.
 #[test]
 fn a_task_that_crashes_its_vms_late_is_given_up() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -75,7 +75,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against a lasting task that crashes its VMs and is started again without end.
+// Guards against endless restarts of a long-running task that crashes its VMs.
 #[test]
 fn a_lasting_task_that_crashes_its_vms_is_given_up() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -86,7 +86,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against the same of a task of which copies may run side by side.
+// Guards against endless restarts of a crashing task that may run as parallel copies.
 #[test]
 fn a_task_with_copies_that_crashes_its_vms_is_given_up() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -98,7 +98,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against a group that crashes the VMs of its members and is started again without end.
+// Guards against endless restarts of a group with one member that crashes its VMs.
 #[test]
 fn a_group_with_a_member_that_crashes_its_vms_is_given_up() {
     let mut world = World::new(Sound, &[SHARD], 8, SIZE);
@@ -114,9 +114,9 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against jobs that fail for a neighbour's fault: each crash takes their tasks along.
+// Guards against failing jobs whose tasks are lost in crashes caused by another task on their VM.
 #[test]
-fn the_neighbours_of_a_task_that_crashes_vms_are_not_to_blame() {
+fn tasks_beside_a_task_that_crashes_vms_are_not_blamed() {
     let mut world = World::new(Sound, &[SHARD], 4, SIZE);
     let lasting = chain(1, 1, 4, work(0, 2));
     let before = chain(2, 1, 4, work(9000, 1));
@@ -137,9 +137,10 @@
     check(&mut world, &known(&[&lasting, &before, &bad, &beside]), SIZE);
 }
 
-// Guards against tasks that begin together on each VM, so that nobody can tell which of them crashes it.
+// Guards against blaming the wrong task, or none, when tasks start together on a VM and any of them
+// may be the one that crashes it.
 #[test]
-fn suspects_are_run_apart_until_the_one_to_blame_is_found() {
+fn suspects_run_separately_until_the_crashing_task_is_found() {
     let mut world = World::new(Sound, &[SHARD], 3, SIZE);
     let jobs: Vec<Job> = (1..=6)
         .map(|id| {
@@ -158,7 +159,8 @@
     check(&mut world, &known(&jobs.iter().collect::<Vec<_>>()), SIZE);
 }
 
-// Guards against a job that fails because VMs crash under it for another reason, as soon as it runs there.
+// Guards against failing a job because its VMs crash for an unrelated reason just after it starts
+// there.
 #[test]
 fn two_vms_lost_for_another_reason_do_not_end_a_job() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -181,9 +183,10 @@
     check(&mut world, &known(&[&lasting, &job]), SIZE);
 }
 
-// Guards against a job that fails because its VMs leave, are cut off or fall silent, over and over.
+// Guards against failing a job because its VMs repeatedly leave, become unreachable or stop
+// responding.
 #[test]
-fn vms_that_leave_or_fall_silent_are_no_crashes() {
+fn leaving_or_silent_vms_do_not_count_as_crashes() {
     let mut world = World::new(Sound, &[SHARD], 4, SIZE);
     let job = chain(1, 1, 1, work(0, 2));
     world.submit(SHARD, job.clone());
@@ -203,7 +206,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against a count of crashes that the next owner of the shard doesn't know.
+// Guards against losing the crash count when the shard gets a new owner.
 #[test]
 fn crashes_are_counted_over_takeovers() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -213,7 +216,7 @@
         let before = world.crashes;
         world.run_for(seconds(1));
         if world.crashes > before {
-            // Counted with the VM's next life, three seconds later.
+            // The crash is counted when the VM's next instance appears, 3 s later.
             world.run_for(seconds(4));
             world.replace_owner(SHARD);
         }
@@ -223,7 +226,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against crashes that nobody counts, since the owner ends between the crash and its record.
+// Guards against uncounted crashes when the owner ends between a crash and its record.
 #[test]
 fn a_crash_is_counted_by_the_next_owner_if_it_was_not_yet() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
@@ -241,7 +244,7 @@
     check(&mut world, &known(&[&job]), SIZE);
 }
 
-// Guards against a lent task that crashes the VMs of one shard after the other.
+// Guards against a lent task that crashes VMs of several shards in turn.
 #[test]
 fn a_lent_task_that_crashes_its_vms_is_given_up() {
     let mut world = World::new(Sound, &[SHARD, "remera"], 3, SIZE);
@@ -256,7 +259,8 @@
     check(&mut world, &known(&[&full, &bad]), SIZE);
 }
 
-// Guards against a job whose every task crashes its VM, and that takes VMs down as often as it has tasks.
+// Guards against a job whose tasks all crash their VMs, and that crashes VMs again with each
+// restarted task.
 #[test]
 fn a_wide_job_that_crashes_vms_takes_down_one_more_than_it_began_on() {
     let mut world = World::new(Sound, &[SHARD], 8, SIZE);
