--- a/tests/shards/loans.rs
+++ b/tests/shards/loans.rs
@@ -1,4 +1,4 @@
-//! Tasks that another shard runs, and what becomes of them there.
+//! Tasks lent to another shard.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -14,11 +14,11 @@
     Duration::from_secs(n)
 }
 
-// A caller's lasting task stands still for good, though the shard that accepted it has room. It was lent
-// to another shard, whose VM leaves; as it waits there for room, that shard's owner is replaced. A
-// borrower gives back what has waited for 1.5 s, but the next owner didn't know since when it waits: in the
-// log `lasting-waits` told of five tasks with `oldest_ms=0` and `fit_elsewhere=5` for the last 12 s of a
-// day. What is found waiting waits since the takeover.
+// Guards against a long-running task that never runs again although its home shard has room. It was
+// lent to another shard whose VM leaves, and that shard's owner is replaced while the task waits
+// there. A borrower returns a task after it has waited for 1.5 s, but the next owner did not know
+// since when it waited: in the log, `lasting-waits` reported five tasks with `oldest_ms=0` and
+// `fit_elsewhere=5` for the last 12 s of a run. The wait must count from the takeover.
 #[test]
 fn a_borrowed_task_without_room_is_given_back_by_the_next_owner() {
     let mut world = World::new(Sound, &["kacyiru", "remera"], 1, SIZE);
@@ -37,11 +37,11 @@
     world.replace_owner("remera");
     world.cancel("kacyiru", full.id);
     world.run_for(seconds(5));
-    assert_eq!(world.runs_on(0), 1, "it isn't given back");
+    assert_eq!(world.runs_on(0), 1, "the task was not returned");
     check(&mut world, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
 }
 
-// Guards against a task that runs a second time, since an owner that stood still and was replaced lends it again.
+// Guards against a task that runs twice because a paused owner that was replaced lends it again.
 #[test]
 fn an_owner_that_was_replaced_lends_nothing_again() {
     let mut world = World::new(Sound, &["kacyiru", "remera"], 1, SIZE);
@@ -55,10 +55,10 @@
     }
     world.pause_owner("kacyiru", seconds(6));
     world.run_for(seconds(4));
-    assert_eq!(world.runs_on(1), 0, "it is done and given back");
+    assert_eq!(world.runs_on(1), 0, "the task is done and returned");
     world.replace_owner("remera");
     world.run_for(seconds(1));
-    // Its VM, which has seen the next owner, can't tell it.
+    // The old owner can't learn from the VM, which knows the new owner, that it was replaced.
     world.cut_vm(0, seconds(4));
     world.run_for(seconds(10));
     check(&mut world, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
--- a/tests/shards/takeover.rs
+++ b/tests/shards/takeover.rs
@@ -1,4 +1,4 @@
-//! What a shard's next owner makes of what it finds.
+//! Recovery of a shard's state by its next owner.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -25,8 +25,7 @@
     jobs.iter().map(|job| (job.id, job.clone())).collect()
 }
 
-// A caller hands in two steps of four tasks and sees them done. Nothing fails on the way; this is
-// what the other tests disturb.
+// Baseline without faults: a job of two steps with four tasks each completes.
 #[test]
 fn a_job_of_two_steps_is_done() {
     let mut world = world(2);
@@ -38,9 +37,9 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// A caller cancels a job that runs; between its start and the cancellation the shard changed
-// hands. The new owner has sent no start itself and took the runs for never sent: it gave their
-// room away while they ran on, and the next job overfilled the VM.
+// Guards against an overcommitted VM: a running job is cancelled after its shard got a new owner.
+// That owner had sent no start itself and assumed that the runs were never started: it released
+// their resources while they still ran.
 #[test]
 fn a_cancelled_job_keeps_its_room_until_it_has_ended_also_after_a_takeover() {
     let mut world = world(1);
@@ -58,11 +57,10 @@
     check(&mut world, &known(&[first, second]), SIZE);
 }
 
-// A caller's job goes on while its shard's owner stands still for four seconds. Another daemon
-// takes the shard; the first wakes and still believes that it owns it. VMs refuse its orders and
-// the store its commits, so that no task runs twice.
+// A paused owner is replaced, resumes after 4 s and still believes that it owns the shard. VMs must
+// refuse its commands and the store its commits, so that no task runs twice.
 #[test]
-fn an_owner_that_wakes_up_late_starts_nothing() {
+fn a_replaced_owner_that_resumes_starts_nothing() {
     let mut world = world(3);
     let jobs: Vec<Job> = (1..6).map(|id| chain(id, 2, 3, work(900, 2))).collect();
     for job in &jobs {
@@ -77,8 +75,8 @@
     check(&mut world, &known(&jobs), SIZE);
 }
 
-// A caller waits for a task on a VM that nobody reaches any more. It may still run there, so that
-// it is started elsewhere only once the time that the VM was given has surely passed.
+// A task on an unreachable VM may still be running, so it must be started elsewhere only once the
+// VM's deadline has certainly passed.
 #[test]
 fn a_task_on_a_vm_out_of_reach_is_started_again_after_its_time_has_passed() {
     let mut world = world(2);
@@ -94,8 +92,8 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// A caller's job is on a VM that restarts. The VM's new life at the same address proves that the
-// earlier one has ended, so that its tasks start again at once and don't wait for their time.
+// A new VM instance at the same address proves that the earlier instance has ended, so its tasks
+// must start again at once instead of waiting for the deadline.
 #[test]
 fn tasks_of_a_restarted_vm_start_again_when_it_is_back() {
     let mut world = world(1);
@@ -108,8 +106,8 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// Callers hand jobs in while the store is away. Those that come too late for the last commit are
-// told at once that nothing of them runs; what runs goes on, and its ends are made durable later.
+// Jobs submitted during a store outage, after the last commit was sent, must be refused at once as
+// not run. Running tasks continue, and their ends are made durable after the outage.
 #[test]
 fn jobs_are_refused_as_not_run_while_the_store_is_away() {
     let mut world = world(2);
@@ -121,16 +119,16 @@
     world.run_for(seconds(2));
     let third = world.submit("kacyiru", chain(3, 1, 1, work(100, 1)));
     world.run_for(Duration::from_millis(100));
-    assert!(!world.answers.contains_key(&second), "what is being written has no answer yet");
+    assert!(!world.answers.contains_key(&second), "a job in a pending commit has no reply yet");
     assert!(matches!(world.answers.get(&third), Some(Answer::NotRun { .. })));
     world.run_for(seconds(8));
     assert_eq!(world.answers.get(&second), Some(&Answer::Accepted));
     assert_eq!(world.show("kacyiru", first.id), Some(Answer::Shown(ShownState::Done)));
 }
 
-// A caller cancels a job of which a task is lent to another shard. That shard's VM can't be reached
-// just then, and its owner is replaced before the stop gets through. The next owner finds a task
-// that was recalled and still runs: it has to stop it, though the job goes on as far as it knows.
+// A job with a task lent to another shard is cancelled while the borrower's VM is unreachable, and
+// the borrower's owner is replaced before the stop is delivered. The next owner finds a recalled
+// task that still runs, and must stop it although the job is not final as far as it knows.
 #[test]
 fn a_recalled_task_is_stopped_by_the_borrowers_next_owner() {
     let mut world = World::new(Sound, &["kacyiru", "remera"], 1, SIZE);
@@ -147,14 +145,14 @@
     world.replace_owner("remera");
     world.run_for(seconds(4));
     let now = world.now;
-    assert_eq!(world.vms[1].table.runs(now), [], "it runs on");
+    assert_eq!(world.vms[1].table.runs(now), [], "the task was not stopped");
     assert_eq!(world.show("kacyiru", lent.id), Some(Answer::Shown(ShownState::Cancelled)));
     check(&mut world, &known(&[full, lent]), SIZE);
 }
 
-// A caller's job runs on a VM that dies; the shard changes hands before the VM is back. The next
-// owner knows the VM only from the binding. Its new life at the same address proves that the run
-// has ended, so that the task doesn't wait for the VM's time, ten seconds and more.
+// A VM crashes, and its shard gets a new owner before the VM is back. That owner knows the VM only
+// from the binding. The new instance at the same address proves that the run has ended, so the task
+// must not wait for the VM's deadline of 10 s and more.
 #[test]
 fn a_vm_that_restarts_over_a_takeover_is_recognised_by_its_address() {
     let mut world = world(1);
@@ -169,11 +167,11 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// A VM restarts, and the platform goes on announcing its earlier life for a while, beside the new
-// one. What runs on the new life stays there: the earlier announcement is not taken for a VM that
-// took over the address.
+// After a VM restart, the platform lists the earlier instance beside the new one for a while. Tasks
+// on the new instance must keep running: the stale entry must not be taken for a VM that took over
+// the address.
 #[test]
-fn an_announcement_that_outlives_its_vm_ends_nothing() {
+fn a_stale_vm_entry_ends_no_task() {
     let mut world = world(1);
     let job = chain(1, 1, 1, work(4000, 2));
     world.run_for(seconds(1));
@@ -188,11 +186,11 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// A VM says that it leaves in four seconds while a lasting task and a long one run there. Both are
-// stopped while there is time to hear of it, and go on elsewhere at once: the lasting one well
-// before the VM is gone, the long one from its checkpoint.
+// A VM announces that it leaves in 4 s while a long-running and a finite task run there. Both must
+// be stopped early enough for the stop to be confirmed, and continue elsewhere at once: the
+// long-running one well before the VM is gone, the finite one from its checkpoint.
 #[test]
-fn a_leaving_vm_is_emptied_before_it_is_gone() {
+fn a_leaving_vm_is_drained_before_it_is_gone() {
     let mut world = world(2);
     let lasting = chain(1, 1, 1, work(0, 2));
     let long = chain(2, 1, 1, work(9000, 2));
@@ -200,7 +198,7 @@
     world.submit("kacyiru", long.clone());
     world.run_for(seconds(3));
     let now = world.now;
-    let index = (0..2).find(|i| !world.vms[*i].table.runs(now).is_empty()).expect("they run");
+    let index = (0..2).find(|i| !world.vms[*i].table.runs(now).is_empty()).expect("both tasks run");
     let other = 1 - index;
     world.leave_vm(index, seconds(4));
     world.run_for(Duration::from_millis(1500));
@@ -212,9 +210,8 @@
     check(&mut world, &known(&[lasting, long]), SIZE);
 }
 
-// A caller's lasting task stands on a VM that dies and isn't announced any more. Its shard is given
-// away twice while the VM's time runs out; each new owner waited all of that time again, so
-// that the task stood for as long as daemons were stopped in turn.
+// Guards against a task that stays down during a rolling restart of the daemons. Its VM crashed and
+// was no longer listed, and each new owner of the shard waited for the VM's whole deadline again.
 #[test]
 fn planned_stops_do_not_prolong_the_wait_for_a_dead_vm() {
     let mut world = world(2);
@@ -232,9 +229,9 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// One of two VMs says that it leaves, and half of a caller's job waits for the other. The shard's owner
-// is then replaced by a daemon that owned nothing and had read the list of VMs before: it started the
-// rest on the leaving VM, where it was lost. It places nothing until it has read the list itself.
+// Guards against tasks lost on a leaving VM: the shard's new owner had read the list of VMs before
+// the VM announced that it was leaving, and started tasks there. A new owner must place nothing
+// until it has read the list itself.
 #[test]
 fn a_new_owner_places_nothing_by_an_old_list_of_vms() {
     let mut world = world(2);
@@ -255,10 +252,10 @@
     check(&mut world, &known(&[job]), SIZE);
 }
 
-// A caller's task fails for the third and last time as its shard's owner is replaced. The next owner has the
-// shard a moment before it has read the queues, as after an outage of the store; it heard of the end
-// (`task-failed ... attempts=4294967295` in its log), took the attempts for unlimited, and started the task
-// a fourth time. It waits for the queues before it decides what an end means.
+// Guards against a fourth attempt of a task with three. The task fails for the last time as its
+// shard's owner is replaced, and the next owner has not read the queues yet, as after a store
+// outage: it heard of the end (`task-failed ... attempts=4294967295` in its log) and took the
+// attempts for unlimited. It must read the queues before it handles an end.
 #[test]
 fn an_owner_that_has_not_read_the_queues_starts_nothing_again() {
     let mut world = world(2);
@@ -277,7 +274,7 @@
     assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Failed)));
 }
 
-/// Runs that were started on any VM.
+/// Number of runs started on all VMs.
 fn started(world: &World<Sound>) -> usize {
     let seen = world.vms.iter().flat_map(|vm| &vm.table.seen);
     seen.filter(|seen| matches!(seen, Seen::Started { .. })).count()
