--- a/tests/shards/hold.rs
+++ b/tests/shards/hold.rs
@@ -1,4 +1,4 @@
-//! Lasting work that needs more room at once than the short work beside it.
+//! Long-running tasks that need more resources on one VM than competing short tasks do.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -14,14 +14,14 @@
 const SIZE: Resources = Resources::new(8000, 8000, 0);
 const SHARD: &str = "kacyiru";
 
-/// Two VMs on which short work of others never ends, and lasting jobs.
-struct Crowd {
+/// Two VMs under a constant load of short tasks, and long-running jobs.
+struct BusyShard {
     world: World<Sound>,
     all: IndexMap<JobId, Job>,
     next: u64,
 }
 
-impl Crowd {
+impl BusyShard {
     fn new() -> Self {
         Self { world: World::new(Sound, &[SHARD], 2, SIZE), all: IndexMap::new(), next: 100 }
     }
@@ -31,8 +31,8 @@
         self.all.insert(job.id, job);
     }
 
-    /// More short work than there is room for, handed in all the time.
-    fn press_for(&mut self, time: Duration) {
+    /// Keeps submitting more short tasks than there is room for.
+    fn add_load_for(&mut self, time: Duration) {
         let until = self.world.now + time;
         while self.world.now < until {
             self.next += 1;
@@ -51,33 +51,33 @@
     chain(id, 1, 1, Work { size, ..work(0, cores) })
 }
 
-// A caller's lasting task waits for good beside short work that comes and goes. The VM with the most free
-// processors was kept for it, but its memory is taken by another lasting task and never comes free; the
-// other VM was given to short work as soon as a core was free. In the log of such a day 25 tasks waited from
-// 22 to 39 s, the least of them for 5,450 thousandths of a core, with `largest_free_milli_cores=8000` in each
-// line: the same VM each time.
+// Guards against a long-running task that starves beside short tasks. The VM with the most free CPU
+// was reserved for it, but that VM's memory was held by another long-running task and never freed;
+// on the other VM, every free core was given to short tasks. In the log 25 tasks waited 22 to 39 s,
+// the smallest needing 5,450 millicores, with `largest_free_milli_cores=8000` in each line, always
+// for the same VM.
 #[test]
 fn a_lasting_task_does_not_wait_for_a_vm_whose_memory_is_taken_for_good() {
-    let mut crowd = Crowd::new();
-    crowd.submit(lasting(1, 1, 7900));
-    crowd.world.run_for(Duration::from_millis(300));
-    crowd.press_for(Duration::from_secs(2));
+    let mut busy = BusyShard::new();
+    busy.submit(lasting(1, 1, 7900));
+    busy.world.run_for(Duration::from_millis(300));
+    busy.add_load_for(Duration::from_secs(2));
     let waiting = lasting(2, 4, 4000);
-    crowd.submit(waiting.clone());
-    crowd.press_for(Duration::from_secs(2));
-    assert!(crowd.is_running(waiting.id), "it still waits");
-    check(&mut crowd.world, &crowd.all, SIZE);
+    busy.submit(waiting.clone());
+    busy.add_load_for(Duration::from_secs(2));
+    assert!(busy.is_running(waiting.id), "the task still waits");
+    check(&mut busy.world, &busy.all, SIZE);
 }
 
-// The room that a lasting task needs comes together on one VM though another frees more at a moment:
-// the VM that it was given is kept until the task fits there.
+// The VM chosen for a long-running task must stay reserved until the task fits, even if another VM
+// temporarily has more free resources.
 #[test]
 fn a_lasting_task_gets_a_whole_vm_beside_short_work() {
-    let mut crowd = Crowd::new();
-    crowd.press_for(Duration::from_secs(2));
+    let mut busy = BusyShard::new();
+    busy.add_load_for(Duration::from_secs(2));
     let waiting = lasting(2, 8, 4000);
-    crowd.submit(waiting.clone());
-    crowd.press_for(Duration::from_secs(2));
-    assert!(crowd.is_running(waiting.id), "it still waits");
-    check(&mut crowd.world, &crowd.all, SIZE);
+    busy.submit(waiting.clone());
+    busy.add_load_for(Duration::from_secs(2));
+    assert!(busy.is_running(waiting.id), "the task still waits");
+    check(&mut busy.world, &busy.all, SIZE);
 }
--- a/tests/shards/leaving.rs
+++ b/tests/shards/leaving.rs
@@ -1,4 +1,4 @@
-//! Lasting work that needs room elsewhere when its VMs leave.
+//! Long-running tasks that must be moved when their VMs leave.
 
 use crate::faults::{Chance, Faults, Sound};
 use crate::jobs::{chain, work};
@@ -17,39 +17,39 @@
 const SIZE: Resources = Resources::new(32_000, 128_000, 0);
 const SHARD: &str = "kacyiru";
 
-/// One VM of so many leaves.
-const LEAVING_OF: usize = 8;
+/// One of every `LEAVING_EVERY` VMs leaves.
+const LEAVING_EVERY: usize = 8;
 const NOTICE: Duration = Duration::from_secs(4);
 
-/// Time that a lasting task may stand still while its size is free twice over.
-const STANDSTILL: Duration = Duration::from_secs(6);
+/// Longest time a long-running task may be down while twice its size is free.
+const MAX_DOWNTIME: Duration = Duration::from_secs(6);
 
-/// Time in which a shard is filled, and in which there are faults after that.
-const FILLED: Duration = Duration::from_secs(4);
-const TROUBLED: Duration = Duration::from_secs(16);
+/// Time in which a shard is filled, and the following time with faults.
+const FILL_TIME: Duration = Duration::from_secs(4);
+const FAULT_PERIOD: Duration = Duration::from_secs(16);
 
-/// Time after which everything has settled.
-const CALM: Duration = Duration::from_secs(30);
+/// Time for the system to settle after the faults.
+const SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// A shard with all the lasting work that it accepts.
-struct Full<F> {
+/// A shard filled with as many long-running jobs as it accepts.
+struct FilledShard<F> {
     world: World<F>,
     jobs: IndexMap<JobId, Job>,
-    /// Since when each task that doesn't run could.
-    still: IndexMap<TaskRef, Duration>,
+    /// Since when each task has been down although there was room for it.
+    down_since: IndexMap<TaskRef, Duration>,
     next: u64,
 }
 
-impl<F: Faults> Full<F> {
+impl<F: Faults> FilledShard<F> {
     fn new(faults: F, vms: usize, sizes: Range<u32>, rng: &mut SmallRng) -> Self {
         let world = World::new(faults, &[SHARD], vms, SIZE);
-        let (jobs, still) = (IndexMap::new(), IndexMap::new());
-        let mut full = Self { world, jobs, still, next: 1 };
-        while full.submit(lasting(full.next, rng.random_range(sizes.clone()))) {}
-        full
+        let (jobs, down_since) = (IndexMap::new(), IndexMap::new());
+        let mut filled = Self { world, jobs, down_since, next: 1 };
+        while filled.submit(lasting(filled.next, rng.random_range(sizes.clone()))) {}
+        filled
     }
 
-    /// Whether the shard takes a job.
+    /// Submits a job; returns whether the shard accepted it.
     fn submit(&mut self, job: Job) -> bool {
         self.next += 1;
         let ticket = self.world.submit(SHARD, job.clone());
@@ -62,24 +62,24 @@
     }
 
     fn leave(&mut self) {
-        for index in (0..self.world.vms.len()).step_by(LEAVING_OF) {
+        for index in (0..self.world.vms.len()).step_by(LEAVING_EVERY) {
             self.world.leave_vm(index, NOTICE);
         }
     }
 
-    /// Free processors on VMs that stay, in thousandths of a core.
+    /// Free CPU on the VMs that stay, in millicores.
     fn free(&mut self) -> u32 {
         let now = self.world.now;
         let stay = self.world.vms.iter_mut().enumerate();
-        let stay = stay.filter(|(index, _)| index % LEAVING_OF != 0);
+        let stay = stay.filter(|(index, _)| index % LEAVING_EVERY != 0);
         let used = |vm: &mut VmNode| -> u32 {
             vm.table.runs(now).iter().map(|(_, _, size)| size.milli_cores.0).sum()
         };
         stay.map(|(_, vm)| SIZE.milli_cores.0.saturating_sub(used(vm))).sum()
     }
 
-    /// Lasting tasks that run nowhere, and their processors.
-    fn away(&mut self) -> Vec<(TaskRef, u32)> {
+    /// Long-running tasks that run nowhere, with their CPU in millicores.
+    fn tasks_down(&mut self) -> Vec<(TaskRef, u32)> {
         let now = self.world.now;
         let mut runs = IndexSet::new();
         for vm in &mut self.world.vms {
@@ -94,19 +94,19 @@
         tasks.filter(|(task, _)| !runs.contains(task)).collect()
     }
 
-    /// The longest time that a task has stood still so far beside twice its size, and its size.
-    fn note_still(&mut self) -> Option<(Duration, u32)> {
+    /// The longest time that a task has been down while twice its size was free, and its size.
+    fn track_downtime(&mut self) -> Option<(Duration, u32)> {
         let (now, free) = (self.world.now, self.free());
-        let away = self.away();
-        let before = std::mem::take(&mut self.still);
-        let could = away.iter().filter(|(_, size)| 2 * size <= free);
+        let down = self.tasks_down();
+        let before = std::mem::take(&mut self.down_since);
+        let placeable = down.iter().filter(|(_, size)| 2 * size <= free);
         let since = |task: &TaskRef| before.get(task).copied().unwrap_or(now);
-        self.still = could.clone().map(|(task, _)| (*task, since(task))).collect();
-        could.map(|(task, size)| (now - self.still[task], *size)).max()
+        self.down_since = placeable.clone().map(|(task, _)| (*task, since(task))).collect();
+        placeable.map(|(task, size)| (now - self.down_since[task], *size)).max()
     }
 }
 
-/// Six lasting tasks of one image, each of so many tenths of a core.
+/// A job of six long-running tasks of one image, each of `tenths` tenths of a core.
 fn lasting(id: u64, tenths: u32) -> Job {
     let size = Resources::new(tenths * 100, 6_000, 0);
     let mut job = chain(id, 1, 6, Work { size, ..work(0, 1) });
@@ -115,46 +115,50 @@
     job
 }
 
-// Large lasting tasks stood still for 17 s after their VMs had left, beside several times their size in pieces.
+// Guards against large long-running tasks that were down for 17 s after their VMs had left,
+// although several times their size was free in fragments.
 #[test]
 fn no_lasting_task_stands_still_for_long_beside_room_for_two() {
     for seed in 0..6 {
-        let mut full = Full::new(Sound, 32, 20..100, &mut SmallRng::seed_from_u64(seed));
-        full.leave();
+        let mut filled = FilledShard::new(Sound, 32, 20..100, &mut SmallRng::seed_from_u64(seed));
+        filled.leave();
         let mut longest = (Duration::ZERO, 0);
         for _ in 0..100 {
-            let short = chain(full.next, 1, 2, work(800, 4));
-            full.submit(short);
-            longest = longest.max(full.note_still().unwrap_or_default());
+            let short = chain(filled.next, 1, 2, work(800, 4));
+            filled.submit(short);
+            longest = longest.max(filled.track_downtime().unwrap_or_default());
         }
         let (time, milli_cores) = longest;
-        assert!(time <= STANDSTILL, "seed {seed}: a task of {milli_cores} stood for {time:?}");
-        check(&mut full.world, &full.jobs, SIZE);
+        assert!(
+            time <= MAX_DOWNTIME,
+            "seed {seed}: a task of {milli_cores} millicores was down for {time:?}"
+        );
+        check(&mut filled.world, &filled.jobs, SIZE);
     }
 }
 
-// A task that moves for another one, or the one that it moves for, runs twice or takes room that isn't there,
-// as owners and VMs fail meanwhile.
+// Guards against a task that is moved to make room for another one, or that other task, running
+// twice or overcommitting a VM when owners and VMs fail during the move.
 #[test]
 fn promises_hold_while_lasting_tasks_move() {
     for seed in 0..12 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let until = Duration::from_secs(5) + FILLED + TROUBLED;
-        let mut full = Full::new(Chance::new(seed, 20, until), 16, 20..160, &mut rng);
-        full.leave();
-        while full.world.now < until {
-            full.world.run_for(Duration::from_millis(rng.random_range(500..2500)));
+        let until = Duration::from_secs(5) + FILL_TIME + FAULT_PERIOD;
+        let mut filled = FilledShard::new(Chance::new(seed, 20, until), 16, 20..160, &mut rng);
+        filled.leave();
+        while filled.world.now < until {
+            filled.world.run_for(Duration::from_millis(rng.random_range(500..2500)));
             let (vm, time) =
                 (rng.random_range(0..16), Duration::from_millis(rng.random_range(300..4000)));
             match rng.random_range(0..10) {
-                0..2 => full.world.replace_owner(SHARD),
-                2..4 => full.world.pause_owner(SHARD, time),
-                4 => full.world.cut_vm(vm, time),
-                5 => full.world.crash_vm(vm, time),
+                0..2 => filled.world.replace_owner(SHARD),
+                2..4 => filled.world.pause_owner(SHARD, time),
+                4 => filled.world.cut_vm(vm, time),
+                5 => filled.world.crash_vm(vm, time),
                 _ => {}
             }
         }
-        full.world.run_for(CALM);
-        check(&mut full.world, &full.jobs, SIZE);
+        filled.world.run_for(SETTLE_TIME);
+        check(&mut filled.world, &filled.jobs, SIZE);
     }
 }
