--- a/tests/shards/lists.rs
+++ b/tests/shards/lists.rs
@@ -1,4 +1,4 @@
-//! What a shard does by a list of VMs that is old.
+//! Behaviour of a shard whose list of VMs is out of date.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -12,16 +12,16 @@
 
 const SIZE: Resources = Resources::new(8000, 8000, 0);
 
-/// Time after which nothing may start on a VM that said that it leaves.
+/// Time after a VM's leaving notice from which nothing may start there.
 const LAST_START: Duration = Duration::from_secs(2);
 
 fn seconds(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-// Callers' tasks are lost with a VM that had said long before that it leaves. Its owner can't read the
-// list of VMs, whatever the reason, while the store takes its commits: it went on by the list that it
-// had. It starts nothing more by it, and goes on as soon as it has read the list.
+// Guards against tasks lost with a VM that had announced long before that it was leaving: the owner
+// could not read the list of VMs while the store still accepted its commits, and kept using the old
+// list. It must start nothing until it has read the list again.
 #[test]
 fn nothing_is_started_by_a_list_of_vms_that_has_become_old() {
     let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
@@ -34,16 +34,17 @@
     world.submit("kacyiru", job.clone());
     for _ in 0..30 {
         world.run_for(Duration::from_millis(100));
-        assert_eq!(world.runs_on(0), 0, "a task runs where a VM leaves");
+        assert_eq!(world.runs_on(0), 0, "a task runs on a leaving VM");
     }
     world.run_for(seconds(4));
     assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
     check(&mut world, &IndexMap::from([(job.id, job)]), SIZE);
 }
 
-// The same, by a start that was decided in time and sent too late. The store goes away at some moment
-// while a caller's tasks are being bound, and one of the VMs says that it leaves meanwhile. As the store
-// returns the bindings are durable a moment before the list is read again, and were started at once.
+// The same failure, with a start that was decided in time but sent too late. The store fails while
+// tasks are being bound, and a VM announces during the outage that it is leaving. When the store
+// recovers, the bindings are durable shortly before the list is read again, and the tasks were
+// started immediately.
 #[test]
 fn a_start_decided_before_an_outage_waits_for_the_list_of_vms() {
     for moment in (0..100).step_by(5) {
@@ -57,7 +58,7 @@
         world.leave_vm(0, seconds(8));
         for _ in 0..50 {
             world.run_for(Duration::from_millis(100));
-            assert_eq!(world.runs_on(0), 0, "a task runs where a VM leaves, {moment} ms");
+            assert_eq!(world.runs_on(0), 0, "a task runs on a leaving VM, {moment} ms");
         }
         world.run_for(seconds(3));
         assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
@@ -65,10 +66,10 @@
     }
 }
 
-// A caller's task runs twice at once. Its VM died and came back at its address, and was given the task in
-// its new life; then the shard changes hands, to a daemon that read the list of VMs before that. It knows
-// the earlier life from the list and the later one only from the binding, and took the later one for the
-// one that is over: it started the task elsewhere, and never used the VM again.
+// Guards against a task that runs twice at once. Its VM restarted at the same address and got the
+// task as a new instance; then a daemon that had read the list of VMs before the restart became the
+// owner. It knew the old instance from the list and the new one only from the binding, and took the
+// new one for the dead one: it started the task elsewhere and never used the VM again.
 #[test]
 fn a_life_that_an_old_list_lacks_is_not_taken_for_over() {
     let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
@@ -79,16 +80,16 @@
     let job = chain(1, 1, 4, work(4000, 2));
     world.submit("kacyiru", job.clone());
     world.run_for(Duration::from_millis(500));
-    assert!(world.runs_on(0) > 0, "it runs in the later life");
+    assert!(world.runs_on(0) > 0, "the task runs on the new instance");
     world.replace_owner("kacyiru");
     world.run_for(seconds(12));
     check(&mut world, &IndexMap::from([(job.id, job.clone())]), SIZE);
     assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
 }
 
-// Callers' jobs wait 0.4 s longer than need be at most takeovers. The list of VMs is asked for at the moment
-// that a claim has succeeded; control, on a thread of its own, hears of the claim a little later, and took
-// the list for one of before the claim. Its age is known, and is a few milliseconds.
+// Guards against a delay of 0.4 s at most takeovers. The list of VMs is requested as soon as a
+// claim succeeds; the control thread hears of the claim slightly later and treated the list as
+// older than the claim. The age of the list is known, and is a few milliseconds.
 #[test]
 fn a_list_asked_for_as_the_claim_succeeded_counts() {
     let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
--- a/tests/shards/silence.rs
+++ b/tests/shards/silence.rs
@@ -1,4 +1,4 @@
-//! Work on VMs that don't answer, while their shard's owner is replaced.
+//! Tasks on unresponsive VMs while the shard's owner is replaced.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -19,7 +19,7 @@
     IndexMap::from([(job.id, job.clone())])
 }
 
-/// Two VMs, a lasting task, and the VM that it runs on.
+/// Two VMs, a long-running task, and the index of the VM it runs on.
 fn world_with_task() -> (World<Sound>, Job, usize) {
     let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
     let job = chain(1, 1, 1, work(0, 2));
@@ -29,24 +29,26 @@
     (world, job, there)
 }
 
-// A caller's lasting task stands still for 35 s. Its VM dies; as its time is nearly over, eleven
-// seconds later in that case, the shard's owner freezes, and the next one knew only that it may live: it
-// waited for the VM's whole time and 12 s more. In the log of such a day the VM was silent from 12.8 s on,
-// the owner froze at 23.8 s, and `task-gone` came at 48.2 s. An owner tells what it knows of the VM.
+// Guards against a long-running task that stays down for 35 s. Its VM died, and 11 s later, shortly
+// before the VM's deadline, the owner froze. The next owner knew only that the VM might be alive,
+// and waited for the whole deadline and 12 s more. In the log the VM was silent from 12.8 s on, the
+// owner froze at 23.8 s, and `task-gone` came at 48.2 s. Owners therefore publish the deadlines of
+// silent VMs.
 #[test]
-fn a_task_of_a_dead_vm_starts_in_time_though_its_owner_freezes() {
+fn a_task_of_a_dead_vm_restarts_in_time_after_its_owner_freezes() {
     let (mut world, job, there) = world_with_task();
     world.cut_vm(there, seconds(120));
     world.run_for(seconds(5));
     world.pause_owner("kacyiru", seconds(60));
     world.run_for(seconds(4));
-    assert_eq!(world.runs_on(1 - there), 1, "it waits out its time anew");
+    assert_eq!(world.runs_on(1 - there), 1, "the new owner waits for the whole deadline again");
     check(&mut world, &known(&job), SIZE);
 }
 
-// The same with two freezes: the second owner has never heard the VM, and passes on what it was told.
+// The same with two freezes: the second owner never had contact with the VM, and must pass on the
+// published deadline.
 #[test]
-fn what_was_told_of_a_dead_vm_outlives_a_second_owner() {
+fn a_published_lapse_survives_a_second_owner_change() {
     let (mut world, job, there) = world_with_task();
     world.cut_vm(there, seconds(120));
     world.run_for(seconds(4));
@@ -54,13 +56,14 @@
     world.run_for(seconds(1));
     world.pause_owner("kacyiru", seconds(60));
     world.run_for(seconds(4));
-    assert_eq!(world.runs_on(1 - there), 1, "it waits out its time anew");
+    assert_eq!(world.runs_on(1 - there), 1, "the new owner waits for the whole deadline again");
     check(&mut world, &known(&job), SIZE);
 }
 
-// A VM answers again after five seconds, and its work is extended. The owner's news of that are lost, it
-// freezes, and the VM is out of reach again: what others remember of the first silence is no longer
-// true, and a task started by it would run in two places. The store doesn't have that silence any more.
+// A VM responds again after 5 s and its tasks are extended. The owner's report of that is lost, the
+// owner freezes, and the VM becomes unreachable again: the deadline published for the first silence
+// is no longer valid, and a task started by it would run twice. The store no longer records the
+// first silence.
 #[test]
 fn what_was_told_before_a_vm_answered_again_counts_no_more() {
     let (mut world, job, there) = world_with_task();
@@ -72,12 +75,13 @@
     world.pause_owner("kacyiru", seconds(60));
     world.run_for(seconds(3));
     assert_eq!(world.runs_on(there), 1);
-    assert_eq!(world.runs_on(1 - there), 0, "it runs in two places");
+    assert_eq!(world.runs_on(1 - there), 0, "the task runs in two places");
     check(&mut world, &known(&job), SIZE);
 }
 
-// A VM answers again while the store is away: it can't be taken back that the VM is silent, so its work
-// isn't extended yet. It is once the store is back, and the caller's task runs on.
+// A VM responds again while the store is unavailable: the record of its silence can't be removed,
+// so its tasks are not extended yet. They must be extended once the store is back, so that the task
+// keeps running.
 #[test]
 fn a_vm_that_answers_again_while_the_store_is_away_keeps_its_work() {
     let (mut world, job, there) = world_with_task();
