--- a/tests/shards/limits.rs
+++ b/tests/shards/limits.rs
@@ -1,4 +1,4 @@
-//! How much of the room lasting work may take.
+//! Limits on the capacity that long-running tasks may take.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -17,11 +17,11 @@
     jobs.iter().map(|job| (job.id, (*job).clone())).collect()
 }
 
-// A caller's short job waits for as long as others' lasting jobs run: these were taken until no VM had
-// more than a core free, and go first for all room that there is. On such a day lasting tasks had 94 % of
-// all processors from its start (`lasting_cores` in `shard-state`), 200 to 370 short tasks waited
-// (`short_waiting`) beside 65 free cores, and a third of the short jobs was in time. The job that would
-// take the last of the room is turned away at once, as not run, and is told when to come back.
+// Guards against short jobs that starve: long-running jobs, which have precedence, were accepted
+// until no VM had more than one free core. In such a run they held 94 % of all CPU from the start
+// (`lasting_cores` in `shard-state`), 200 to 370 short tasks waited (`short_waiting`) beside 65
+// free cores, and a third of the short jobs was in time. The job that would take the last free
+// capacity must be refused at once as not run, with a retry delay.
 #[test]
 fn lasting_jobs_leave_room_for_short_ones() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
@@ -36,13 +36,13 @@
     assert_eq!(world.answers.get(&accepted), Some(&Answer::Accepted));
     let answer = world.answers.get(&refused).cloned();
     let Some(Answer::NotRun { retry_after, .. }) = answer else { panic!("{answer:?}") };
-    assert!(retry_after >= Duration::from_secs(1), "it would come back for nothing");
+    assert!(retry_after >= Duration::from_secs(1), "a retry that early is refused again");
     assert_eq!(world.show(SHARD, short.id), Some(Answer::Shown(ShownState::Done)));
     check(&mut world, &known(&[&first, &short]), SIZE);
 }
 
-// Callers hand lasting jobs in at the same moment: none of them is durable yet as the next one comes, and
-// all of them were taken.
+// Guards against exceeding the limit with long-running jobs that are submitted at the same time:
+// none was durable when the next one arrived, and all were accepted.
 #[test]
 fn lasting_jobs_that_come_together_leave_room_for_short_ones() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
@@ -55,7 +55,7 @@
     check(&mut world, &known(&jobs.each_ref()), SIZE);
 }
 
-// The same job is taken once another one was cancelled.
+// A long-running job must be accepted again once cancelling another one has freed the capacity.
 #[test]
 fn a_lasting_job_is_taken_once_room_has_come_back() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
@@ -71,8 +71,8 @@
     check(&mut world, &known(&[&first, &second]), SIZE);
 }
 
-// A caller's lasting job needs nearly all of a small deployment, which runs nothing else that lasts. It
-// is taken: what it leaves is little, but nobody else would use the rest.
+// A long-running job that needs all of a small deployment must be accepted if no other
+// long-running job is there: nothing else would use the capacity.
 #[test]
 fn a_lasting_job_that_is_the_only_one_may_take_all_the_room() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
--- a/tests/shards/order.rs
+++ b/tests/shards/order.rs
@@ -1,4 +1,4 @@
-//! Which of several jobs gets the room that comes free.
+//! Order in which waiting jobs get freed capacity.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -13,17 +13,17 @@
 const SIZE: Resources = Resources::new(8000, 8000, 0);
 const SHARD: &str = "kacyiru";
 
-/// A full VM, and two jobs that wait for all of its room: one that lasts and a short one. The short
-/// one is to be done 2 s after it was accepted, and is of no use after 6 s.
-struct Contest {
+/// A full VM, and a long-running and a short job that each wait for all of it. The short job is due
+/// 2 s after it was accepted, and useless after 6 s.
+struct Contention {
     world: World<Sound>,
     lasting: Job,
     short: Job,
     all: IndexMap<JobId, Job>,
 }
 
-impl Contest {
-    /// The VM is full for so many milliseconds.
+impl Contention {
+    /// Creates a VM that is full for `full_ms` milliseconds.
     fn new(full_ms: u64) -> Self {
         let mut world = World::new(Sound, &[SHARD], 1, SIZE);
         let first = chain(1, 1, 4, work(full_ms, 2));
@@ -43,32 +43,31 @@
     }
 }
 
-// A short job and a lasting one wait for room on a full VM, which stays full until the short one is of no
-// use to its caller any more. The lasting one goes first: what comes too late anyway doesn't keep others
-// waiting.
+// A VM stays full until the short job that waits for it is useless to its caller. The long-running
+// job must then go first: a job that is too late anyway must not delay others.
 #[test]
-fn lasting_work_goes_before_short_work_that_is_of_no_use_any_more() {
-    let mut contest = Contest::new(7000);
-    contest.world.run_for(Duration::from_secs(9));
+fn a_lasting_job_precedes_a_short_job_that_is_too_late() {
+    let mut contention = Contention::new(7000);
+    contention.world.run_for(Duration::from_secs(9));
     let shown = [ShownState::Running, ShownState::Queued].map(|state| Some(Answer::Shown(state)));
-    assert_eq!(contest.states(), shown);
-    assert_eq!(contest.world.runs_on(0), 4);
-    check(&mut contest.world, &contest.all, SIZE);
+    assert_eq!(contention.states(), shown);
+    assert_eq!(contention.world.runs_on(0), 4);
+    check(&mut contention.world, &contention.all, SIZE);
 }
 
-// A caller's lasting job stands still for as long as others hand in one short job after the other, each of
-// which is in time: room that comes free went to the next short one. It is taken for lost after three
-// seconds, so that it goes first once it has waited for two.
+// Guards against starvation: freed capacity always went to the next of a stream of short jobs, each
+// of which was in time, so a long-running job never started. It counts as lost after 3 s and
+// therefore goes first once it has waited for 2 s.
 #[test]
-fn a_stream_of_short_work_does_not_hold_lasting_work_up() {
-    let mut contest = Contest::new(500);
+fn short_jobs_do_not_starve_a_lasting_job() {
+    let mut contention = Contention::new(500);
     for id in 10..30 {
         let short = chain(id, 1, 4, work(500, 2));
-        contest.world.submit(SHARD, short.clone());
-        contest.all.insert(short.id, short);
-        contest.world.run_for(Duration::from_millis(200));
+        contention.world.submit(SHARD, short.clone());
+        contention.all.insert(short.id, short);
+        contention.world.run_for(Duration::from_millis(200));
     }
-    let lasting = contest.world.show(SHARD, contest.lasting.id);
+    let lasting = contention.world.show(SHARD, contention.lasting.id);
     assert_eq!(lasting, Some(Answer::Shown(ShownState::Running)));
-    check(&mut contest.world, &contest.all, SIZE);
+    check(&mut contention.world, &contention.all, SIZE);
 }
