--- a/tests/shards/permits.rs
+++ b/tests/shards/permits.rs
@@ -1,4 +1,4 @@
-//! Steps that run only on VMs that an outside service permits.
+//! Steps that may run only on VMs permitted by an external service.
 
 use crate::faults::{Chance, Faults, Sound};
 use crate::jobs::{chain, work};
@@ -36,9 +36,9 @@
     world.permits.as_ref().expect("the world has permits")
 }
 
-// A caller hands in two steps of six tasks; each step may run on about half of ten VMs, which only
-// the service knows. Every start carries a permit that holds, no VM that was denied is asked about
-// again, and both steps are done.
+// Each of two steps may run on about half of ten VMs, which only the service knows. Every start
+// must carry a valid permit, no VM may be asked about twice for the same step, and both steps must
+// complete.
 #[test]
 fn tasks_start_only_where_they_are_permitted() {
     let mut world = world(Sound, 50, 10);
@@ -56,8 +56,8 @@
     }
 }
 
-// A step of eight tasks fits on the permitted VMs four at a time, and the second four start after
-// the permits of the first have run out. They are renewed in time; no start is refused.
+// Only four of a step's eight tasks fit at a time, and the other four start after the first permits
+// have expired. Permits must be renewed in time, so that no start is refused.
 #[test]
 fn permits_are_renewed_for_tasks_that_waited_long() {
     let mut world = world(Sound, 100, 1);
@@ -70,10 +70,10 @@
     assert!(table(&world).asked.len() >= 2, "{:?}", table(&world).asked);
 }
 
-// Thirty jobs wait for the service at once. It answers one question at a time, and no more than one
-// is under way, so that an urgent job's question never stands behind thirty others.
+// The service handles one request at a time. With thirty waiting jobs, at most one request may be
+// in flight, so that the request for an urgent job never queues behind thirty others.
 #[test]
-fn questions_are_asked_a_few_at_a_time() {
+fn permit_requests_are_sent_one_at_a_time() {
     let mut world = world(Sound, 50, 10);
     let jobs: Vec<Job> = (1..=30).map(|id| chain(id, 1, 1, work(200, 1))).collect();
     submit_all(&mut world, &jobs);
@@ -86,10 +86,11 @@
     check(&mut world, &known(&jobs), SIZE);
 }
 
-// Every third order, message and question is lost, unanswered or late for ten seconds, and the owner is
-// replaced on the way. Questions are asked again, and the jobs are done once.
+// 30 % of commands, messages and permit requests are lost, unanswered or delayed for ten seconds,
+// and the owner is replaced meanwhile. Requests must be retried, and each job must complete exactly
+// once.
 #[test]
-fn a_lost_question_is_asked_again() {
+fn a_lost_permit_request_is_retried() {
     let faults = Chance::new(7, 300, seconds(15));
     let mut world = world(faults, 60, 6);
     let jobs: Vec<Job> = (1..=6).map(|id| chain(id, 2, 3, work(300, 2))).collect();
--- a/tests/shards/vacate.rs
+++ b/tests/shards/vacate.rs
@@ -1,4 +1,4 @@
-//! VMs that are emptied because their machines go down.
+//! VMs drained because their machines go down for maintenance.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -26,10 +26,10 @@
     jobs.iter().map(|job| (job.id, job.clone())).collect()
 }
 
-// Callers watch a job of four lasting tasks of which one may be away. The VM with two of them is to
-// be empty: they leave one after the other, the second once the first is at work elsewhere.
+// A job of four long-running tasks allows one to be unavailable. When a VM with several of them is
+// drained, the next one must not stop before the previous one runs elsewhere.
 #[test]
-fn lasting_tasks_leave_within_their_budget() {
+fn lasting_tasks_are_drained_within_their_budget() {
     let mut world = world(2);
     let mut job = chain(1, 1, 4, work(0, 2));
     job.steps[0].max_away = Some(1);
@@ -46,7 +46,7 @@
     assert_apart(&world, there);
 }
 
-/// Each stop on the first VM comes after the start that follows the one before.
+/// Checks that each stop on the first VM follows the restart elsewhere of the task stopped before.
 fn assert_apart(world: &World<Sound>, stops: usize) {
     let ended: Vec<Duration> = world.vms[0].table.seen.iter().filter_map(end_of).collect();
     let started: Vec<Duration> = world.vms[1].table.seen.iter().filter_map(start_of).collect();
@@ -65,10 +65,11 @@
     if let Seen::Started { at, .. } = seen { Some(*at) } else { None }
 }
 
-// Two jobs run on a VM that is to be empty: one can be resumed and leaves at once, the other can't,
-// and ends by itself within the time that it is left. Neither is run twice, and nothing new comes.
+// Two jobs run on a VM that is drained. The resumable one must stop at once; the other must be
+// allowed to finish within the patience of the order. Neither may run twice, and no new task may
+// start on the VM.
 #[test]
-fn work_that_cannot_be_resumed_may_end() {
+fn a_drained_vm_lets_unresumable_tasks_finish() {
     let mut world = world(1);
     let resumable = chain(1, 1, 1, work(6000, 2));
     let mut fixed = chain(2, 1, 1, work(1500, 2));
