--- a/tests/shards/random.rs
+++ b/tests/shards/random.rs
@@ -1,6 +1,6 @@
-//! Jobs, faults and takeovers by chance.
+//! Random jobs, faults and takeovers.
 //!
-//! `SHARD_SEEDS=0..2000` tries others than the usual ones.
+//! Set `SHARD_SEEDS=0..2000` to run other seeds than the default ones.
 
 use crate::faults::Chance;
 use crate::jobs::random;
@@ -19,18 +19,18 @@
 const SHARDS: [&str; 2] = ["kacyiru", "remera"];
 const VMS: usize = 3;
 
-/// Time in which there are faults.
-const TROUBLED: Duration = Duration::from_secs(20);
+/// Time with faults.
+const FAULT_PERIOD: Duration = Duration::from_secs(20);
 
-/// Time after which everything has settled.
-const CALM: Duration = Duration::from_secs(45);
+/// Time for the system to settle after the faults.
+const SETTLE_TIME: Duration = Duration::from_secs(45);
 
-/// Share of VMs that a step may run on, where it needs permits; of 100. With six VMs, some are left
-/// for each step of the seeds here.
+/// Percentage of VMs that a step with permits may run on. With six VMs, this leaves some VM for
+/// every step of the default seeds.
 const PERMITTED: u64 = 85;
 const PERMIT_VALID: Duration = Duration::from_secs(3);
 
-struct Played {
+struct Simulation {
     world: World<Chance>,
     jobs: IndexMap<JobId, Job>,
     home: IndexMap<JobId, &'static str>,
@@ -38,15 +38,15 @@
     accepted: Vec<JobId>,
 }
 
-fn play(seed: u64) -> Played {
+fn simulate(seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let permille = rng.random_range(0..120);
-    let until = Duration::from_secs(5) + TROUBLED;
+    let until = Duration::from_secs(5) + FAULT_PERIOD;
     let mut world = World::new(Chance::new(seed, permille, until), &SHARDS, VMS, SIZE);
     if seed.is_multiple_of(3) {
         world = world.with_permits(PermitTable::new(PERMITTED, PERMIT_VALID));
     }
-    let mut played = Played {
+    let mut sim = Simulation {
         world,
         jobs: IndexMap::new(),
         home: IndexMap::new(),
@@ -54,61 +54,61 @@
         accepted: Vec::new(),
     };
     let mut tickets = IndexMap::new();
-    while played.world.now < until {
-        played.world.run_for(Duration::from_millis(rng.random_range(20..600)));
+    while sim.world.now < until {
+        sim.world.run_for(Duration::from_millis(rng.random_range(20..600)));
         match rng.random_range(0..100) {
-            0..60 if played.jobs.len() < 30 => {
-                let job = random(played.jobs.len() as u64 + 1, &mut rng);
+            0..60 if sim.jobs.len() < 30 => {
+                let job = random(sim.jobs.len() as u64 + 1, &mut rng);
                 let home = SHARDS[rng.random_range(0..2)];
-                tickets.insert(played.world.submit(home, job.clone()), job.id);
-                played.home.insert(job.id, home);
-                played.jobs.insert(job.id, job);
+                tickets.insert(sim.world.submit(home, job.clone()), job.id);
+                sim.home.insert(job.id, home);
+                sim.jobs.insert(job.id, job);
             }
-            60..66 if !played.jobs.is_empty() => {
-                let id = *played.jobs.get_index(rng.random_range(0..played.jobs.len())).unwrap().0;
-                played.world.cancel(played.home[&id], id);
-                played.cancelled.push(id);
+            60..66 if !sim.jobs.is_empty() => {
+                let id = *sim.jobs.get_index(rng.random_range(0..sim.jobs.len())).unwrap().0;
+                sim.world.cancel(sim.home[&id], id);
+                sim.cancelled.push(id);
             }
-            66..70 => played.world.replace_owner(SHARDS[rng.random_range(0..2)]),
+            66..70 => sim.world.replace_owner(SHARDS[rng.random_range(0..2)]),
             70..74 => {
                 let time = Duration::from_millis(rng.random_range(500..5000));
-                played.world.pause_owner(SHARDS[rng.random_range(0..2)], time);
+                sim.world.pause_owner(SHARDS[rng.random_range(0..2)], time);
             }
             74..78 => {
                 let time = Duration::from_millis(rng.random_range(300..5000));
-                played.world.crash_vm(rng.random_range(0..2 * VMS), time);
+                sim.world.crash_vm(rng.random_range(0..2 * VMS), time);
             }
             78..82 => {
                 let time = Duration::from_millis(rng.random_range(300..9000));
-                played.world.cut_vm(rng.random_range(0..2 * VMS), time);
+                sim.world.cut_vm(rng.random_range(0..2 * VMS), time);
             }
             82..84 => {
                 let time = Duration::from_millis(rng.random_range(300..4000));
-                played.world.stop_store(time);
+                sim.world.stop_store(time);
             }
             _ => {}
         }
     }
-    played.world.run_for(CALM);
+    sim.world.run_for(SETTLE_TIME);
     for (ticket, id) in &tickets {
-        if played.world.answers.get(ticket) == Some(&Answer::Accepted) {
-            played.accepted.push(*id);
+        if sim.world.answers.get(ticket) == Some(&Answer::Accepted) {
+            sim.accepted.push(*id);
         }
     }
-    played
+    sim
 }
 
 fn verify(seed: u64) {
-    let mut played = play(seed);
-    check(&mut played.world, &played.jobs, SIZE);
-    for id in played.accepted.clone() {
-        let shown = played.world.show(played.home[&id], id);
+    let mut sim = simulate(seed);
+    check(&mut sim.world, &sim.jobs, SIZE);
+    for id in sim.accepted.clone() {
+        let shown = sim.world.show(sim.home[&id], id);
         let Some(Answer::Shown(state)) = shown else {
             panic!("seed {seed}: job {id} was accepted and is answered with {shown:?}");
         };
-        let lasting = played.jobs[&id].steps[0].life == waxwingstall::job::Life::Lasting;
-        let expected = match (played.cancelled.contains(&id), lasting) {
-            // A cancellation may come too late, or be lost with its owner.
+        let lasting = sim.jobs[&id].steps[0].life == waxwingstall::job::Life::Lasting;
+        let expected = match (sim.cancelled.contains(&id), lasting) {
+            // A cancellation may arrive too late, or be lost with the shard's owner.
             (true, _) => continue,
             (false, true) => ShownState::Running,
             (false, false) => ShownState::Done,
@@ -124,9 +124,9 @@
     range.unwrap_or(0..60)
 }
 
-// Callers hand jobs in and give some up, while orders and messages are lost, late or unanswered,
-// VMs restart or can't be reached, owners are killed or stand still, and the store goes away. No
-// task runs twice or before its turn, no VM is overfilled, and in the end every job is done.
+// Jobs are submitted and cancelled while commands and messages are lost, delayed or unanswered, VMs
+// restart or become unreachable, owners are killed or paused, and the store fails. No task may run
+// twice or before its predecessors, no VM may be overcommitted, and every finite job must complete.
 #[test]
 fn promises_hold_whatever_fails() {
     for seed in seeds() {
--- a/tests/shards/resize.rs
+++ b/tests/shards/resize.rs
@@ -1,4 +1,4 @@
-//! VMs whose size changes while work runs on them.
+//! VMs whose size changes while tasks run on them.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -17,7 +17,7 @@
     Duration::from_secs(n)
 }
 
-// Guards against a start by a size that the VM had as the task was bound, while the store was away.
+// Guards against starting a task that was bound during a store outage, before its VM shrank.
 #[test]
 fn a_task_bound_by_the_old_size_is_not_started() {
     let mut world = World::new(Sound, &[SHARD], 2, SIZE);
@@ -30,9 +30,10 @@
     check_sizes(&mut world);
 }
 
-// Guards against work that is ended since its VM has become smaller, and against a VM that isn't used when it has grown.
+// Guards against stopping tasks when their VM shrinks, and against leaving added capacity unused
+// when it grows.
 #[test]
-fn what_runs_goes_on_when_its_vm_shrinks() {
+fn running_tasks_continue_when_their_vm_shrinks() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
     world.submit(SHARD, chain(1, 1, 4, work(0, 2)));
     world.run_for(seconds(1));
@@ -48,9 +49,10 @@
     check_sizes(&mut world);
 }
 
-// Guards against leftover work, which takes memory alone, on a VM whose processors are all taken twice.
+// Guards against placing best-effort tasks, which reserve only memory, on a VM whose CPU is
+// overcommitted by half.
 #[test]
-fn a_vm_that_is_over_its_size_takes_nothing() {
+fn an_overcommitted_vm_accepts_no_tasks() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
     let memory = Resources::new(8000, 2000, 0);
     let mut job = chain(1, 1, 1, work(0, 2));
@@ -66,9 +68,10 @@
     assert_eq!(world.runs_on(0), 1);
 }
 
-// Guards against any other way to start work by an old size: sizes change by chance, with owners and the store.
+// Guards against any other start based on an outdated size: random resizes, owner changes and store
+// outages.
 #[test]
-fn no_start_goes_by_an_old_size() {
+fn no_start_uses_an_outdated_size() {
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut world = World::new(Sound, &[SHARD, "remera"], 3, SIZE);
