--- a/tests/shards/jobs.rs
+++ b/tests/shards/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs for tests.
+//! Builders of jobs for tests.
 
 use crate::world::{QUEUE, SERVICE};
 use rand::Rng;
@@ -10,7 +10,7 @@
 use waxwingstall::units::Resources;
 use waxwingstall_standin::runs::{Crash, Work};
 
-/// A job of steps that follow each other.
+/// A job whose steps run one after the other.
 pub fn chain(id: u64, steps: u16, tasks: u32, work: Work) -> Job {
     let step = |number: u16| Step {
         after: if number == 0 { Vec::new() } else { vec![number - 1] },
@@ -29,24 +29,24 @@
     }
 }
 
-/// Work of so many milliseconds on so many cores.
+/// A task that takes `millis` milliseconds on `cores` cores; 0 makes it long-running.
 pub fn work(millis: u64, cores: u32) -> Work {
     let size = Resources::new(cores * 1000, cores * 1000, 0);
     Work { time: Duration::from_millis(millis), size, ..Work::default() }
 }
 
-/// The same that crashes each VM after some of its work.
+/// Makes a task crash each VM it runs on after running for `after`.
 pub fn crashing(work: Work, after: Duration) -> Work {
     Work { crash: Some(Crash { after, only: None }), ..work }
 }
 
-/// A job by chance: one to three steps of one to six tasks.
+/// A random job with one to three steps of one to six tasks.
 pub fn random(id: u64, rng: &mut SmallRng) -> Job {
     let mut work = work(rng.random_range(100..3000), rng.random_range(1..4));
     if rng.random_range(0..10) == 0 {
         work.fails = rng.random_range(1..3);
     }
-    // Lasting tasks are few and small, so that the others always find room in the end.
+    // Long-running tasks are few and small, so that all others eventually find room.
     if id.is_multiple_of(9) {
         work.time = Duration::ZERO;
         work.size = Resources::new(1000, 1000, 0);
--- a/tests/shards/state.rs
+++ b/tests/shards/state.rs
@@ -1,4 +1,4 @@
-//! What a shard's log says of its state.
+//! The state that a shard reports in its log.
 
 use crate::faults::Sound;
 use crate::jobs::{chain, work};
@@ -10,11 +10,11 @@
 const SIZE: Resources = Resources::new(8000, 8000, 0);
 const SHARD: &str = "kacyiru";
 
-// Callers' short jobs wait, since lasting tasks have taken nearly every processor, and one more of
-// those waits, too. The operator reads both from the shard's line, and the processors that lasting
-// tasks reserve: the free ones alone look like room.
+// Short jobs and a further long-running task wait because long-running tasks hold nearly all CPU.
+// `shard-state` must report both counts and the CPU that long-running tasks reserve: free CPU alone
+// would suggest that there is room.
 #[test]
-fn a_shard_tells_what_waits_beside_lasting_tasks() {
+fn shard_state_reports_jobs_that_wait_beside_lasting_tasks() {
     let mut world = World::new(Sound, &[SHARD], 1, SIZE);
     world.submit(SHARD, chain(1, 1, 5, work(0, 2)));
     world.run_for(Duration::from_secs(1));
@@ -23,7 +23,7 @@
     let Some(Note::ShardState { lasting_cores, lasting_waiting, short_waiting, .. }) =
         world.states.get(SHARD)
     else {
-        panic!("the shard said nothing of its state");
+        panic!("the shard did not report its state");
     };
     assert_eq!((*lasting_cores, *lasting_waiting, *short_waiting), (10, 1, 3));
 }
