--- a/tests/shards/witness.rs
+++ b/tests/shards/witness.rs
@@ -1,4 +1,4 @@
-//! Checks of what the VMs saw.
+//! Invariants checked against the events that the VMs recorded.
 
 use crate::faults::Faults;
 use crate::world::World;
@@ -9,7 +9,7 @@
 use waxwingstall::vm::EndKind;
 use waxwingstall_standin::runs::{RunTable, Seen, Work};
 
-/// One run, as the VM that ran it saw it.
+/// One run, as recorded by its VM.
 #[derive(Clone, Debug)]
 struct Run {
     vm: String,
@@ -17,13 +17,13 @@
     run: RunNumber,
     started: Duration,
     ended: Option<(Duration, EndKind)>,
-    /// When it was taken note of; not if the VM's time had passed in between: its work was given up
-    /// for gone then, and rightly started again.
+    /// When the VM was told to forget the run. Not set if the VM's deadline expired between the
+    /// end and that time: the run then counts as lost, and starting the task again is correct.
     forgotten: Option<Duration>,
     size: Resources,
 }
 
-/// Fails with the first promise that was broken.
+/// Panics at the first violated invariant.
 pub fn check<F: Faults>(world: &mut World<F>, jobs: &IndexMap<JobId, Job>, size: Resources) {
     let now = world.now;
     let mut runs = Vec::new();
@@ -36,9 +36,9 @@
     }
     runs.sort_by_key(|run| run.started);
     check_overlap(&runs, jobs);
-    check_once(&runs, jobs);
+    check_no_restart(&runs, jobs);
     check_order(&runs, jobs);
-    check_room(&runs, size);
+    check_capacity(&runs, size);
 }
 
 fn runs_of(table: &RunTable) -> Vec<Run> {
@@ -73,14 +73,14 @@
     runs
 }
 
-fn single(task: &TaskRef, jobs: &IndexMap<JobId, Job>) -> bool {
+fn is_single_copy(task: &TaskRef, jobs: &IndexMap<JobId, Job>) -> bool {
     jobs[&task.job].steps[usize::from(task.step)].copies == Copies::One
 }
 
-/// No task runs in two places at once.
+/// No task has two runs at the same time.
 fn check_overlap(runs: &[Run], jobs: &IndexMap<JobId, Job>) {
     let mut by_task: IndexMap<TaskRef, Vec<&Run>> = IndexMap::new();
-    for run in runs.iter().filter(|run| single(&run.task, jobs)) {
+    for run in runs.iter().filter(|run| is_single_copy(&run.task, jobs)) {
         by_task.entry(run.task).or_default().push(run);
     }
     for (task, runs) in by_task {
@@ -96,18 +96,18 @@
     }
 }
 
-/// No task starts again once its success was taken note of.
-fn check_once(runs: &[Run], jobs: &IndexMap<JobId, Job>) {
+/// No task starts again after its success was acknowledged.
+fn check_no_restart(runs: &[Run], jobs: &IndexMap<JobId, Job>) {
     for done in runs.iter().filter(|run| matches!(run.ended, Some((_, EndKind::Succeeded)))) {
-        let Some(noted) = done.forgotten else { continue };
-        let again = runs
-            .iter()
-            .find(|run| run.task == done.task && run.started > noted && single(&run.task, jobs));
+        let Some(acknowledged) = done.forgotten else { continue };
+        let again = runs.iter().find(|run| {
+            run.task == done.task && run.started > acknowledged && is_single_copy(&run.task, jobs)
+        });
         assert!(again.is_none(), "{} starts again: {done:?}, then {again:?}", done.task);
     }
 }
 
-/// No task starts before the steps that it waits for have succeeded.
+/// No task starts before all preceding steps have succeeded.
 fn check_order(runs: &[Run], jobs: &IndexMap<JobId, Job>) {
     for run in runs {
         let job = &jobs[&run.task.job];
@@ -126,10 +126,10 @@
     }
 }
 
-/// Time from a change of a VM's size to when work may not be started by the old one any more.
-const SIZE_KNOWN: Duration = Duration::from_millis(3000 + 1500);
+/// Time after a change of a VM's size from which starts must respect the new size.
+const SIZE_PROPAGATION: Duration = Duration::from_millis(3000 + 1500);
 
-/// No start brings a VM over the size that it has, or had until a moment ago.
+/// No start exceeds the VM's current size, or a size it had until recently.
 pub fn check_sizes<F: Faults>(world: &mut World<F>) {
     let now = world.now;
     let mut starts = 0;
@@ -139,15 +139,15 @@
         starts += runs.len();
         for start in &runs {
             let at = start.started;
-            let taken = taken_at(&runs, start);
-            let told = |(index, _): &(usize, &(Duration, Resources))| {
+            let used = usage_at(&runs, start);
+            let in_force = |(index, _): &(usize, &(Duration, Resources))| {
                 let until = vm.sizes.get(index + 1).map_or(Duration::MAX, |(next, _)| *next);
-                until.saturating_add(SIZE_KNOWN) > at && vm.sizes[*index].0 <= at
+                until.saturating_add(SIZE_PROPAGATION) > at && vm.sizes[*index].0 <= at
             };
-            let mut sizes = vm.sizes.iter().enumerate().filter(told).map(|(_, (_, size))| size);
+            let mut sizes = vm.sizes.iter().enumerate().filter(in_force).map(|(_, (_, size))| size);
             assert!(
-                sizes.any(|size| taken.fits_in(size)),
-                "{} carries {taken} at {at:?}, of {:?}",
+                sizes.any(|size| used.fits_in(size)),
+                "{} carries {used} at {at:?}, of {:?}",
                 start.vm,
                 vm.sizes
             );
@@ -156,8 +156,8 @@
     assert!(starts > 0, "nothing was started");
 }
 
-/// Room that is taken on a VM as a run starts there, with it.
-fn taken_at(runs: &[Run], start: &Run) -> Resources {
+/// Resources used on a VM when a run starts there, including that run.
+fn usage_at(runs: &[Run], start: &Run) -> Resources {
     let at = start.started;
     let there = runs.iter().filter(|run| {
         run.vm == start.vm && run.started <= at && run.ended.is_none_or(|(end, _)| end > at)
@@ -165,10 +165,10 @@
     there.fold(Resources::ZERO, |sum, run| sum.saturating_add(&run.size))
 }
 
-/// No VM is overfilled.
-fn check_room(runs: &[Run], size: Resources) {
+/// No VM is overcommitted.
+fn check_capacity(runs: &[Run], size: Resources) {
     for start in runs {
-        let taken = taken_at(runs, start);
-        assert!(taken.fits_in(&size), "{} carries {taken} at {:?}", start.vm, start.started);
+        let used = usage_at(runs, start);
+        assert!(used.fits_in(&size), "{} carries {used} at {:?}", start.vm, start.started);
     }
 }
