--- a/tests/shards/crashes.rs
+++ b/tests/shards/crashes.rs
@@ -1,8 +1,8 @@
 //! Tasks that crash their VMs, and other tasks on those VMs.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, crashing, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 
 /// Number of starts of a job's tasks so far, on all VMs.
 fn starts(world: &World<Sound>, job: &Job) -> usize {
-    let tables = world.past.iter().chain(world.vms.iter().map(|vm| &vm.table));
+    let tables = world.ended_tables.iter().chain(world.vms.iter().map(|vm| &vm.table));
     let started = |seen: &&Seen| matches!(seen, Seen::Started { task, .. } if task.job == job.id);
     tables.map(|table| table.seen.iter().filter(started).count()).sum()
 }
@@ -194,7 +194,7 @@
         world.run_for(seconds(1));
         let there = (0..4).find(|vm| world.runs_on(*vm) == 1).expect("it runs");
         if round % 2 == 0 {
-            world.cut_vm(there, seconds(12));
+            world.disconnect_vm(there, seconds(12));
         } else {
             world.leave_vm(there, millis(600));
             world.run_for(millis(600));
--- a/tests/shards/faults.rs
+++ b/tests/shards/faults.rs
@@ -1,75 +1,75 @@
-//! What becomes of orders and messages.
+//! Fault injection for commands and messages.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 use waxwingstall::shard::Action;
 
-/// What becomes of one order or message.
+/// Outcome of one command or message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Done,
+pub enum Outcome {
+    Delivered,
     Lost,
-    /// It takes effect, and its answer is lost.
+    /// It takes effect, but the response is lost.
     AnswerLost,
-    /// Nobody gets an answer, and it takes effect later.
+    /// The sender gets no response, and it takes effect after this delay.
     Late(Duration),
 }
 
-/// Decides what becomes of orders and messages.
+/// Decides the outcome of commands and messages.
 pub trait Faults {
-    /// An order to a VM.
-    fn meet_order(&mut self, now: Duration, action: &Action) -> Fate;
+    /// Outcome of a command to a VM.
+    fn command_outcome(&mut self, now: Duration, action: &Action) -> Outcome;
 
-    /// A message between shards.
-    fn meet_message(&mut self, now: Duration) -> Fate;
+    /// Outcome of a message between shards, or of a permit request.
+    fn message_outcome(&mut self, now: Duration) -> Outcome;
 }
 
-/// None.
+/// No faults.
 pub struct Sound;
 
 impl Faults for Sound {
-    fn meet_order(&mut self, _: Duration, _: &Action) -> Fate {
-        Fate::Done
+    fn command_outcome(&mut self, _: Duration, _: &Action) -> Outcome {
+        Outcome::Delivered
     }
 
-    fn meet_message(&mut self, _: Duration) -> Fate {
-        Fate::Done
+    fn message_outcome(&mut self, _: Duration) -> Outcome {
+        Outcome::Delivered
     }
 }
 
-/// By chance, from a seed, until a time.
-pub struct Chance {
+/// Random faults from a seed, up to a given time.
+pub struct RandomFaults {
     rng: SmallRng,
     until: Duration,
-    /// Share of orders and messages that are met, of 1000.
+    /// Fraction of commands and messages with a fault, in thousandths.
     permille: u32,
 }
 
-impl Chance {
-    /// Faults of so many in a thousand until `until`.
+impl RandomFaults {
+    /// Injects faults at a rate of `permille` until `until`.
     pub fn new(seed: u64, permille: u32, until: Duration) -> Self {
         Self { rng: SmallRng::seed_from_u64(seed), until, permille }
     }
 
-    fn meet(&mut self, now: Duration) -> Fate {
+    fn draw_outcome(&mut self, now: Duration) -> Outcome {
         if now >= self.until || self.rng.random_range(0..1000) >= self.permille {
-            return Fate::Done;
+            return Outcome::Delivered;
         }
         match self.rng.random_range(0..3) {
-            0 => Fate::Lost,
-            1 => Fate::AnswerLost,
-            _ => Fate::Late(Duration::from_millis(self.rng.random_range(50..6000))),
+            0 => Outcome::Lost,
+            1 => Outcome::AnswerLost,
+            _ => Outcome::Late(Duration::from_millis(self.rng.random_range(50..6000))),
         }
     }
 }
 
-impl Faults for Chance {
-    fn meet_order(&mut self, now: Duration, _: &Action) -> Fate {
-        self.meet(now)
+impl Faults for RandomFaults {
+    fn command_outcome(&mut self, now: Duration, _: &Action) -> Outcome {
+        self.draw_outcome(now)
     }
 
-    fn meet_message(&mut self, now: Duration) -> Fate {
-        self.meet(now)
+    fn message_outcome(&mut self, now: Duration) -> Outcome {
+        self.draw_outcome(now)
     }
 }
--- a/tests/shards/hold.rs
+++ b/tests/shards/hold.rs
@@ -1,8 +1,8 @@
 //! Long-running tasks that need more resources on one VM than competing short tasks do.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
--- a/tests/shards/witness.rs
+++ b/tests/shards/invariants.rs
@@ -27,7 +27,7 @@
 pub fn check<F: Faults>(world: &mut World<F>, jobs: &IndexMap<JobId, Job>, size: Resources) {
     let now = world.now;
     let mut runs = Vec::new();
-    for table in &world.past {
+    for table in &world.ended_tables {
         runs.extend(runs_of(table));
     }
     for vm in &mut world.vms {
--- a/tests/shards/leaving.rs
+++ b/tests/shards/leaving.rs
@@ -1,8 +1,8 @@
 //! Long-running tasks that must be moved when their VMs leave.
 
-use crate::faults::{Chance, Faults, Sound};
+use crate::faults::{Faults, RandomFaults, Sound};
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::{VmNode, World};
 use indexmap::{IndexMap, IndexSet};
 use rand::rngs::SmallRng;
@@ -144,7 +144,8 @@
     for seed in 0..12 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let until = Duration::from_secs(5) + FILL_TIME + FAULT_PERIOD;
-        let mut filled = FilledShard::new(Chance::new(seed, 20, until), 16, 20..160, &mut rng);
+        let mut filled =
+            FilledShard::new(RandomFaults::new(seed, 20, until), 16, 20..160, &mut rng);
         filled.leave();
         while filled.world.now < until {
             filled.world.run_for(Duration::from_millis(rng.random_range(500..2500)));
@@ -153,7 +154,7 @@
             match rng.random_range(0..10) {
                 0..2 => filled.world.replace_owner(SHARD),
                 2..4 => filled.world.pause_owner(SHARD, time),
-                4 => filled.world.cut_vm(vm, time),
+                4 => filled.world.disconnect_vm(vm, time),
                 5 => filled.world.crash_vm(vm, time),
                 _ => {}
             }
--- a/tests/shards/lists.rs
+++ b/tests/shards/lists.rs
@@ -1,8 +1,8 @@
 //! Behaviour of a shard whose list of VMs is out of date.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 fn nothing_is_started_by_a_list_of_vms_that_has_become_old() {
     let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
     world.run_for(seconds(1));
-    world.stop_list(seconds(6));
+    world.block_vm_list(seconds(6));
     world.run_for(Duration::from_millis(200));
     world.leave_vm(0, seconds(8));
     world.run_for(LAST_START);
@@ -74,7 +74,7 @@
 fn a_life_that_an_old_list_lacks_is_not_taken_for_over() {
     let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
     world.run_for(seconds(1));
-    world.read_list_early("kacyiru");
+    world.keep_outdated_list("kacyiru");
     world.crash_vm(0, Duration::from_millis(300));
     world.run_for(seconds(1));
     let job = chain(1, 1, 4, work(4000, 2));
@@ -98,9 +98,9 @@
     world.run_for(Duration::from_millis(840));
     let asked = world.now;
     world.run_for(Duration::from_millis(20));
-    world.stop_list(seconds(2));
+    world.block_vm_list(seconds(2));
     world.replace_owner("kacyiru");
-    world.hear_list("kacyiru", asked);
+    world.send_vm_list("kacyiru", asked);
     let next = chain(2, 1, 2, work(700, 2));
     world.submit("kacyiru", next);
     world.run_for(Duration::from_millis(300));
--- a/tests/shards/loans.rs
+++ b/tests/shards/loans.rs
@@ -1,8 +1,8 @@
 //! Tasks lent to another shard.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     world.replace_owner("remera");
     world.run_for(seconds(1));
     // The old owner can't learn from the VM, which knows the new owner, that it was replaced.
-    world.cut_vm(0, seconds(4));
+    world.disconnect_vm(0, seconds(4));
     world.run_for(seconds(10));
     check(&mut world, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
 }
--- a/tests/shards/main.rs
+++ b/tests/shards/main.rs
@@ -1,8 +1,9 @@
-//! Shards on VMs and a store that fail.
+//! Simulation tests of shards with failing VMs, network and store.
 
 mod crashes;
 mod faults;
 mod hold;
+mod invariants;
 mod jobs;
 mod leaving;
 mod limits;
@@ -16,5 +17,4 @@
 mod state;
 mod takeover;
 mod vacate;
-mod witness;
 mod world;
--- a/tests/shards/order.rs
+++ b/tests/shards/order.rs
@@ -1,8 +1,8 @@
 //! Order in which waiting jobs get freed capacity.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
--- a/tests/shards/permits.rs
+++ b/tests/shards/permits.rs
@@ -1,8 +1,8 @@
 //! Steps that may run only on VMs permitted by an external service.
 
-use crate::faults::{Chance, Faults, Sound};
+use crate::faults::{Faults, RandomFaults, Sound};
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -91,7 +91,7 @@
 // once.
 #[test]
 fn a_lost_permit_request_is_retried() {
-    let faults = Chance::new(7, 300, seconds(15));
+    let faults = RandomFaults::new(7, 300, seconds(15));
     let mut world = world(faults, 60, 6);
     let jobs: Vec<Job> = (1..=6).map(|id| chain(id, 2, 3, work(300, 2))).collect();
     submit_all(&mut world, &jobs);
--- a/tests/shards/random.rs
+++ b/tests/shards/random.rs
@@ -2,9 +2,9 @@
 //!
 //! Set `SHARD_SEEDS=0..2000` to run other seeds than the default ones.
 
-use crate::faults::Chance;
+use crate::faults::RandomFaults;
+use crate::invariants::check;
 use crate::jobs::random;
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use rand::rngs::SmallRng;
@@ -31,7 +31,7 @@
 const PERMIT_VALID: Duration = Duration::from_secs(3);
 
 struct Simulation {
-    world: World<Chance>,
+    world: World<RandomFaults>,
     jobs: IndexMap<JobId, Job>,
     home: IndexMap<JobId, &'static str>,
     cancelled: Vec<JobId>,
@@ -42,7 +42,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let permille = rng.random_range(0..120);
     let until = Duration::from_secs(5) + FAULT_PERIOD;
-    let mut world = World::new(Chance::new(seed, permille, until), &SHARDS, VMS, SIZE);
+    let mut world = World::new(RandomFaults::new(seed, permille, until), &SHARDS, VMS, SIZE);
     if seed.is_multiple_of(3) {
         world = world.with_permits(PermitTable::new(PERMITTED, PERMIT_VALID));
     }
@@ -80,7 +80,7 @@
             }
             78..82 => {
                 let time = Duration::from_millis(rng.random_range(300..9000));
-                sim.world.cut_vm(rng.random_range(0..2 * VMS), time);
+                sim.world.disconnect_vm(rng.random_range(0..2 * VMS), time);
             }
             82..84 => {
                 let time = Duration::from_millis(rng.random_range(300..4000));
--- a/tests/shards/resize.rs
+++ b/tests/shards/resize.rs
@@ -1,8 +1,8 @@
 //! VMs whose size changes while tasks run on them.
 
 use crate::faults::Sound;
+use crate::invariants::check_sizes;
 use crate::jobs::{chain, work};
-use crate::witness::check_sizes;
 use crate::world::World;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/tests/shards/silence.rs
+++ b/tests/shards/silence.rs
@@ -1,8 +1,8 @@
 //! Tasks on unresponsive VMs while the shard's owner is replaced.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 #[test]
 fn a_task_of_a_dead_vm_restarts_in_time_after_its_owner_freezes() {
     let (mut world, job, there) = world_with_task();
-    world.cut_vm(there, seconds(120));
+    world.disconnect_vm(there, seconds(120));
     world.run_for(seconds(5));
     world.pause_owner("kacyiru", seconds(60));
     world.run_for(seconds(4));
@@ -50,7 +50,7 @@
 #[test]
 fn a_published_lapse_survives_a_second_owner_change() {
     let (mut world, job, there) = world_with_task();
-    world.cut_vm(there, seconds(120));
+    world.disconnect_vm(there, seconds(120));
     world.run_for(seconds(4));
     world.pause_owner("kacyiru", seconds(60));
     world.run_for(seconds(1));
@@ -67,11 +67,11 @@
 #[test]
 fn what_was_told_before_a_vm_answered_again_counts_no_more() {
     let (mut world, job, there) = world_with_task();
-    world.cut_vm(there, seconds(5));
+    world.disconnect_vm(there, seconds(5));
     world.run_for(Duration::from_millis(4900));
-    world.lose_news();
+    world.lose_published_lapses();
     world.run_for(seconds(2));
-    world.cut_vm(there, seconds(60));
+    world.disconnect_vm(there, seconds(60));
     world.pause_owner("kacyiru", seconds(60));
     world.run_for(seconds(3));
     assert_eq!(world.runs_on(there), 1);
@@ -85,7 +85,7 @@
 #[test]
 fn a_vm_that_answers_again_while_the_store_is_away_keeps_its_work() {
     let (mut world, job, there) = world_with_task();
-    world.cut_vm(there, seconds(5));
+    world.disconnect_vm(there, seconds(5));
     world.run_for(Duration::from_millis(4500));
     world.stop_store(seconds(3));
     world.run_for(seconds(20));
--- a/tests/shards/takeover.rs
+++ b/tests/shards/takeover.rs
@@ -1,8 +1,8 @@
 //! Recovery of a shard's state by its next owner.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -84,7 +84,7 @@
     world.submit("kacyiru", job.clone());
     world.run_for(seconds(1));
     let index = (0..2).find(|i| !world.vms[*i].table.seen.is_empty()).expect("it started");
-    world.cut_vm(index, seconds(60));
+    world.disconnect_vm(index, seconds(60));
     world.run_for(seconds(4));
     assert!(world.vms[1 - index].table.seen.is_empty(), "started elsewhere too soon");
     world.run_for(seconds(8));
@@ -139,7 +139,7 @@
     world.submit("kacyiru", lent.clone());
     world.run_for(seconds(4));
     assert!(!world.vms[1].table.seen.is_empty(), "the task was lent");
-    world.cut_vm(1, Duration::from_millis(700));
+    world.disconnect_vm(1, Duration::from_millis(700));
     world.cancel("kacyiru", lent.id);
     world.run_for(Duration::from_millis(400));
     world.replace_owner("remera");
@@ -177,7 +177,7 @@
     world.run_for(seconds(1));
     let before = world.vms[0].entry.clone();
     world.crash_vm(0, Duration::from_millis(500));
-    world.announced_beside.push(before);
+    world.extra_entries.push(before);
     world.run_for(seconds(2));
     world.submit("kacyiru", job.clone());
     world.run_for(seconds(6));
@@ -236,7 +236,7 @@
 fn a_new_owner_places_nothing_by_an_old_list_of_vms() {
     let mut world = world(2);
     world.run_for(seconds(1));
-    world.read_list_early("kacyiru");
+    world.keep_outdated_list("kacyiru");
     world.leave_vm(0, seconds(4));
     world.run_for(seconds(1));
     let job = chain(1, 1, 8, work(700, 2));
--- a/tests/shards/vacate.rs
+++ b/tests/shards/vacate.rs
@@ -1,8 +1,8 @@
 //! VMs drained because their machines go down for maintenance.
 
 use crate::faults::Sound;
+use crate::invariants::check;
 use crate::jobs::{chain, work};
-use crate::witness::check;
 use crate::world::World;
 use indexmap::IndexMap;
 use std::time::Duration;
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -1,9 +1,9 @@
-//! Shards, VMs and the store together, in a time that the test moves.
+//! Simulation of shards, VMs and the store on a clock controlled by the test.
 //!
-//! Owners are the product's own shards; VMs and the store are the stand-ins' tables. Messages
-//! between them take time, and faults decide what becomes of each.
+//! Owners run the production shard code; VMs and the store are simulated by tables of the
+//! `standin` crate. Messages between them take time, and a fault model decides the outcome of each.
 
-use crate::faults::{Fate, Faults};
+use crate::faults::{Faults, Outcome};
 use indexmap::IndexMap;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,94 +26,86 @@
 use waxwingstall_standin::runs::{RunSettings, RunTable};
 use waxwingstall_standin::txns::TxnTable;
 
-/// The only queue and service.
+/// The only queue and the only service.
 pub const QUEUE: &str = "builds";
 pub const SERVICE: &str = "shop";
 
-/// Time from one end to the other.
-const HOP: Duration = Duration::from_millis(1);
+/// One-way network delay.
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 const TICK: Duration = Duration::from_millis(20);
-const FLEET_EVERY: Duration = Duration::from_millis(400);
-/// Time after which a call counts as unanswered.
+const FLEET_INTERVAL: Duration = Duration::from_millis(400);
+/// Time after which a call fails without a response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(350);
-/// Between two announcements of a VM.
-pub const BEAT: Duration = Duration::from_millis(1500);
-/// Time that a VM is down after something there crashed it.
-const CRASH_DOWN: Duration = Duration::from_secs(3);
-/// Times of the service that permits steps.
+/// Time between two announcements of a VM.
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1500);
+/// Time that a VM is down after a task crashed it.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(3);
+/// Response times and permit lifetime of the permit service.
 const PERMIT_TIMES: PermitTimes = PermitTimes {
     question: Duration::from_millis(20),
     each_vm: Duration::from_millis(2),
     valid: Duration::from_secs(3),
 };
-/// Time of day at the world's origin.
+/// Wall-clock time at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_700_000_000);
 
-/// A VM in one of its lives.
+/// The current instance of a VM.
 pub struct VmNode {
     pub table: RunTable,
     pub entry: VmEntry,
     pub shard: Arc<str>,
-    /// Nobody reaches it until then; it runs on.
-    pub cut_until: Duration,
+    /// Unreachable until then, but still running.
+    pub unreachable_until: Duration,
     pub down_until: Option<Duration>,
-    /// While it is down: its port refuses connections.
+    /// Whether its port refuses connections while it is down.
     refuses: bool,
-    /// Its sizes, and since when it has had each; the last is announced a beat later.
+    /// Each size and since when it applies; a new size is announced one interval later.
     pub sizes: Vec<(Duration, Resources)>,
-    lives: u32,
+    restarts: u32,
 }
 
-/// An owner of a shard, present or past.
+/// A current or former owner of a shard.
 struct Owner {
     number: u64,
     name: Arc<str>,
     shard: Shard,
     head: Head,
     rev: Rev,
-    /// It stands still until then.
+    /// Paused until then.
     paused_until: Duration,
-    /// It owns the shard as far as it knows.
+    /// Whether it lost the shard without having learned of it.
     unaware: bool,
 }
 
 enum Delivery {
-    // To whom.
-    Owner {
-        number: u64,
-        event: Event,
-    },
-    Shard {
-        shard: Arc<str>,
-        event: Event,
-    },
-    /// An order that comes late.
-    Vm {
-        number: u64,
-        action: Action,
-    },
+    /// An event for a particular owner.
+    Owner { number: u64, event: Event },
+    /// An event for whichever owner the shard has at delivery.
+    Shard { shard: Arc<str>, event: Event },
+    /// A delayed command to a VM.
+    Vm { number: u64, action: Action },
 }
 
-/// Everything.
+/// The whole simulated system.
 pub struct World<F> {
     pub now: Duration,
     pub faults: F,
     pub kv: TxnTable,
-    /// Set where the queue's steps need permits.
+    /// Set if the queue's steps require permits.
     pub permits: Option<PermitTable>,
     pub vms: Vec<VmNode>,
-    /// Lives of VMs that are over.
-    pub past: Vec<RunTable>,
-    /// Crashes of VMs so far.
+    /// Tables of ended VM instances.
+    pub ended_tables: Vec<RunTable>,
+    /// Number of VM crashes so far.
     pub crashes: usize,
-    /// Jobs whose tasks end together when one of them crashes its VM.
+    /// Jobs whose tasks all end when one of them crashes its VM.
     pub groups: Vec<JobId>,
     pub answers: IndexMap<Ticket, Answer>,
-    /// The store takes nothing until then.
+    /// The store accepts no commits until then.
     pub store_down_until: Duration,
-    /// Announced beside the VMs that are there.
-    pub announced_beside: Vec<VmEntry>,
-    /// What each shard said of its state last.
+    /// Entries listed in addition to the running VMs.
+    pub extra_entries: Vec<VmEntry>,
+    /// Latest state reported by each shard.
     pub states: IndexMap<Arc<str>, Note>,
     owners: Vec<Owner>,
     next_owner: u64,
@@ -122,20 +114,20 @@
     next_ticket: u64,
     next_fleet: Duration,
     store_back: Duration,
-    /// Nobody can read the list of VMs until then, though the store takes commits.
+    /// The list of VMs can't be read until then, although the store accepts commits.
     list_unread_until: Duration,
-    /// What the next owner knows of the VMs, if that is old.
-    old_list: Option<Vec<VmEntry>>,
+    /// Outdated list of VMs that the next owner starts with.
+    outdated_list: Option<Vec<VmEntry>>,
     queues: Arc<Queues>,
-    /// What owners told last of silent VMs, and when.
-    told: IndexMap<Arc<str>, (Duration, Vec<ToldLapse>)>,
-    /// Owners' news are lost from then on.
-    news_lost_from: Duration,
+    /// Latest deadlines of silent VMs published by the owners, and when.
+    published_lapses: IndexMap<Arc<str>, (Duration, Vec<ToldLapse>)>,
+    /// Published deadlines are lost from then on.
+    published_lapses_lost_from: Duration,
     traced: bool,
 }
 
 impl<F: Faults> World<F> {
-    /// A world of these shards with so many VMs each.
+    /// Creates a system of these shards with `vms` VMs each.
     pub fn new(faults: F, shards: &[&str], vms: usize, size: Resources) -> Self {
         let mut world = Self {
             now: Duration::from_secs(5),
@@ -143,12 +135,12 @@
             kv: TxnTable::new(),
             permits: None,
             vms: Vec::new(),
-            past: Vec::new(),
+            ended_tables: Vec::new(),
             crashes: 0,
             groups: Vec::new(),
             answers: IndexMap::new(),
             store_down_until: Duration::ZERO,
-            announced_beside: Vec::new(),
+            extra_entries: Vec::new(),
             states: IndexMap::new(),
             owners: Vec::new(),
             next_owner: 0,
@@ -158,9 +150,9 @@
             next_fleet: Duration::ZERO,
             store_back: Duration::ZERO,
             list_unread_until: Duration::ZERO,
-            old_list: None,
-            told: IndexMap::new(),
-            news_lost_from: Duration::MAX,
+            outdated_list: None,
+            published_lapses: IndexMap::new(),
+            published_lapses_lost_from: Duration::MAX,
             queues: Arc::new(queues()),
             traced: std::env::var_os("SHARD_TRACE").is_some(),
         };
@@ -173,7 +165,7 @@
         world
     }
 
-    /// The queue's steps need permits from now on.
+    /// Makes the queue's steps require permits.
     pub fn with_permits(mut self, table: PermitTable) -> Self {
         let mut queues = (*self.queues).clone();
         queues.version += 1;
@@ -189,7 +181,7 @@
         self
     }
 
-    /// Hands a job in; the ticket names the answer.
+    /// Submits a job; the ticket identifies the reply.
     pub fn submit(&mut self, shard: &str, job: Job) -> Ticket {
         let ticket = self.ticket();
         let job = Arc::new(Job { accepted: EPOCH + self.now, ..job });
@@ -198,14 +190,14 @@
         ticket
     }
 
-    /// Gives a job up.
+    /// Cancels a job.
     pub fn cancel(&mut self, shard: &str, job: JobId) -> Ticket {
         let ticket = self.ticket();
         self.call(shard, Event::Cancel { ticket, job });
         ticket
     }
 
-    /// Asks for a job's state, and lets time pass until the answer is there.
+    /// Queries a job's state, and advances time until the reply has arrived.
     pub fn show(&mut self, shard: &str, job: JobId) -> Option<Answer> {
         let ticket = self.ticket();
         self.call(shard, Event::Show { ticket, job });
@@ -213,7 +205,7 @@
         self.answers.get(&ticket).cloned()
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -231,47 +223,47 @@
         }
     }
 
-    /// The next owner of a shard will have read the list of its VMs at this moment.
-    pub fn read_list_early(&mut self, shard: &str) {
-        self.old_list = Some(self.fleet_of(shard));
+    /// Makes the next owner of a shard start with the list of VMs as it is now.
+    pub fn keep_outdated_list(&mut self, shard: &str) {
+        self.outdated_list = Some(self.fleet_of(shard));
     }
 
-    /// Nobody can read the list of VMs for a while; everything else goes on.
-    pub fn stop_list(&mut self, time: Duration) {
+    /// Makes the list of VMs unreadable for a while; everything else keeps working.
+    pub fn block_vm_list(&mut self, time: Duration) {
         self.list_unread_until = self.now + time;
     }
 
-    /// The shard's owner is told of the VMs, by a list that was asked for then.
-    pub fn hear_list(&mut self, shard: &str, asked: Duration) {
+    /// Sends the shard's owner the list of VMs, as requested at `asked`.
+    pub fn send_vm_list(&mut self, shard: &str, asked: Duration) {
         let vms = self.fleet_of(shard);
         let event = Event::Fleet { vms, announcements: Announcements::Complete, at: Some(asked) };
         self.call(shard, event);
     }
 
-    /// Nobody hears of what owners tell from now on.
-    pub fn lose_news(&mut self) {
-        self.news_lost_from = self.now;
+    /// Loses all deadlines of silent VMs that owners publish from now on.
+    pub fn lose_published_lapses(&mut self) {
+        self.published_lapses_lost_from = self.now;
     }
 
-    /// The shard's owner ends without a word, and another takes over.
+    /// Kills the shard's owner, and lets another one take over.
     pub fn replace_owner(&mut self, shard: &str) {
         self.owners.retain(|owner| &*owner.name != shard);
         self.claim(shard, Previous::Ended);
     }
 
-    /// The shard's owner ends without a word, and another takes over that hasn't read the queues yet.
+    /// Kills the shard's owner, and lets another one take over that has not read the queues yet.
     pub fn replace_owner_unconfigured(&mut self, shard: &str) {
         let known = std::mem::take(&mut self.queues);
         self.replace_owner(shard);
         self.queues = known;
     }
 
-    /// The shard's owner reads the queues.
+    /// Sends the queue configuration to the shard's owner.
     pub fn configure(&mut self, shard: &str) {
         self.call(shard, Event::Queues(self.queues.clone()));
     }
 
-    /// The shard's owner gives it away as planned.
+    /// Hands the shard over to a new owner, as at a planned shutdown.
     pub fn hand_over(&mut self, shard: &str) {
         let owner = self.owners.iter().rev().find(|owner| &*owner.name == shard);
         let lapses = owner.expect("the shard has an owner").shard.lapses();
@@ -279,7 +271,7 @@
         self.claim_with(shard, Previous::Ended, lapses);
     }
 
-    /// The shard's owner stands still for a while, and another takes over meanwhile.
+    /// Pauses the shard's owner for a while, and lets another one take over meanwhile.
     pub fn pause_owner(&mut self, shard: &str, time: Duration) {
         let until = self.now + time;
         for owner in self.owners.iter_mut().filter(|owner| &*owner.name == shard) {
@@ -288,13 +280,13 @@
         self.claim(shard, Previous::Unsure);
     }
 
-    /// Tasks that run on a VM.
+    /// Number of tasks running on a VM.
     pub fn runs_on(&mut self, index: usize) -> usize {
         let now = self.now;
         self.vms[index].table.runs(now).len()
     }
 
-    /// A VM dies and comes back empty after a while.
+    /// Crashes a VM, which restarts without tasks after `down`.
     pub fn crash_vm(&mut self, index: usize, down: Duration) {
         let now = self.now;
         let vm = &mut self.vms[index];
@@ -306,55 +298,55 @@
         self.crashes += 1;
     }
 
-    /// Ends the other members of a group.
-    fn break_off(&mut self, step: StepRef) {
+    /// Ends the remaining members of a group.
+    fn end_group(&mut self, step: StepRef) {
         if self.groups.contains(&step.job) {
             let now = self.now;
             self.vms.iter_mut().for_each(|vm| vm.table.break_off(now, step));
         }
     }
 
-    /// VMs that are crashed by what runs there.
+    /// Crashes the VMs on which a task is due to crash its VM.
     fn crash_vms(&mut self) {
         for index in 0..self.vms.len() {
             if self.vms[index].table.is_crashing(self.now) {
                 let there = self.vms[index].table.runs(self.now);
-                self.crash_vm(index, CRASH_DOWN);
+                self.crash_vm(index, CRASH_DOWNTIME);
                 self.vms[index].refuses = true;
-                there.iter().for_each(|(task, ..)| self.break_off(task.of_step()));
+                there.iter().for_each(|(task, ..)| self.end_group(task.of_step()));
             }
         }
     }
 
-    /// A VM can't be reached for a while, and runs on.
-    pub fn cut_vm(&mut self, index: usize, time: Duration) {
-        self.vms[index].cut_until = self.now + time;
+    /// Makes a VM unreachable for a while; its tasks keep running.
+    pub fn disconnect_vm(&mut self, index: usize, time: Duration) {
+        self.vms[index].unreachable_until = self.now + time;
     }
 
-    /// A VM announces that it leaves after this time.
+    /// Makes a VM announce that it leaves after `left`.
     pub fn leave_vm(&mut self, index: usize, left: Duration) {
         self.vms[index].entry.state = VmState::Leaving { left: Some(left) };
     }
 
-    /// A VM has another size from now on, and announces it a beat later.
+    /// Changes a VM's size; the platform lists the new size one announcement interval later.
     pub fn resize_vm(&mut self, index: usize, size: Resources) {
         self.vms[index].sizes.push((self.now, size));
     }
 
-    /// A VM is to be empty from now on.
+    /// Orders a shard to drain a VM.
     pub fn vacate(&mut self, shard: &str, index: usize, patience: Duration) {
         let vms = vec![self.vms[index].entry.id.clone()];
         let order = VacateOrder { vms, later: Vec::new(), patience };
         self.call(shard, Event::Vacate(order));
     }
 
-    /// The VMs that a shard says are empty.
+    /// The VMs that a shard reports as drained.
     pub fn vacated(&self, shard: &str) -> Vec<VmId> {
         let owner = self.owners.iter().rev().find(|owner| &*owner.name == shard);
         owner.expect("the shard has an owner").shard.vacated()
     }
 
-    /// The store takes nothing for a while.
+    /// Makes the store unavailable for a while.
     pub fn stop_store(&mut self, time: Duration) {
         self.store_down_until = self.now + time;
     }
@@ -376,11 +368,11 @@
             table: RunTable::new(id, run_settings()),
             entry,
             shard: Arc::from(shard),
-            cut_until: Duration::ZERO,
+            unreachable_until: Duration::ZERO,
             down_until: None,
             refuses: false,
             sizes: vec![(Duration::ZERO, size)],
-            lives: 0,
+            restarts: 0,
         });
     }
 
@@ -391,15 +383,15 @@
 
     fn call(&mut self, shard: &str, event: Event) {
         let shard = Arc::from(shard);
-        self.later(HOP, Delivery::Shard { shard, event });
+        self.schedule(NETWORK_DELAY, Delivery::Shard { shard, event });
     }
 
-    fn later(&mut self, after: Duration, delivery: Delivery) {
+    fn schedule(&mut self, after: Duration, delivery: Delivery) {
         self.next_delivery += 1;
         self.deliveries.insert((self.now + after, self.next_delivery), delivery);
     }
 
-    /// A new owner takes a shard: what an owner's claim does, in one step.
+    /// Lets a new owner claim a shard and recover its state, in one step.
     fn claim(&mut self, name: &str, previous: Previous) {
         self.claim_with(name, previous, Vec::new());
     }
@@ -427,7 +419,7 @@
                 .kv
                 .get(&keys.silence())
                 .map_or(Vec::new(), |item| decode(&item.value).expect("silent VMs")),
-            told: self.told_of(name),
+            told: self.published_lapses_of(name),
             jobs: jobs.iter().map(|(_, v)| Arc::new(decode::<Job>(v).expect("a job"))).collect(),
             progress: progress
                 .iter()
@@ -437,8 +429,8 @@
                 })
                 .collect(),
         };
-        let fleet = self.old_list.take().unwrap_or_else(|| self.fleet_of(name));
-        let now = self.both_clocks();
+        let fleet = self.outdated_list.take().unwrap_or_else(|| self.fleet_of(name));
+        let now = self.clocks();
         let shard = Shard::new(recovered, settings(), self.queues.clone(), fleet, now);
         self.owners.push(Owner {
             number: self.next_owner,
@@ -451,20 +443,20 @@
         });
     }
 
-    fn told_of(&self, name: &str) -> Vec<ToldLapse> {
-        let Some((at, told)) = self.told.get(name) else { return Vec::new() };
+    fn published_lapses_of(&self, name: &str) -> Vec<ToldLapse> {
+        let Some((at, told)) = self.published_lapses.get(name) else { return Vec::new() };
         let passed = self.now - *at;
         told.iter().map(|told| told.clone().aged(passed)).collect()
     }
 
-    fn hear_lapses(&mut self) {
-        if self.now >= self.news_lost_from {
+    fn collect_published_lapses(&mut self) {
+        if self.now >= self.published_lapses_lost_from {
             return;
         }
         for owner in &self.owners {
             if self.now >= owner.paused_until && !owner.unaware {
                 let told = owner.shard.told_lapses(self.now);
-                self.told.insert(owner.name.clone(), (self.now, told));
+                self.published_lapses.insert(owner.name.clone(), (self.now, told));
             }
         }
     }
@@ -478,22 +470,22 @@
     fn fleet_of(&self, shard: &str) -> Vec<VmEntry> {
         let ours = self.vms.iter().filter(|vm| &*vm.shard == shard && vm.down_until.is_none());
         let ours = ours.map(|vm| vm.entry.clone());
-        let beside = self.announced_beside.iter().filter(|vm| vm.domain.as_str() == shard);
+        let beside = self.extra_entries.iter().filter(|vm| vm.domain.as_str() == shard);
         ours.chain(beside.cloned()).collect()
     }
 
-    fn both_clocks(&self) -> Now {
+    fn clocks(&self) -> Now {
         Now { steady: self.now, wall: EPOCH + self.now }
     }
 
     fn tick(&mut self) {
         self.crash_vms();
-        self.revive_vms();
+        self.restart_vms();
         self.announce_sizes();
         if self.now >= self.next_fleet {
-            self.next_fleet = self.now + FLEET_EVERY;
-            self.tell_fleet();
-            self.hear_lapses();
+            self.next_fleet = self.now + FLEET_INTERVAL;
+            self.send_fleet();
+            self.collect_published_lapses();
         }
         let numbers: Vec<u64> = self.owners.iter().map(|owner| owner.number).collect();
         for number in numbers {
@@ -504,12 +496,12 @@
     fn announce_sizes(&mut self) {
         let now = self.now;
         for vm in &mut self.vms {
-            let told = vm.sizes.iter().rev().find(|(at, _)| *at + BEAT <= now);
-            vm.entry.size = told.map_or(vm.entry.size, |(_, size)| *size);
+            let listed = vm.sizes.iter().rev().find(|(at, _)| *at + ANNOUNCE_INTERVAL <= now);
+            vm.entry.size = listed.map_or(vm.entry.size, |(_, size)| *size);
         }
     }
 
-    fn revive_vms(&mut self) {
+    fn restart_vms(&mut self) {
         let now = self.now;
         for vm in &mut self.vms {
             if vm.down_until.is_none_or(|until| now < until) {
@@ -517,14 +509,15 @@
             }
             vm.down_until = None;
             vm.refuses = false;
-            vm.lives += 1;
-            let id = VmId::new(&format!("{}/{}", vm.entry.addr, vm.lives));
+            vm.restarts += 1;
+            let id = VmId::new(&format!("{}/{}", vm.entry.addr, vm.restarts));
             vm.entry.id = id.clone();
-            self.past.push(std::mem::replace(&mut vm.table, RunTable::new(id, run_settings())));
+            self.ended_tables
+                .push(std::mem::replace(&mut vm.table, RunTable::new(id, run_settings())));
         }
     }
 
-    fn tell_fleet(&mut self) {
+    fn send_fleet(&mut self) {
         if self.now < self.store_down_until {
             self.store_back = self.now;
             return;
@@ -559,44 +552,44 @@
         match delivery {
             Delivery::Owner { number, event } => self.step(number, event),
             Delivery::Shard { shard, event } => {
-                // The last owner is the one that others know.
+                // The last owner is the one known to others.
                 let owner = self.owners.iter().rev().find(|owner| owner.name == shard);
                 if let Some(number) = owner.map(|owner| owner.number) {
                     self.step(number, event);
                 }
             }
             Delivery::Vm { number, action } => {
-                // Nobody waits for the answer any more.
-                let _ = self.carry_out(number, &action);
+                // The sender has timed out and no longer waits for the response.
+                let _ = self.execute(number, &action);
             }
         }
     }
 
     fn step(&mut self, number: u64, event: Event) {
-        let now = self.both_clocks();
+        let now = self.clocks();
         let Some(owner) = self.owners.iter_mut().find(|owner| owner.number == number) else {
             return;
         };
         if owner.paused_until > self.now {
             if !matches!(event, Event::Tick | Event::Fleet { .. } | Event::Neighbours(_)) {
                 let after = owner.paused_until - self.now;
-                self.later(after, Delivery::Owner { number, event });
+                self.schedule(after, Delivery::Owner { number, event });
             }
             return;
         }
         let name = owner.name.clone();
         for action in owner.shard.step(now, event) {
-            self.act(number, &name, action);
+            self.perform(number, &name, action);
         }
     }
 
-    fn act(&mut self, number: u64, name: &Arc<str>, action: Action) {
+    fn perform(&mut self, number: u64, name: &Arc<str>, action: Action) {
         match action {
             Action::Look { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
-            | Action::Pace { .. } => self.order(number, action),
-            Action::Ask(req) => self.ask(number, &req),
+            | Action::Pace { .. } => self.send_command(number, action),
+            Action::Ask(req) => self.request_permits(number, &req),
             Action::Commit { seq, txn } => self.commit(number, seq, txn),
             Action::Reply { ticket, answer } => {
                 self.answers.insert(ticket, answer);
@@ -606,13 +599,17 @@
                     println!("{:?} {name}#{number} tells {to} {fence:?} {msg:?}", self.now);
                 }
                 let event = Event::Message { from: name.clone(), to: fence, msg };
-                match self.faults.meet_message(self.now) {
-                    Fate::Lost | Fate::AnswerLost => {}
-                    Fate::Late(by) => self.later(by, Delivery::Shard { shard: to, event }),
-                    Fate::Done => self.later(HOP, Delivery::Shard { shard: to, event }),
+                match self.faults.message_outcome(self.now) {
+                    Outcome::Lost | Outcome::AnswerLost => {}
+                    Outcome::Late(delay) => {
+                        self.schedule(delay, Delivery::Shard { shard: to, event })
+                    }
+                    Outcome::Delivered => {
+                        self.schedule(NETWORK_DELAY, Delivery::Shard { shard: to, event })
+                    }
                 }
             }
-            Action::Fenced => self.retire(number),
+            Action::Fenced => self.remove_owner(number),
             Action::Note(note) => {
                 self.trace(number, name, &note);
                 if matches!(note, Note::ShardState { .. }) {
@@ -623,7 +620,7 @@
         }
     }
 
-    /// Prints the owners' log lines where `SHARD_TRACE` is set.
+    /// Prints the owners' log lines if `SHARD_TRACE` is set.
     fn trace(&self, number: u64, name: &str, note: &Note) {
         if self.traced {
             let mut line = String::new();
@@ -632,54 +629,54 @@
         }
     }
 
-    fn ask(&mut self, number: u64, req: &PermitReq) {
+    fn request_permits(&mut self, number: u64, req: &PermitReq) {
         let (sent, step, vms) = (self.now, req.step, req.vms.clone());
         let named = u32::try_from(vms.len()).expect("a hundred at the most");
-        let mut after = 2 * HOP + PERMIT_TIMES.question + PERMIT_TIMES.each_vm * named;
-        let result = match self.faults.meet_message(sent) {
-            Fate::Done => {
-                let table = self.permits.as_mut().expect("nobody asks without need");
+        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.question + PERMIT_TIMES.each_vm * named;
+        let result = match self.faults.message_outcome(sent) {
+            Outcome::Delivered => {
+                let table = self.permits.as_mut().expect("permits are requested only if required");
                 Ok(table.ask(sent, req))
             }
-            Fate::Lost | Fate::AnswerLost | Fate::Late(_) => {
+            Outcome::Lost | Outcome::AnswerLost | Outcome::Late(_) => {
                 after = req.timeout;
                 Err(permit::Error::NoAnswer { reason: "lost".to_owned() })
             }
         };
         let event = Event::Permitted { step, vms, sent, result };
-        self.later(after, Delivery::Owner { number, event });
+        self.schedule(after, Delivery::Owner { number, event });
     }
 
-    fn retire(&mut self, number: u64) {
+    fn remove_owner(&mut self, number: u64) {
         self.owners.retain(|owner| owner.number != number);
     }
 
-    fn order(&mut self, number: u64, action: Action) {
-        let fate = self.faults.meet_order(self.now, &action);
+    fn send_command(&mut self, number: u64, action: Action) {
+        let outcome = self.faults.command_outcome(self.now, &action);
         let sent = self.now;
         let unanswered = || VmError::NoAnswer { reason: "lost".to_owned() };
-        let result = match fate {
-            Fate::Done => self.carry_out(number, &action),
-            Fate::AnswerLost => {
-                let _ = self.carry_out(number, &action);
+        let result = match outcome {
+            Outcome::Delivered => self.execute(number, &action),
+            Outcome::AnswerLost => {
+                let _ = self.execute(number, &action);
                 Err(unanswered())
             }
-            Fate::Lost => Err(unanswered()),
-            Fate::Late(by) => {
-                self.later(by, Delivery::Vm { number, action: action.clone() });
+            Outcome::Lost => Err(unanswered()),
+            Outcome::Late(delay) => {
+                self.schedule(delay, Delivery::Vm { number, action: action.clone() });
                 Err(unanswered())
             }
         };
         let after = match &result {
             Err(VmError::NoAnswer { .. }) => CALL_TIMEOUT,
-            Err(VmError::NotSent { .. }) => 2 * HOP,
-            _ => 2 * HOP + wait_of(&action),
+            Err(VmError::NotSent { .. }) => 2 * NETWORK_DELAY,
+            _ => 2 * NETWORK_DELAY + poll_wait(&action),
         };
-        let event = answer(action, sent, result);
-        self.later(after, Delivery::Owner { number, event });
+        let event = response_event(action, sent, result);
+        self.schedule(after, Delivery::Owner { number, event });
     }
 
-    fn carry_out(&mut self, _: u64, action: &Action) -> Result<VmAnswer, VmError> {
+    fn execute(&mut self, _: u64, action: &Action) -> Result<VmResponse, VmError> {
         let now = self.now;
         let addr = addr_of(action);
         let Some(vm) = self.vms.iter_mut().find(|vm| vm.entry.addr == addr.addr) else {
@@ -688,7 +685,7 @@
         if vm.refuses || vm.table.is_crashing(now) {
             return Err(VmError::NotSent { reason: "refused".to_owned() });
         }
-        if vm.cut_until > now || vm.down_until.is_some() {
+        if vm.unreachable_until > now || vm.down_until.is_some() {
             return Err(VmError::NoAnswer { reason: "cut".to_owned() });
         }
         if vm.entry.id != addr.id {
@@ -700,18 +697,18 @@
             return Err(VmError::NoPermit);
         }
         match action {
-            Action::Look { req, .. } => vm.table.look(now, req).map(VmAnswer::Looked),
-            Action::Start { req, .. } => vm.table.start(now, req).map(VmAnswer::Clock),
-            Action::Stop { req, .. } => vm.table.stop(now, req).map(VmAnswer::Clock),
-            Action::Pace { req, .. } => vm.table.pace(now, req).map(VmAnswer::Clock),
+            Action::Look { req, .. } => vm.table.look(now, req).map(VmResponse::Looked),
+            Action::Start { req, .. } => vm.table.start(now, req).map(VmResponse::Clock),
+            Action::Stop { req, .. } => vm.table.stop(now, req).map(VmResponse::Clock),
+            Action::Pace { req, .. } => vm.table.pace(now, req).map(VmResponse::Clock),
             _ => Err(VmError::Malformed { status: 400 }),
         }
     }
 
     fn commit(&mut self, number: u64, seq: u64, txn: Txn) {
         if self.now < self.store_down_until {
-            let wait = self.store_down_until - self.now + HOP;
-            self.later(wait, Delivery::Owner { number, event: Event::Tick });
+            let wait = self.store_down_until - self.now + NETWORK_DELAY;
+            self.schedule(wait, Delivery::Owner { number, event: Event::Tick });
         }
         let Some(owner) = self.owners.iter_mut().find(|owner| owner.number == number) else {
             return;
@@ -744,9 +741,9 @@
         };
         let lost = matches!(result, CommitResult::Superseded(_));
         let event = Event::Committed { seq, result };
-        self.later(delay + 5 * HOP, Delivery::Owner { number, event });
+        self.schedule(delay + 5 * NETWORK_DELAY, Delivery::Owner { number, event });
         if lost {
-            // It hears of it with the answer; until then it goes on.
+            // The owner learns of the loss from the result; until then it continues.
             let unaware = self.owners.iter_mut().find(|owner| owner.number == number);
             if let Some(owner) = unaware {
                 owner.unaware = true;
@@ -755,23 +752,23 @@
     }
 }
 
-enum VmAnswer {
+enum VmResponse {
     Looked(waxwingstall::vm::LookResp),
     Clock(waxwingstall::vm::VmTime),
 }
 
-fn answer(action: Action, sent: Duration, result: Result<VmAnswer, VmError>) -> Event {
-    let clock = |result: Result<VmAnswer, VmError>| {
+fn response_event(action: Action, sent: Duration, result: Result<VmResponse, VmError>) -> Event {
+    let clock = |result: Result<VmResponse, VmError>| {
         result.map(|answer| match answer {
-            VmAnswer::Clock(clock) => clock,
-            VmAnswer::Looked(looked) => looked.clock,
+            VmResponse::Clock(clock) => clock,
+            VmResponse::Looked(looked) => looked.clock,
         })
     };
     match action {
         Action::Look { vm, .. } => {
             let result = result.map(|answer| match answer {
-                VmAnswer::Looked(looked) => looked,
-                VmAnswer::Clock(_) => unreachable!("a look is answered by a look"),
+                VmResponse::Looked(looked) => looked,
+                VmResponse::Clock(_) => unreachable!("a poll gets the response to a poll"),
             });
             Event::Looked { vm: vm.id, sent, result }
         }
@@ -788,12 +785,12 @@
             percent: req.percent,
             result: clock(result),
         },
-        _ => unreachable!("only orders are answered"),
+        _ => unreachable!("only commands get a response"),
     }
 }
 
-fn wait_of(action: &Action) -> Duration {
-    // A look is taken at once and answered late: what it tells is a little old.
+fn poll_wait(action: &Action) -> Duration {
+    // A poll is evaluated at once and answered late, so its result is slightly out of date.
     if let Action::Look { req, .. } = action {
         req.wait.min(Duration::from_millis(80))
     } else {
@@ -807,7 +804,7 @@
         | Action::Start { vm, .. }
         | Action::Stop { vm, .. }
         | Action::Pace { vm, .. } => vm.clone(),
-        _ => unreachable!("only orders go to VMs"),
+        _ => unreachable!("only commands go to VMs"),
     }
 }
 
@@ -837,7 +834,7 @@
     queues
 }
 
-/// Figures of the platform in tests.
+/// Platform settings used by the tests.
 pub fn settings() -> Settings {
     Settings { max_keep: Duration::from_secs(6), ..Settings::default() }
 }
