--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -21,7 +21,7 @@
 /// Refusal when the shard accepts no more long-running tasks. Capacity is freed as other jobs are
 /// cancelled, which takes seconds.
 const LASTING_LIMIT_REACHED: (&str, Duration) =
-    ("the capacity limit for lasting tasks is reached", Duration::from_secs(2));
+    ("lasting tasks have all the room that they may take", Duration::from_secs(2));
 
 /// Refusal when the shard has little room for a job's long-running tasks.
 const LITTLE_ROOM: (&str, Duration) = ("other shards have more room", Duration::ZERO);
@@ -67,10 +67,10 @@
     /// Reason and retry delay if the shard can't accept any job at the moment.
     fn unavailable(&self) -> Option<(&'static str, Duration)> {
         if self.stage != Stage::Serving {
-            return Some(("the shard is changing its owner", RETRY_AFTER_HANDOVER));
+            return Some(("the shard changes hands", RETRY_AFTER_HANDOVER));
         }
         if self.log.age(self.now.steady) > STALLED_COMMIT {
-            return Some(("the store does not respond", RETRY_AFTER_OUTAGE));
+            return Some(("the store does not answer", RETRY_AFTER_OUTAGE));
         }
         None
     }
@@ -119,7 +119,7 @@
             (None, _) => return self.reply(ticket, Answer::NotHere),
         };
         let answer = state.map_or_else(
-            || Answer::Unknown { reason: "the job is not durable yet; try again".to_owned() },
+            || Answer::Unknown { reason: "the job isn't durable yet; ask again".to_owned() },
             Answer::Shown,
         );
         self.reply(ticket, answer);
