--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -1,13 +1,15 @@
-//! Tasks that another shard runs in place of the one that accepted their job.
+//! Lending of tasks to another shard than the one that accepted their job.
 //!
-//! A shard's VMs may have no room for a task while others have: it is too wide, the rack with its
-//! data or the VM with its label is another shard's, or VMs were lost. Such a task is lent: the
-//! lending shard makes durable that it doesn't run the task itself, then tells the other; that one
-//! makes durable that it has it, runs it like its own, makes its end durable, and gives it back.
-//! So at each moment at most one shard may start a task, whatever message is lost, late or
-//! doubled, and whichever owner is replaced: each side repeats what it has durably said until the
-//! other answers. A loan that was given back is not taken again, by its number; since the owner that
-//! remembers it may have been replaced, a message is meant for one owner, by its token.
+//! A shard's VMs may have no room for a task that fits on VMs of another shard: the task is too
+//! large, the rack with its data or the VM with its label belongs to another shard, or VMs were lost.
+//! Such a task is lent. The lender first commits that it does not run the task itself and then sends
+//! the loan. The borrower commits that it has the task, runs it like its own, commits the outcome,
+//! and returns the task.
+//!
+//! At any time at most one shard may start a task, even if messages are lost, delayed or duplicated
+//! or an owner is replaced, because each side repeats what it has committed until the other answers.
+//! A returned loan is recognized by its number and not accepted again. The owner that remembers the
+//! number may have been replaced, so each message is addressed to one owner by its fencing token.
 
 use super::Shard;
 use super::event::{Action, FreeRoom, Neighbour, Summary};
@@ -23,62 +25,63 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause before something about a loan is said again; an answer takes 10 to 40 ms.
-const TELL_EVERY: Duration = Duration::from_millis(250);
+/// Interval between messages about a loan; an answer takes 10 to 40 ms.
+const MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause before a shard that has a loan is asked again whether it has begun.
-const ASK_EVERY: Duration = Duration::from_millis(800);
+/// Interval at which an accepted loan is sent again, to learn whether a task of the job has started.
+const TAKEN_LOAN_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Time that a task waits for room here before another shard is asked. Lending costs two commits
-/// and a message, 30 to 60 ms in all.
-const PATIENCE: Duration = Duration::from_millis(60);
+/// Time that a task waits for room in this shard before it is lent. Lending takes two commits and a
+/// message, 30 to 60 ms in total.
+const LEND_DELAY: Duration = Duration::from_millis(60);
 
-/// The same for lasting tasks: their room often comes back within a second, as a short task ends.
-const LASTING_PATIENCE: Duration = Duration::from_millis(700);
+/// The same for long-running tasks: within a second, a short task often ends and frees their room.
+const LASTING_LEND_DELAY: Duration = Duration::from_millis(700);
 
-/// The same for leftover work, which has time.
-const LEFTOVER_PATIENCE: Duration = Duration::from_millis(900);
+/// The same for leftover tasks, which are not urgent.
+const LEFTOVER_LEND_DELAY: Duration = Duration::from_millis(900);
 
-/// Share of another shard's free room that is counted on: what is known of it is up to half a
-/// second old, and others lend there too.
-const COUNTED_ON: f64 = 0.6;
+/// Fraction of another shard's free resources that is assumed to be usable: its summary is up to half
+/// a second old, and other shards lend to it too.
+const USABLE_FRACTION: f64 = 0.6;
 
-/// Time that a lent task may wait there for room before it is given back.
-const GIVE_BACK_AFTER: Duration = Duration::from_millis(1500);
+/// Time that a borrowed task may wait for room before it is returned.
+const RETURN_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a loan that was given back is remembered; a message is late by 1.4 s at the most.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// How long an ended loan is remembered; messages are delayed by at most 1.4 s.
+const ENDED_LOAN_RETENTION: Duration = Duration::from_secs(30);
 
-/// What shards' owners say of loans.
+/// Messages between shard owners about loans.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LoanMsg {
-    /// Run these.
+    /// Asks the borrower to run these tasks.
     Lend { job: Arc<Job>, loan: u64, tasks: Vec<LentTask> },
-    /// They are durable here, and whether a task of the job has started.
+    /// Confirms that the tasks are durable at the borrower, and tells whether a task of the job has
+    /// started.
     Taken { job: JobId, loan: u64, tasks: Vec<TaskRef>, begun: Begun },
-    /// This has become of them.
+    /// Returns tasks to the lender with their outcome.
     Return { job: JobId, tasks: Vec<ReturnedTask> },
-    /// What became of them is durable where they come from.
-    Settled { job: JobId, tasks: Vec<LoanedTask> },
-    /// They are not wanted any more.
-    Recall { job: JobId, tasks: Vec<LoanedTask> },
+    /// Confirms that the outcome is durable at the lender.
+    Settled { job: JobId, tasks: Vec<LoanId> },
+    /// Cancels the loans.
+    Recall { job: JobId, tasks: Vec<LoanId> },
 }
 
-/// Whether a task of a job has started where it was lent to.
+/// Whether a task of a job has started at the borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Begun {
     No,
     Yes,
 }
 
-/// A task with the number of its loan.
+/// Identifies one loan of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LoanedTask {
+pub struct LoanId {
     pub task: TaskRef,
     pub loan: u64,
 }
 
-/// A task as it is lent.
+/// State of a task that is sent to the borrower.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LentTask {
     pub task: TaskRef,
@@ -88,61 +91,61 @@
     pub crashes: Crashes,
 }
 
-/// A task as it is given back.
+/// State of a task that is sent back to the lender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReturnedTask {
     pub task: TaskRef,
     pub loan: u64,
-    pub result: LoanResult,
+    pub result: LoanOutcome,
     pub last_run: RunNumber,
     pub failed: u32,
     pub checkpoint: Option<Checkpoint>,
     pub crashes: Crashes,
 }
 
-/// What has become of a lent task.
+/// Outcome of a loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LoanResult {
+pub enum LoanOutcome {
     Succeeded,
-    /// It used up its attempts.
+    /// The task used up its attempts.
     Failed,
-    /// It hasn't succeeded, and doesn't run there.
+    /// The task has not succeeded and does not run at the borrower.
     GivenBack,
 }
 
-/// What a shard remembers of loans beside its jobs.
+/// Loan state of a shard that is not part of its jobs.
 #[derive(Debug, Default)]
 pub struct Loans {
-    /// Other shards, as they were last heard of; less what was lent there since.
+    /// Latest summaries of other shards, reduced by what was lent to them since.
     neighbours: IndexMap<Arc<str>, Neighbour>,
-    /// Jobs accepted here of which tasks are lent.
+    /// Jobs accepted by this shard that have lent tasks.
     lending: IndexSet<JobId>,
-    /// Jobs of other shards of which tasks are here.
-    guests: IndexSet<JobId>,
-    /// Loans that were given back, and when.
-    ended: IndexMap<LoanedTask, Duration>,
-    next_tell: Duration,
+    /// Jobs of other shards with tasks borrowed by this shard.
+    borrowed: IndexSet<JobId>,
+    /// Loans that have ended, with the time.
+    ended: IndexMap<LoanId, Duration>,
+    next_send: Duration,
 }
 
 impl Loans {
-    /// Takes over what other shards told of themselves.
+    /// Replaces the summaries of other shards.
     pub fn know(&mut self, neighbours: Vec<Neighbour>) {
         self.neighbours = neighbours.into_iter().map(|n| (n.name.clone(), n)).collect();
     }
 
-    /// Looks at loans at once, since something about them has become durable.
+    /// Sends loan messages at the next opportunity, after a change has become durable.
     pub fn hurry(&mut self, now: Duration) {
-        self.next_tell = self.next_tell.min(now);
+        self.next_send = self.next_send.min(now);
     }
 
     fn fence_of(&self, shard: &str) -> Option<Fence> {
         self.neighbours.get(shard).map(|neighbour| neighbour.fence)
     }
 
-    fn end(&mut self, loan: LoanedTask, now: Duration) {
+    fn record_ended(&mut self, loan: LoanId, now: Duration) {
         self.ended.insert(loan, now);
         while let Some((_, at)) = self.ended.first() {
-            if now.saturating_sub(*at) < REMEMBERED {
+            if now.saturating_sub(*at) < ENDED_LOAN_RETENTION {
                 return;
             }
             self.ended.shift_remove_index(0);
@@ -151,36 +154,36 @@
 }
 
 impl Shard {
-    /// Finds the loans of a job that was read from the store.
+    /// Registers the loans of a job that was read from the store.
     pub(super) fn recover_loans(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         if job.is_guest() {
-            self.loans.guests.insert(id);
+            self.loans.borrowed.insert(id);
         } else if job.has_lent() {
             self.loans.lending.insert(id);
         }
     }
 
-    /// Says what is to be said about loans, as far as it is durable.
+    /// Sends the pending messages about loans whose state is durable.
     pub(super) fn tell_loans(&mut self) {
         let now = self.now.steady;
-        if now < self.loans.next_tell {
+        if now < self.loans.next_send {
             return;
         }
-        self.loans.next_tell = now + TELL_EVERY;
+        self.loans.next_send = now + MESSAGE_INTERVAL;
         let lending: Vec<JobId> = self.loans.lending.iter().copied().collect();
-        lending.into_iter().for_each(|id| self.tell_lent(id));
-        let guests: Vec<JobId> = self.loans.guests.iter().copied().collect();
-        guests.into_iter().for_each(|id| self.tell_guest(id));
+        lending.into_iter().for_each(|id| self.send_loan_messages(id));
+        let borrowed: Vec<JobId> = self.loans.borrowed.iter().copied().collect();
+        borrowed.into_iter().for_each(|id| self.send_returns(id));
     }
 
-    fn tell_lent(&mut self, id: JobId) {
+    fn send_loan_messages(&mut self, id: JobId) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get(&id) else {
             self.loans.lending.shift_remove(&id);
             return;
         };
-        if !self.log.is_durable(id) || self.log.age(now) >= TELL_EVERY {
+        if !self.log.is_durable(id) || self.log.age(now) >= MESSAGE_INTERVAL {
             return;
         }
         if !job.has_lent() {
@@ -188,13 +191,13 @@
             return;
         }
         let mut msgs: IndexMap<(Arc<str>, u64), Vec<LentTask>> = IndexMap::new();
-        let mut recalls: IndexMap<Arc<str>, Vec<LoanedTask>> = IndexMap::new();
+        let mut recalls: IndexMap<Arc<str>, Vec<LoanId>> = IndexMap::new();
         for (task, known) in job.named_tasks() {
             let Some(lent) = &known.lent else { continue };
             if job.is_final() {
-                let loaned = LoanedTask { task, loan: lent.loan };
+                let loaned = LoanId { task, loan: lent.loan };
                 recalls.entry(lent.to.clone()).or_default().push(loaned);
-            } else if lent.known.is_asked(now) {
+            } else if lent.known.needs_sending(now) {
                 let key = (lent.to.clone(), lent.loan);
                 msgs.entry(key).or_default().push(LentTask {
                     task,
@@ -207,53 +210,54 @@
         }
         let spec = job.job.clone();
         for ((to, loan), tasks) in msgs {
-            self.note_told(id, &tasks, now);
-            // An owner that stood still and was replaced would lend what has been given back long ago to a
-            // borrower that has forgotten it, and the task would run a second time.
-            self.tell_as_owner(&to, LoanMsg::Lend { job: spec.clone(), loan, tasks });
+            self.mark_sent(id, &tasks, now);
+            // Sent only after a commit: an owner that was paused and replaced could otherwise lend a
+            // task that was returned long ago to a borrower that has forgotten the loan, and the task
+            // would run a second time.
+            self.send_after_commit(&to, LoanMsg::Lend { job: spec.clone(), loan, tasks });
         }
         for (to, tasks) in recalls {
-            self.tell(&to, LoanMsg::Recall { job: id, tasks });
+            self.send_message(&to, LoanMsg::Recall { job: id, tasks });
         }
     }
 
-    /// Notes that a loan is being told, not to be told again before there can be an answer.
-    fn note_told(&mut self, id: JobId, tasks: &[LentTask], now: Duration) {
+    /// Marks loans as sent, so that they are not sent again before an answer can arrive.
+    fn mark_sent(&mut self, id: JobId, tasks: &[LentTask], now: Duration) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         for told in tasks {
             if let Some(lent) = job.task_mut(told.task).and_then(|task| task.lent.as_mut()) {
-                lent.known = LoanKnown::Told { ask: now + TELL_EVERY };
+                lent.known = LoanKnown::Told { ask: now + MESSAGE_INTERVAL };
             }
         }
     }
 
-    fn tell_guest(&mut self, id: JobId) {
+    fn send_returns(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
-            self.loans.guests.shift_remove(&id);
+            self.loans.borrowed.shift_remove(&id);
             return;
         };
         let Some(home) = job.home.clone() else { return };
-        self.give_back_stuck(id);
+        self.return_stuck_tasks(id);
         if !self.log.is_durable(id) {
             return;
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let returned: Vec<ReturnedTask> =
-            job.named_tasks().filter_map(|(task, known)| returned(task, known)).collect();
-        if !returned.is_empty() {
-            let msg = LoanMsg::Return { job: id, tasks: returned };
-            self.tell(&home, msg);
+        let tasks: Vec<ReturnedTask> =
+            job.named_tasks().filter_map(|(task, known)| returned_task(task, known)).collect();
+        if !tasks.is_empty() {
+            let msg = LoanMsg::Return { job: id, tasks };
+            self.send_message(&home, msg);
         }
     }
 
-    /// Gives back what found no room here for a while: another shard may have some.
-    fn give_back_stuck(&mut self, id: JobId) {
+    /// Returns tasks that found no room in this shard for a while: another shard may have room.
+    fn return_stuck_tasks(&mut self, id: JobId) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let tasks = job.open.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
         let stuck = tasks.filter(|task| {
             let away = task.away_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-            task.is_waiting() && away >= GIVE_BACK_AFTER
+            task.is_waiting() && away >= RETURN_TIMEOUT
         });
         let mut changed = false;
         for task in stuck {
@@ -267,20 +271,20 @@
 
     pub(super) fn hear_message(&mut self, from: &Arc<str>, msg: LoanMsg) {
         match msg {
-            LoanMsg::Lend { job, loan, tasks } => self.take_loan(from, &job, loan, tasks),
+            LoanMsg::Lend { job, loan, tasks } => self.handle_lend(from, &job, loan, tasks),
             LoanMsg::Taken { job, loan, tasks, begun } => {
-                self.loan_taken(job, loan, &tasks, begun);
+                self.handle_taken(job, loan, &tasks, begun);
             }
-            LoanMsg::Return { job, tasks } => self.loan_returned(from, job, tasks),
-            LoanMsg::Settled { job, tasks } => self.loan_settled(job, &tasks),
-            LoanMsg::Recall { job, tasks } => self.loan_recalled(from, job, &tasks),
+            LoanMsg::Return { job, tasks } => self.handle_return(from, job, tasks),
+            LoanMsg::Settled { job, tasks } => self.handle_settled(job, &tasks),
+            LoanMsg::Recall { job, tasks } => self.handle_recall(from, job, &tasks),
         }
     }
 
-    fn take_loan(&mut self, from: &Arc<str>, spec: &Arc<Job>, loan: u64, tasks: Vec<LentTask>) {
+    fn handle_lend(&mut self, from: &Arc<str>, spec: &Arc<Job>, loan: u64, tasks: Vec<LentTask>) {
         let (id, now) = (spec.id, self.now.steady);
         let wanted =
-            |task: &LentTask| !self.loans.ended.contains_key(&LoanedTask { task: task.task, loan });
+            |task: &LentTask| !self.loans.ended.contains_key(&LoanId { task: task.task, loan });
         let tasks: Vec<LentTask> = tasks.into_iter().filter(wanted).collect();
         if tasks.is_empty() || self.stage != super::Stage::Serving {
             return;
@@ -293,14 +297,14 @@
             job
         });
         if job.home.as_ref() != Some(from) || job.record == RecordState::Dropped {
-            // What is left of an earlier loan is on its way out; the loan is offered again.
+            // The remains of an earlier loan are still being removed; the lender sends this loan again.
             return;
         }
-        self.loans.guests.insert(id);
+        self.loans.borrowed.insert(id);
         let mut changed = false;
         let mut names: Vec<TaskRef> = tasks.iter().map(|lent| lent.task).collect();
         for lent in tasks {
-            changed |= add_guest(job, lent, loan, now);
+            changed |= add_borrowed_task(job, lent, loan, now);
         }
         names.retain(|name| job.task(*name).is_some_and(|task| task.loan == loan));
         if changed {
@@ -310,13 +314,13 @@
         } else if self.log.is_durable(id) && !names.is_empty() {
             let begun = if job.started == Started::Yes { Begun::Yes } else { Begun::No };
             let msg = LoanMsg::Taken { job: id, loan, tasks: names, begun };
-            self.tell(from, msg);
+            self.send_message(from, msg);
         }
     }
 
-    fn loan_taken(&mut self, id: JobId, loan: u64, tasks: &[TaskRef], begun: Begun) {
+    fn handle_taken(&mut self, id: JobId, loan: u64, tasks: &[TaskRef], begun: Begun) {
         let known = match begun {
-            Begun::No => LoanKnown::Taken { ask: self.now.steady + ASK_EVERY },
+            Begun::No => LoanKnown::Taken { ask: self.now.steady + TAKEN_LOAN_INTERVAL },
             Begun::Yes => LoanKnown::Begun,
         };
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -331,13 +335,13 @@
         }
     }
 
-    fn loan_returned(&mut self, from: &Arc<str>, id: JobId, tasks: Vec<ReturnedTask>) {
+    fn handle_return(&mut self, from: &Arc<str>, id: JobId, tasks: Vec<ReturnedTask>) {
         let mut settled = Vec::new();
         let mut failed = false;
         let durable = self.log.is_durable(id);
         let known = self.jobs.contains_key(&id);
         for back in tasks {
-            let loaned = LoanedTask { task: back.task, loan: back.loan };
+            let loaned = LoanId { task: back.task, loan: back.loan };
             let task = self.jobs.get_mut(&id).and_then(|job| job.task_mut(back.task));
             let ours = task.filter(|task| {
                 task.lent.as_ref().is_some_and(|l| l.loan == back.loan && l.to == *from)
@@ -358,9 +362,9 @@
             }
             task.crashes = task.crashes.most(back.crashes);
             match back.result {
-                LoanResult::Succeeded => task.phase = TaskPhase::Succeeded,
-                LoanResult::Failed => failed = true,
-                LoanResult::GivenBack => {}
+                LoanOutcome::Succeeded => task.phase = TaskPhase::Succeeded,
+                LoanOutcome::Failed => failed = true,
+                LoanOutcome::GivenBack => {}
             }
             if began {
                 self.note_began(id);
@@ -373,28 +377,28 @@
         self.advance(id);
         if !settled.is_empty() {
             let msg = LoanMsg::Settled { job: id, tasks: settled };
-            self.tell_as_owner(from, msg);
+            self.send_after_commit(from, msg);
         }
     }
 
-    fn loan_settled(&mut self, id: JobId, tasks: &[LoanedTask]) {
+    fn handle_settled(&mut self, id: JobId, tasks: &[LoanId]) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_guest()) else { return };
         for loaned in tasks {
             let Some(task) = job.task_mut(loaned.task) else { continue };
             if task.loan == loaned.loan && task.runs.is_empty() && task.phase != TaskPhase::Open {
                 task.phase = TaskPhase::Elsewhere;
-                self.loans.end(*loaned, now);
+                self.loans.record_ended(*loaned, now);
             }
         }
         if job.tasks().all(|task| task.phase == TaskPhase::Elsewhere) {
             job.record = RecordState::Dropped;
-            self.loans.guests.shift_remove(&id);
+            self.loans.borrowed.shift_remove(&id);
         }
         self.log.touch(id);
     }
 
-    fn loan_recalled(&mut self, from: &Arc<str>, id: JobId, tasks: &[LoanedTask]) {
+    fn handle_recall(&mut self, from: &Arc<str>, id: JobId, tasks: &[LoanId]) {
         let now = self.now.steady;
         let mut unknown = Vec::new();
         for loaned in tasks {
@@ -402,9 +406,9 @@
             let task = job.and_then(|job| job.task_mut(loaned.task));
             let ours = task.filter(|t| t.loan == loaned.loan && t.phase != TaskPhase::Elsewhere);
             let Some(task) = ours else {
-                // The loan may still be on its way here: it comes too late.
-                self.loans.end(*loaned, now);
-                unknown.push(given_back(*loaned));
+                // The loan message may still be in transit and is to be ignored when it arrives.
+                self.loans.record_ended(*loaned, now);
+                unknown.push(unknown_loan_return(*loaned));
                 continue;
             };
             if task.phase == TaskPhase::Open {
@@ -413,39 +417,44 @@
                 self.log.touch(id);
                 for place in places {
                     let key = RunKey { task: loaned.task, run: place.run };
-                    self.stop_run(&place.vm, key, "its job has ended where it was accepted");
+                    self.stop_run(
+                        &place.vm,
+                        key,
+                        "its job has ended in the shard that accepted it",
+                    );
                 }
             }
         }
         if !unknown.is_empty() {
             let msg = LoanMsg::Return { job: id, tasks: unknown };
-            self.tell_as_owner(from, msg);
+            self.send_after_commit(from, msg);
         }
     }
 
-    /// Says what only the owner may: that a loan isn't known here. One that lost the shard without
-    /// knowing it would deny loans of its successor, so that it is said after the next commit.
-    fn tell_as_owner(&mut self, to: &Arc<str>, msg: LoanMsg) {
+    /// Sends a message that only the current owner may send, after the next commit has proved the
+    /// ownership. Without this, an owner that has lost the shard unnoticed could, for example, report
+    /// loans of its successor as unknown.
+    fn send_after_commit(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
             self.log.after_next(Action::Tell { to: to.clone(), fence, msg });
         }
     }
 
-    /// Says something to a shard's present owner, if that is known.
-    fn tell(&mut self, to: &Arc<str>, msg: LoanMsg) {
+    /// Sends a message to a shard's current owner, if it is known.
+    fn send_message(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
             self.out.push(Action::Tell { to: to.clone(), fence, msg });
         }
     }
 
-    /// Whether another shard, as it was last heard of, has a VM with room for a task of the step.
+    /// Returns whether another shard has a VM with room for a task of the step, by its last summary.
     pub(super) fn fits_elsewhere(&self, job: JobId, step: &Step) -> bool {
         let Some(job) = self.jobs.get(&job) else { return false };
         let mut others = self.loans.neighbours.values();
-        others.any(|other| reserved_room(&other.summary, step, &job.job.service) > 0.0)
+        others.any(|other| fitting_rooms(&other.summary, step, &job.job.service) > 0.0)
     }
 
-    /// Lends waiting tasks that find no room here to shards that have some.
+    /// Lends waiting tasks that do not fit in this shard to shards with room.
     pub(super) fn lend(&mut self, waiting: &[TaskRef]) {
         let now = self.now.steady;
         if self.loans.neighbours.is_empty() {
@@ -453,7 +462,7 @@
         }
         let mut lent: IndexMap<(JobId, Arc<str>), usize> = IndexMap::new();
         for task in waiting {
-            let Some(to) = self.lender_for(*task) else { continue };
+            let Some(to) = self.borrower_for(*task) else { continue };
             let loan = self.log.next_seq();
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             let Some(known) = job.task_mut(*task) else { continue };
@@ -468,47 +477,47 @@
         }
     }
 
-    /// A shard with room for a task that has waited long enough.
-    fn lender_for(&mut self, task: TaskRef) -> Option<Arc<str>> {
+    /// Returns a shard with room for a task that has waited long enough.
+    fn borrower_for(&mut self, task: TaskRef) -> Option<Arc<str>> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?.clone();
-        // A group runs in one shard, and a task that was lent here isn't lent on.
+        // A group runs in one shard, and a borrowed task is not lent again.
         if job.is_guest() || step.members.as_one() {
             return None;
         }
-        let patience = match (step.share, step.life) {
-            (Share::Leftover, _) => LEFTOVER_PATIENCE,
-            _ if step.members.one_rack() => LASTING_PATIENCE,
-            (Share::Reserved, Life::Lasting) => LASTING_PATIENCE,
-            (Share::Reserved, Life::Finite) => PATIENCE,
+        let delay = match (step.share, step.life) {
+            (Share::Leftover, _) => LEFTOVER_LEND_DELAY,
+            _ if step.members.one_rack() => LASTING_LEND_DELAY,
+            (Share::Reserved, Life::Lasting) => LASTING_LEND_DELAY,
+            (Share::Reserved, Life::Finite) => LEND_DELAY,
         };
         let known = job.task(task)?;
         let since = known.away_since.max(job.step_run(task)?.ready)?;
-        if self.now.steady.saturating_sub(since) < patience {
+        if self.now.steady.saturating_sub(since) < delay {
             return None;
         }
-        if self.needs_permits(job) && !self.is_denied_here(task, &step) {
+        if self.needs_permits(job) && !self.is_denied_by_fitting_vms(task, &step) {
             return None;
         }
         let service = job.job.service.clone();
         let image = image_name(job, &step);
         let fits = |summary: &Summary| match step.share {
-            Share::Reserved => reserved_room(summary, &step, &service),
-            Share::Leftover => leftover_room(summary, &step, &image),
+            Share::Reserved => fitting_rooms(summary, &step, &service),
+            Share::Leftover => leftover_milli_cores(summary, &step, &image),
         };
         let neighbours = self.loans.neighbours.values();
         let best = neighbours.map(|neighbour| (&neighbour.name, fits(&neighbour.summary)));
         let (name, _) = best.filter(|(_, room)| *room > 0.0).max_by(|a, b| a.1.total_cmp(&b.1))?;
         let name = name.clone();
         let summary = Arc::make_mut(&mut self.loans.neighbours.get_mut(&name)?.summary);
-        count_lent(summary, &step, &image);
+        subtract_lent(summary, &step, &image);
         Some(name)
     }
 }
 
 impl LoanKnown {
-    /// Whether the loan is to be told again.
-    fn is_asked(self, now: Duration) -> bool {
+    /// Returns whether the loan message is to be sent now.
+    fn needs_sending(self, now: Duration) -> bool {
         match self {
             Self::Nothing => true,
             Self::Told { ask } | Self::Taken { ask } => now >= ask,
@@ -517,32 +526,33 @@
     }
 }
 
-/// The image of a step's tasks, as other shards know it.
+/// Image of a step's tasks, by the name used in summaries; defaults to the queue's name.
 fn image_name(job: &JobRun, step: &Step) -> Image {
     step.image.clone().unwrap_or_else(|| Image::new(job.job.queue.as_str()))
 }
 
-/// Tasks of a step that a shard has room for.
-fn reserved_room(summary: &Summary, step: &Step, service: &crate::ids::ServiceName) -> f64 {
+/// Estimated number of a shard's VMs with room for a task of a step.
+fn fitting_rooms(summary: &Summary, step: &Step, service: &crate::ids::ServiceName) -> f64 {
     let need = step.reserved();
     let fits = |room: &&FreeRoom| {
         need.fits_in(&room.free)
             && room.service == *service
             && step.label.as_ref().is_none_or(|label| room.labels.contains(label))
     };
-    summary.rooms.iter().filter(fits).count() as f64 * COUNTED_ON
+    summary.rooms.iter().filter(fits).count() as f64 * USABLE_FRACTION
 }
 
-/// Processors that leftover work of an image would get in a shard, in thousandths of a core.
-fn leftover_room(summary: &Summary, step: &Step, image: &Image) -> f64 {
+/// Estimated milli-cores that leftover tasks of an image would get in a shard; zero if it is less than
+/// one task needs.
+fn leftover_milli_cores(summary: &Summary, step: &Step, image: &Image) -> f64 {
     let harmless = summary.harmless_free.iter().find(|(known, _)| known == image);
-    let free = harmless.map_or(0.0, |(_, free)| *free as f64) * COUNTED_ON;
+    let free = harmless.map_or(0.0, |(_, free)| *free as f64) * USABLE_FRACTION;
     let need = f64::from(step.size.milli_cores.0);
     if free >= need { free } else { 0.0 }
 }
 
-/// Takes what was just lent off what is known of a shard.
-fn count_lent(summary: &mut Summary, step: &Step, image: &Image) {
+/// Subtracts a task that was just lent from a shard's summary.
+fn subtract_lent(summary: &mut Summary, step: &Step, image: &Image) {
     let need = step.reserved();
     match step.share {
         Share::Reserved => {
@@ -560,18 +570,18 @@
     }
 }
 
-/// Adds a lent task to a job; false if it is there already.
-fn add_guest(job: &mut JobRun, lent: LentTask, loan: u64, now: Duration) -> bool {
+/// Adds a borrowed task to a job; returns false if the task is already present.
+fn add_borrowed_task(job: &mut JobRun, lent: LentTask, loan: u64, now: Duration) -> bool {
     let number = lent.task.occurrence;
     if !job.open.iter().any(|occurrence| occurrence.number == number) {
-        job.open.push(empty_occurrence(&job.job, number, now));
+        job.open.push(placeholder_occurrence(&job.job, number, now));
     }
     let Some(task) = job.task_mut(lent.task) else { return false };
     if task.loan == loan {
         return false;
     }
     if task.phase != TaskPhase::Elsewhere {
-        // An earlier loan of it isn't settled yet.
+        // An earlier loan of the task is not settled yet.
         return false;
     }
     *task = Task {
@@ -587,8 +597,8 @@
     true
 }
 
-/// An occurrence of which nothing is here.
-fn empty_occurrence(job: &Job, number: u32, now: Duration) -> Occurrence {
+/// Creates an occurrence whose tasks are all in the lending shard.
+fn placeholder_occurrence(job: &Job, number: u32, now: Duration) -> Occurrence {
     let elsewhere = || Task { phase: TaskPhase::Elsewhere, ..Task::default() };
     let steps = job.steps.iter().map(|step| StepRun {
         tasks: (0..step.tasks).map(|_| elsewhere()).collect(),
@@ -600,14 +610,15 @@
     Occurrence { number, steps: steps.collect() }
 }
 
-fn returned(task: TaskRef, known: &Task) -> Option<ReturnedTask> {
+/// Returns the state to send back for a borrowed task, or `None` if the task is still open.
+fn returned_task(task: TaskRef, known: &Task) -> Option<ReturnedTask> {
     if !known.runs.is_empty() {
         return None;
     }
     let result = match known.phase {
-        TaskPhase::Succeeded => LoanResult::Succeeded,
-        TaskPhase::Failed => LoanResult::Failed,
-        TaskPhase::GivenBack => LoanResult::GivenBack,
+        TaskPhase::Succeeded => LoanOutcome::Succeeded,
+        TaskPhase::Failed => LoanOutcome::Failed,
+        TaskPhase::GivenBack => LoanOutcome::GivenBack,
         TaskPhase::Open | TaskPhase::Elsewhere => return None,
     };
     Some(ReturnedTask {
@@ -621,11 +632,11 @@
     })
 }
 
-fn given_back(loaned: LoanedTask) -> ReturnedTask {
+fn unknown_loan_return(loaned: LoanId) -> ReturnedTask {
     ReturnedTask {
         task: loaned.task,
         loan: loaned.loan,
-        result: LoanResult::GivenBack,
+        result: LoanOutcome::GivenBack,
         last_run: RunNumber(0),
         failed: 0,
         checkpoint: None,
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -1,10 +1,11 @@
-//! Steps that run only on VMs that an outside service permits.
+//! Permits for steps that may run only on VMs approved by an external service.
 //!
-//! The service's verdict on a VM doesn't change, while its permit is valid for some seconds. It
-//! takes one question at a time from each daemon, longer the more VMs a question names, so that
-//! every question delays those behind it: the most urgent steps are asked about first, about as
-//! many VMs as their waiting tasks need by the share that was permitted so far, and never again
-//! about a VM that was denied. A start without a valid permit would be refused by the VM.
+//! The service's verdict on a VM never changes, but a permit is valid for only a few seconds. The
+//! service handles one request at a time from each daemon and takes longer the more VMs a request
+//! names, so each request delays those queued behind it. Permits for the most urgent steps are
+//! therefore requested first. A request names as many VMs as the waiting tasks are expected to need,
+//! based on the grant rate so far, and never a VM that was denied before. A VM refuses a start that
+//! has no valid permit.
 
 use super::Shard;
 use super::event::Action;
@@ -19,40 +20,40 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Least VMs that a question names where there are more.
-const MIN_ASKED: usize = 6;
+/// Minimum number of VMs in a request, if that many are eligible.
+const MIN_VMS_PER_REQUEST: usize = 6;
 
-/// Part of a question's own time that may go to naming more VMs than are needed by what is known: a
-/// second question, since too few were permitted, costs the whole time again.
-const SPARE_TIME: u32 = 5;
+/// Divisor of a request's base time that limits the time spent on more VMs than expected to be
+/// needed. If too few VMs are permitted, a second request costs the full base time again.
+const EXTRA_TIME_DIVISOR: u32 = 5;
 
-/// Time before its end from which on a permit isn't counted on: a binding is durable within 30 ms,
-/// and a start that isn't answered is sent again for 0.5 s.
-const PERMIT_MARGIN: Duration = Duration::from_millis(500);
+/// A permit is not used in this last part of its validity: a binding takes up to 30 ms to become
+/// durable, and an unanswered start is retried for 0.5 s.
+const PERMIT_EXPIRY_MARGIN: Duration = Duration::from_millis(500);
 
-/// Pause before a question without an answer is asked again.
-const ASK_RETRY: Duration = Duration::from_millis(250);
+/// Delay before an unanswered request is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Times the service's own time after which a question counts as unanswered: others' questions may
-/// come before it.
-const PATIENCE: u32 = 4;
+/// Request timeout as a multiple of the service's own processing time, since other
+/// requests may be ahead in its queue.
+const TIMEOUT_FACTOR: u32 = 4;
 
-/// Added to that: the way there and back, and a slowed service.
-const PATIENCE_MARGIN: Duration = Duration::from_millis(400);
+/// Added to the timeout for the network round trip and a slowed service.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
 
-/// Verdicts counted beforehand, half of them permits, until a queue's own share is known.
-const ASSUMED: f64 = 4.0;
+/// Assumed verdicts, half of them grants, that stand in until a queue has enough of its own.
+const PRIOR_VERDICTS: f64 = 4.0;
 
-/// On which VMs a step may run, as far as that was asked.
+/// Verdicts on VMs for a step, as far as they were requested.
 #[derive(Debug, Default)]
 pub struct StepPermits {
     verdicts: IndexMap<VmId, Verdict>,
-    question: Question,
+    request: RequestState,
 }
 
 #[derive(Clone, Debug)]
 enum Verdict {
-    /// For good.
+    /// Never permitted.
     Denied,
     Permitted {
         permit: Permit,
@@ -60,55 +61,57 @@
     },
 }
 
-/// Whether a step may be asked about.
+/// State of the permit requests for a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Question {
-    UnderWay,
-    /// From then on.
-    Open(Duration),
+enum RequestState {
+    InFlight,
+    /// A request may be sent from this time on.
+    Allowed(Duration),
 }
 
-impl Default for Question {
+impl Default for RequestState {
     fn default() -> Self {
-        Self::Open(Duration::ZERO)
+        Self::Allowed(Duration::ZERO)
     }
 }
 
-/// What a question is to bring.
-struct Wanted {
+/// How many VMs a request has to cover.
+struct VmSelection {
     tasks: usize,
-    /// Share of VMs that is expected to be permitted.
-    share: f64,
-    /// VMs to name at least.
-    least: usize,
+    /// Expected fraction of VMs that are permitted.
+    grant_rate: f64,
+    /// Minimum number of VMs to name.
+    min_vms: usize,
 }
 
-/// What a shard remembers of its questions.
+/// Permit requests of a shard and the grant rates seen so far.
 #[derive(Debug, Default)]
 pub struct Questions {
-    under_way: u32,
-    /// Most under way at a time; zero counts as one.
-    most: u32,
-    shares: IndexMap<QueueName, Share>,
+    in_flight: u32,
+    /// Maximum number of concurrent requests; zero counts as one.
+    max_in_flight: u32,
+    grant_rates: IndexMap<QueueName, GrantRate>,
 }
 
-/// Verdicts on a queue's steps so far.
+/// Verdicts on the steps of a queue so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
-    asked: f64,
+struct GrantRate {
+    requested: f64,
     permitted: f64,
 }
 
 impl StepPermits {
-    /// The permit for a VM, if it will still be valid when a start arrives there.
+    /// Returns the permit for a VM if it will still be valid when a start request arrives there.
     pub fn valid(&self, vm: &VmId, now: Duration) -> Option<&Permit> {
         match self.verdicts.get(vm)? {
-            Verdict::Permitted { permit, until } if now + PERMIT_MARGIN < *until => Some(permit),
+            Verdict::Permitted { permit, until } if now + PERMIT_EXPIRY_MARGIN < *until => {
+                Some(permit)
+            }
             _ => None,
         }
     }
 
-    /// A VM didn't take the permit.
+    /// Marks a permit as expired after its VM refused it.
     pub fn lapse(&mut self, vm: &VmId) {
         if let Some(Verdict::Permitted { until, .. }) = self.verdicts.get_mut(vm) {
             *until = Duration::ZERO;
@@ -119,30 +122,32 @@
         matches!(self.verdicts.get(vm), Some(Verdict::Denied))
     }
 
-    fn is_known(&self, vm: &VmId) -> bool {
+    fn has_verdict(&self, vm: &VmId) -> bool {
         self.verdicts.contains_key(vm)
     }
 
-    fn may_be_asked(&self, now: Duration) -> bool {
-        matches!(self.question, Question::Open(from) if now >= from)
+    fn may_be_requested(&self, now: Duration) -> bool {
+        matches!(self.request, RequestState::Allowed(from) if now >= from)
     }
 }
 
 impl Shard {
-    /// The permits of a task's step; `None` if it needs none.
+    /// Returns the permits of a task's step, or `None` if it needs none.
     pub(super) fn permits_of(&self, task: TaskRef) -> Option<&StepPermits> {
         let job = self.jobs.get(&task.job)?;
         self.queue(job)?.permits?;
         Some(&job.step_run(task)?.permits)
     }
 
-    /// Whether a job's steps need permits.
+    /// Returns whether a job's steps need permits.
     pub(super) fn needs_permits(&self, job: &JobRun) -> bool {
         self.queue(job).is_some_and(|queue| queue.permits.is_some())
     }
 
-    /// Whether every VM with room for a step is known to be denied to it.
-    pub(super) fn is_denied_here(&self, task: TaskRef, step: &Step) -> bool {
+    /// Returns whether every VM with enough free resources for a step is denied to it.
+    ///
+    /// Also true if the step needs no permits.
+    pub(super) fn is_denied_by_fitting_vms(&self, task: TaskRef, step: &Step) -> bool {
         let Some(permits) = self.permits_of(task) else { return true };
         let now = self.now.steady;
         let mut fitting = self
@@ -152,7 +157,7 @@
         fitting.all(|vm| permits.is_denied(&vm.id))
     }
 
-    /// Asks about the most urgent steps with tasks that found no permitted room.
+    /// Requests permits for the most urgent steps with tasks that fit on no permitted VM.
     pub(super) fn ask_permits(&mut self, candidates: &[Candidate], rooms: &[Room]) {
         for candidate in candidates {
             let Some(times) = self.jobs.get(&candidate.id).and_then(|job| self.queue(job)?.permits)
@@ -160,70 +165,74 @@
                 continue;
             };
             for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
-                if !self.questions.may_ask() {
+                if !self.questions.may_send_request() {
                     return;
                 }
-                self.ask_for(group, times, rooms);
+                self.request_permits(group, times, rooms);
             }
         }
-        self.ask_ahead(rooms);
+        self.request_upcoming_permits(rooms);
     }
 
-    /// Asks about steps whose turn comes next, with what is left of the service's time.
-    fn ask_ahead(&mut self, rooms: &[Room]) {
+    /// Requests permits for steps that become ready soon, if the request limit allows it.
+    fn request_upcoming_permits(&mut self, rooms: &[Room]) {
         let next: Vec<(Vec<TaskRef>, PermitTimes)> = self
             .jobs
             .values()
             .filter(|job| !job.is_final())
             .filter_map(|job| Some((job, self.queue(job)?.permits?)))
-            .flat_map(|(job, times)| next_steps(job, times).into_iter().map(move |s| (s, times)))
+            .flat_map(|(job, times)| {
+                upcoming_steps(job, times).into_iter().map(move |s| (s, times))
+            })
             .collect();
         for (group, times) in next {
-            if !self.questions.may_ask() {
+            if !self.questions.may_send_request() {
                 return;
             }
-            self.ask_for(&group, times, rooms);
+            self.request_permits(&group, times, rooms);
         }
     }
 
-    /// How many questions may be under way at a time.
+    /// Sets the maximum number of concurrent requests.
     pub(super) fn set_askers(&mut self, askers: u32) {
-        self.questions.most = askers.max(1);
+        self.questions.max_in_flight = askers.max(1);
     }
 
-    fn ask_for(&mut self, group: &[TaskRef], times: PermitTimes, rooms: &[Room]) {
+    fn request_permits(&mut self, group: &[TaskRef], times: PermitTimes, rooms: &[Room]) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get(&group[0].job) else { return };
         let (Some(step), Some(run)) = (job.step(group[0]), job.step_run(group[0])) else { return };
         let is_waiting = |task: &&TaskRef| job.task(**task).is_some_and(|task| task.is_waiting());
         let waiting = group.iter().filter(is_waiting).count();
-        if waiting == 0 || !run.permits.may_be_asked(now) {
+        if waiting == 0 || !run.permits.may_be_requested(now) {
             return;
         }
-        let share = self.questions.share(&job.job.queue);
-        let spare = times.question.as_micros() / times.each_vm.as_micros().max(1);
-        let least = usize::try_from(spare).unwrap_or(MAX_ASKED) / SPARE_TIME as usize;
-        let wanted = Wanted { tasks: waiting, share, least: least.clamp(MIN_ASKED, MAX_ASKED) };
-        let vms = self.to_ask(step, &run.permits, &wanted, rooms, &job.job.service);
+        let grant_rate = self.questions.grant_rate(&job.job.queue);
+        let affordable = times.question.as_micros() / times.each_vm.as_micros().max(1);
+        let extra = usize::try_from(affordable).unwrap_or(MAX_ASKED) / EXTRA_TIME_DIVISOR as usize;
+        let min_vms = extra.clamp(MIN_VMS_PER_REQUEST, MAX_ASKED);
+        let wanted = VmSelection { tasks: waiting, grant_rate, min_vms };
+        let vms = self.select_vms(step, &run.permits, &wanted, rooms, &job.job.service);
         if vms.is_empty() {
             return;
         }
         let step = group[0].of_step();
         let time = times.question + times.each_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
-        let timeout = time * PATIENCE + PATIENCE_MARGIN;
+        let timeout = time * TIMEOUT_FACTOR + TIMEOUT_MARGIN;
         if let Some(run) = self.step_run_mut(step) {
-            run.permits.question = Question::UnderWay;
+            run.permits.request = RequestState::InFlight;
         }
-        self.questions.under_way += 1;
+        self.questions.in_flight += 1;
         self.out.push(Action::Ask(PermitReq { step, vms, timeout }));
     }
 
-    /// VMs to ask about: those with room first, until they have enough for all that waits.
-    fn to_ask(
+    /// Selects the VMs for a request, those with room first, until the expected room is enough for
+    /// all waiting tasks.
+    fn select_vms(
         &self,
         step: &Step,
         permits: &StepPermits,
-        wanted: &Wanted,
+        wanted: &VmSelection,
         rooms: &[Room],
         service: &crate::ids::ServiceName,
     ) -> Vec<VmId> {
@@ -236,22 +245,26 @@
         };
         let mut open: Vec<(usize, &Room)> =
             rooms.iter().filter(fits).map(|room| (room.fitting(step), room)).collect();
-        // Where it is permitted already and has room, one question renews the permit.
+        // VMs with room that were permitted before come first: a request renews their permits.
         open.sort_by_key(|(fitting, room)| {
-            (*fitting == 0, !permits.is_known(&room.vm), std::cmp::Reverse(room.free.milli_cores))
+            (
+                *fitting == 0,
+                !permits.has_verdict(&room.vm),
+                std::cmp::Reverse(room.free.milli_cores),
+            )
         });
         let mut expected = 0.0;
         let mut vms = Vec::new();
         for (fitting, room) in open {
-            let enough = expected >= wanted.tasks as f64 && vms.len() >= wanted.least;
+            let enough = expected >= wanted.tasks as f64 && vms.len() >= wanted.min_vms;
             if enough || vms.len() >= MAX_ASKED {
                 break;
             }
-            let sure = if permits.is_known(&room.vm) { 1.0 } else { wanted.share };
-            expected += sure * fitting as f64;
+            let probability = if permits.has_verdict(&room.vm) { 1.0 } else { wanted.grant_rate };
+            expected += probability * fitting as f64;
             vms.push(room.vm.clone());
         }
-        // What is full everywhere is asked about once there is room.
+        // If all VMs are full, the request is made once one has room.
         if expected > 0.0 { vms } else { Vec::new() }
     }
 
@@ -263,18 +276,18 @@
         result: Result<PermitResp>,
     ) {
         let now = self.now.steady;
-        self.questions.under_way = self.questions.under_way.saturating_sub(1);
+        self.questions.in_flight = self.questions.in_flight.saturating_sub(1);
         self.replan();
         let queue = self.jobs.get(&step.job).map(|job| job.job.queue.clone());
         let Some(run) = self.step_run_mut(step) else { return };
         let resp = match result {
             Ok(resp) => resp,
             Err(e) => {
-                run.permits.question = Question::Open(now + ASK_RETRY);
-                return self.note_unanswered(step, vms.len(), &e);
+                run.permits.request = RequestState::Allowed(now + RETRY_DELAY);
+                return self.log_unanswered(step, vms.len(), &e);
             }
         };
-        run.permits.question = Question::Open(now);
+        run.permits.request = RequestState::Allowed(now);
         for vm in vms {
             run.permits.verdicts.insert(vm.clone(), Verdict::Denied);
         }
@@ -284,14 +297,14 @@
             run.permits.verdicts.insert(vm, Verdict::Permitted { permit, until });
         }
         if let Some(queue) = queue {
-            self.questions.learn(queue, vms.len(), permitted);
+            self.questions.record_verdicts(queue, vms.len(), permitted);
         }
         let took_ms = Ms(now.saturating_sub(sent));
         let (job, step, asked) = (step.job, step.step, vms.len());
         self.note(Note::StepPermitted { job, step, asked, permitted, took_ms });
     }
 
-    fn note_unanswered(&mut self, step: StepRef, asked: usize, error: &Error) {
+    fn log_unanswered(&mut self, step: StepRef, asked: usize, error: &Error) {
         let (job, step, reason) = (step.job, step.step, error.to_string());
         self.note(Note::PermitsUnanswered { job, step, asked, reason });
     }
@@ -303,18 +316,18 @@
     }
 }
 
-/// Tasks of the steps that wait only for tasks which run, and soon will have ended.
-fn next_steps(job: &JobRun, times: PermitTimes) -> Vec<Vec<TaskRef>> {
+/// Returns the tasks of steps whose predecessors are all running and expected to end soon.
+fn upcoming_steps(job: &JobRun, times: PermitTimes) -> Vec<Vec<TaskRef>> {
     let mut next = Vec::new();
     for occurrence in &job.open {
         for (number, (step, run)) in job.job.steps.iter().zip(&occurrence.steps).enumerate() {
-            let comes_soon = |after: &u16| {
+            let ends_soon = |after: &u16| {
                 let before = usize::from(*after);
                 let estimate = job.job.steps[before].estimate;
                 let runs = &occurrence.steps[before].tasks;
                 estimate < times.valid / 2 && runs.iter().all(|task| !task.is_waiting())
             };
-            if run.ready.is_none() && step.after.iter().all(comes_soon) {
+            if run.ready.is_none() && step.after.iter().all(ends_soon) {
                 let tasks = 0..run.tasks.len();
                 next.push(tasks.map(|i| job.task_ref(occurrence.number, number, i)).collect());
             }
@@ -324,19 +337,19 @@
 }
 
 impl Questions {
-    fn may_ask(&self) -> bool {
-        self.under_way < self.most.max(1)
+    fn may_send_request(&self) -> bool {
+        self.in_flight < self.max_in_flight.max(1)
     }
 
-    /// Share of a queue's verdicts that are permits.
-    fn share(&self, queue: &QueueName) -> f64 {
-        let known = self.shares.get(queue).copied().unwrap_or_default();
-        (known.permitted + ASSUMED / 2.0) / (known.asked + ASSUMED)
+    /// Fraction of a queue's verdicts that are grants.
+    fn grant_rate(&self, queue: &QueueName) -> f64 {
+        let rate = self.grant_rates.get(queue).copied().unwrap_or_default();
+        (rate.permitted + PRIOR_VERDICTS / 2.0) / (rate.requested + PRIOR_VERDICTS)
     }
 
-    fn learn(&mut self, queue: QueueName, asked: usize, permitted: usize) {
-        let share = self.shares.entry(queue).or_default();
-        share.asked += asked as f64;
-        share.permitted += permitted as f64;
+    fn record_verdicts(&mut self, queue: QueueName, requested: usize, permitted: usize) {
+        let rate = self.grant_rates.entry(queue).or_default();
+        rate.requested += requested as f64;
+        rate.permitted += permitted as f64;
     }
 }
