--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -436,7 +436,7 @@
     /// loans of its successor as unknown.
     fn send_after_commit(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
-            self.log.after_next(Action::Tell { to: to.clone(), fence, msg });
+            self.log.after_next_commit(Action::Tell { to: to.clone(), fence, msg });
         }
     }
 
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -1,7 +1,7 @@
-//! Making changes durable, several jobs at a time.
+//! Group commit of changed jobs to the store.
 //!
-//! One commit is under way at a time: the next one rests on the revision that it leaves. What
-//! changed meanwhile gathers and goes into the next.
+//! Only one commit is in flight at a time, since the next one depends on the revision that it leaves.
+//! Changes made in the meantime are collected for the next commit.
 
 use super::event::Action;
 use super::job_run::{Effect, JobRun, RecordState};
@@ -14,45 +14,44 @@
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// Entries kept for the shard's head, which is a condition and a write of each commit, and for the
-/// record of silent VMs.
-const HEAD_ENTRIES: usize = 3;
+/// Entries reserved for the shard's head, which is a condition and a write of each commit, and for
+/// the record of unresponsive VMs.
+const RESERVED_ENTRIES: usize = 3;
 
-/// Entries that one job takes at the most: the condition on its id, its id, the job and its
-/// progress.
+/// Maximum number of entries for one job: the condition on its id, the id, the job and its progress.
 const MAX_JOB_ENTRIES: usize = 4;
 
-/// Keys of one shard.
+/// Store keys of one shard.
 #[derive(Clone, Debug)]
 pub struct Keys {
     shard: String,
 }
 
 impl Keys {
-    /// Prefix of all heads; each names a shard's owner.
+    /// Prefix of all head keys; each head names the owner of a shard.
     pub const HEADS: &'static str = "shard/";
 
-    /// Keys of the shard `name`.
+    /// Creates the keys of the shard `name`.
     pub fn new(name: &str) -> Self {
         Self { shard: name.to_owned() }
     }
 
-    /// Names the owner; each commit rests on it.
+    /// Key that names the owner; each commit is conditional on it.
     pub fn head(&self) -> String {
         format!("{}{}", Self::HEADS, self.shard)
     }
 
-    /// Prefix of the shard's jobs.
+    /// Key prefix of the shard's jobs.
     pub fn jobs(&self) -> String {
         format!("job/{}/", self.shard)
     }
 
-    /// Prefix of the jobs' progress.
+    /// Key prefix of the progress of the shard's jobs.
     pub fn all_progress(&self) -> String {
         format!("run/{}/", self.shard)
     }
 
-    /// VMs that don't answer and aren't extended.
+    /// Key of the list of unresponsive VMs whose leases are not extended.
     pub fn silence(&self) -> String {
         format!("silent/{}", self.shard)
     }
@@ -65,119 +64,119 @@
         format!("run/{}/{id}", self.shard)
     }
 
-    /// Says which shard a job is in, so that an id names one job only.
+    /// Key that maps a job id to its shard and makes job ids unique.
     pub fn id(id: JobId) -> String {
         format!("id/{id}")
     }
 }
 
-/// The commits of a shard.
+/// Commit queue of a shard.
 #[derive(Debug)]
 pub struct Log {
     keys: Keys,
     changed: IndexSet<JobId>,
     expired: Vec<JobId>,
     in_flight: Option<InFlight>,
-    /// What takes place once the next commit is durable.
-    after_next: Vec<Action>,
+    /// Actions to take once the next commit is durable.
+    after_next_commit: Vec<Action>,
     pub silence: silence::Record,
     last_seq: u64,
     next_at: Duration,
 }
 
-/// A commit without an answer.
+/// A commit that is not answered yet.
 #[derive(Debug)]
 pub struct InFlight {
     pub seq: u64,
     pub since: Duration,
     pub parts: Vec<Part>,
-    /// What takes place once it is durable.
+    /// Actions to take once the commit is durable.
     pub actions: Vec<Action>,
 }
 
-/// One job's part of a commit.
+/// The part of a commit that concerns one job.
 #[derive(Debug)]
 pub struct Part {
     pub id: JobId,
-    /// State that it makes durable.
+    /// Job state that the commit makes durable.
     pub state: ShownState,
-    /// What the store has of the job then.
+    /// State of the job record in the store after the commit.
     pub record: RecordState,
     pub effects: Vec<Effect>,
 }
 
 impl Log {
-    /// A log whose last commit was `seq`.
+    /// Creates a log whose last commit was `seq`.
     pub fn new(keys: Keys, seq: u64, silence: silence::Record) -> Self {
         Self {
             keys,
             changed: IndexSet::new(),
             expired: Vec::new(),
             in_flight: None,
-            after_next: Vec::new(),
+            after_next_commit: Vec::new(),
             silence,
             last_seq: seq,
             next_at: Duration::ZERO,
         }
     }
 
-    /// A job changed.
+    /// Marks a job as changed.
     pub fn touch(&mut self, id: JobId) {
         self.changed.insert(id);
     }
 
-    /// Does something once the next commit has proved that the shard is still owned.
-    pub fn after_next(&mut self, action: Action) {
-        self.after_next.push(action);
+    /// Delays an action until the next commit has proved that the shard is still owned.
+    pub fn after_next_commit(&mut self, action: Action) {
+        self.after_next_commit.push(action);
     }
 
-    /// A job's state has been shown for long enough.
+    /// Schedules the deletion of a job whose state has been shown for long enough.
     pub fn expire(&mut self, id: JobId) {
         self.expired.push(id);
     }
 
-    /// A job is not to be recorded after all.
+    /// Removes a job from the next commit.
     pub fn forget(&mut self, id: JobId) {
         self.changed.shift_remove(&id);
     }
 
-    /// Whether a job waits for the next commit.
+    /// Returns whether a job waits for the next commit.
     pub fn waits(&self, id: JobId) -> bool {
         self.changed.contains(&id)
     }
 
-    /// Whether everything about a job is durable.
+    /// Returns whether all changes of a job are durable.
     pub fn is_durable(&self, id: JobId) -> bool {
         let in_flight = self.in_flight.as_ref();
         !self.waits(id) && !in_flight.is_some_and(|c| c.parts.iter().any(|part| part.id == id))
     }
 
-    /// Number that a change made now will be committed under, at the earliest.
+    /// Lowest sequence number under which a change made now can be committed.
     pub fn next_seq(&self) -> u64 {
         self.last_seq + 1
     }
 
-    /// Whether everything is durable.
+    /// Returns whether all job changes are durable.
     pub fn is_settled(&self) -> bool {
         self.changed.is_empty() && self.in_flight.is_none()
     }
 
-    /// How long the present commit has waited for its answer.
+    /// Time that the current commit has been waiting for its answer.
     pub fn age(&self, now: Duration) -> Duration {
         self.in_flight.as_ref().map_or(Duration::ZERO, |c| now.saturating_sub(c.since))
     }
 
-    /// When the next commit may be made, if there is anything to commit.
+    /// Earliest time of the next commit; `None` if there is nothing to commit or a commit is in flight.
     pub fn due(&self) -> Option<Duration> {
         let idle = self.in_flight.is_none();
         let empty = self.changed.is_empty()
             && self.expired.is_empty()
-            && self.after_next.is_empty()
+            && self.after_next_commit.is_empty()
             && !self.silence.is_changed();
         (idle && !empty).then_some(self.next_at)
     }
 
-    /// Makes up the next commit.
+    /// Builds the next commit if it is due.
     pub fn next(
         &mut self,
         jobs: &mut IndexMap<JobId, JobRun>,
@@ -191,16 +190,16 @@
             seq: self.last_seq + 1,
             since: now,
             parts: Vec::new(),
-            actions: std::mem::take(&mut self.after_next),
+            actions: std::mem::take(&mut self.after_next_commit),
         };
-        let room = MAX_TXN_ENTRIES - HEAD_ENTRIES - MAX_JOB_ENTRIES;
+        let room = MAX_TXN_ENTRIES - RESERVED_ENTRIES - MAX_JOB_ENTRIES;
         if self.silence.is_changed() {
             txn.puts.push(put(self.keys.silence(), encode(&self.silence.send())));
         }
         while txn.entries() <= room {
             let Some(id) = self.changed.shift_remove_index(0) else { break };
             if let Some(job) = jobs.get_mut(&id) {
-                self.add(job, &mut txn, &mut commit);
+                self.add_job(job, &mut txn, &mut commit);
             }
         }
         while txn.entries() <= room {
@@ -215,7 +214,7 @@
         Some((seq, txn))
     }
 
-    /// The answer to the present commit came.
+    /// Takes the commit in flight once its answer has arrived; `None` if `seq` is another commit.
     pub fn answered(&mut self, seq: u64) -> Option<InFlight> {
         let commit = self.in_flight.take()?;
         if commit.seq != seq {
@@ -225,15 +224,15 @@
         Some(commit)
     }
 
-    /// The commit without an answer, if there is one.
+    /// Takes the commit in flight without waiting for its answer.
     pub fn abandon(&mut self) -> Option<InFlight> {
         self.in_flight.take()
     }
 
-    /// Gives back the jobs of a commit that did not take effect, to be committed again.
+    /// Queues the jobs and actions of a commit that was not applied for the next commit.
     pub fn redo(&mut self, commit: InFlight, jobs: &mut IndexMap<JobId, JobRun>) {
         self.silence.not_written();
-        self.after_next.extend(commit.actions);
+        self.after_next_commit.extend(commit.actions);
         for mut part in commit.parts {
             let Some(job) = jobs.get_mut(&part.id) else { continue };
             part.effects.append(&mut job.effects);
@@ -242,7 +241,7 @@
         }
     }
 
-    fn add(&self, job: &mut JobRun, txn: &mut Txn, commit: &mut InFlight) {
+    fn add_job(&self, job: &mut JobRun, txn: &mut Txn, commit: &mut InFlight) {
         let id = job.id();
         let mut record = job.record;
         if record == RecordState::Dropped {
@@ -262,8 +261,8 @@
             }
             record = RecordState::Kept;
         }
-        let over = job.is_final() && !job.has_runs() && !job.has_lent();
-        if over && record == RecordState::Kept {
+        let ended = job.is_final() && !job.has_runs() && !job.has_lent();
+        if ended && record == RecordState::Kept {
             if job.record == RecordState::Kept {
                 txn.deletes.push(self.keys.job(id));
             }
