--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -1,4 +1,4 @@
-//! Taking a shard over: from what the store has, to what the VMs say.
+//! Takeover of a shard: rebuilds its state from the store, to be reconciled with what the VMs report.
 
 use super::job_run::{JobRun, Place};
 use super::log::{Keys, Log};
@@ -18,28 +18,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A shard as the store has it.
+/// State of a shard at takeover, mostly read from the store.
 #[derive(Clone, Debug)]
 pub struct Recovered {
     pub shard: String,
-    /// Token of this owner.
+    /// Fencing token of this owner.
     pub fence: Fence,
     /// Number of the last commit.
     pub seq: u64,
     pub previous: Previous,
     pub jobs: Vec<Arc<Job>>,
     pub progress: Vec<(JobId, Progress)>,
-    /// Owner before this one.
+    /// Previous owner.
     pub predecessor: Option<DaemonId>,
-    /// What it said of VMs that it didn't hear, as it gave the shard to this owner.
+    /// VMs that did not answer the previous owner when it handed the shard over.
     pub lapses: Vec<Lapse>,
-    /// VMs that the store has as silent.
+    /// VMs that are recorded as silent in the store.
     pub silent: Vec<SilentVm>,
-    /// What owners told of them, as of now.
+    /// Remaining times of these VMs that owners reported, as of now.
     pub told: Vec<ToldLapse>,
 }
 
-/// A VM that isn't heard, and how long it may still keep its work running.
+/// A VM that does not answer, and how long it may still keep its work running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lapse {
     pub vm: VmId,
@@ -47,23 +47,23 @@
 }
 
 impl Lapse {
-    /// The same after some time.
+    /// Returns the lapse as seen after `passed`.
     pub fn aged(self, passed: Duration) -> Self {
         Self { left: self.left.saturating_sub(passed), ..self }
     }
 }
 
-/// What is known of the owner before.
+/// State of the previous owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Previous {
-    /// It has ended, or has given the shard away: it keeps nothing running any more.
+    /// It has ended or has handed the shard over, and keeps no work running any more.
     Ended,
-    /// It may not know yet that it lost the shard, and may keep its VMs' work running.
+    /// It may not have noticed that it lost the shard, and may still extend its VMs' leases.
     Unsure,
 }
 
 impl Shard {
-    /// A shard taken over with what the store has.
+    /// Creates a shard from its recovered state.
     pub fn new(
         recovered: Recovered,
         settings: Settings,
@@ -72,7 +72,7 @@
         now: Now,
     ) -> Self {
         let keep = settings.max_keep;
-        let unaware = match recovered.previous {
+        let blind_extension = match recovered.previous {
             Previous::Ended => Duration::ZERO,
             Previous::Unsure => BLIND_EXTENSION,
         };
@@ -94,7 +94,11 @@
             kept: super::compact::Kept::default(),
             effects: super::interference::Effects::default(),
             list: super::fleet::List::Inherited { since: now.steady },
-            inherited_until: now.steady + keep + keep.mul_f64(CLOCK_DRIFT) + unaware + LAPSE_MARGIN,
+            inherited_until: now.steady
+                + keep
+                + keep.mul_f64(CLOCK_DRIFT)
+                + blind_extension
+                + LAPSE_MARGIN,
             stage: super::Stage::Serving,
             now,
             last_schedule: Duration::ZERO,
@@ -108,14 +112,16 @@
         }
         let progress: IndexMap<JobId, Progress> = recovered.progress.into_iter().collect();
         shard.recover_jobs(recovered.jobs, &progress);
-        shard.take_lapses(&recovered.lapses);
-        shard.take_told(recovered.told);
+        shard.apply_lapses(&recovered.lapses);
+        shard.apply_told_lapses(recovered.told);
         shard
     }
 
-    /// VMs that aren't heard, for the owner that the shard is given to. It can't know when their
-    /// work was extended last, and would wait all of the time again before it starts that work
-    /// elsewhere: over three planned stops in a row, tasks of a dead VM stood for half a minute.
+    /// Returns the VMs that do not answer, for the owner that the shard is handed to.
+    ///
+    /// The new owner cannot know when the leases of these VMs were last extended, and would wait for
+    /// the full time again before it starts their work elsewhere. Over three planned stops in a row,
+    /// tasks of a dead VM were delayed by half a minute.
     pub fn lapses(&self) -> Vec<Lapse> {
         let now = self.now.steady;
         let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_heard(now));
@@ -123,7 +129,7 @@
         silent.map(lapse).collect()
     }
 
-    fn take_lapses(&mut self, lapses: &[Lapse]) {
+    fn apply_lapses(&mut self, lapses: &[Lapse]) {
         let now = self.now.steady;
         for lapse in lapses {
             if let Some(vm) = self.vms.get_mut(&lapse.vm) {
@@ -132,13 +138,15 @@
         }
     }
 
-    /// Goes by what was told of VMs whose silence the store still has: nobody has extended them since.
-    /// Without it, a task on a VM that died before its owner did stood still for twice the time.
-    fn take_told(&mut self, told: Vec<ToldLapse>) {
+    /// Applies the reported remaining times of VMs that are still recorded as silent in the store,
+    /// since nobody has extended their leases.
+    ///
+    /// Without this, a task on a VM that died before its owner did was delayed for twice the time.
+    fn apply_told_lapses(&mut self, told: Vec<ToldLapse>) {
         let silence = &self.log.silence;
         let holds = |told: &ToldLapse| silence.mark(&told.lapse.vm) == Some(told.mark);
         let lapses: Vec<Lapse> = told.into_iter().filter(holds).map(|told| told.lapse).collect();
-        self.take_lapses(&lapses);
+        self.apply_lapses(&lapses);
         for lapse in lapses {
             let Some(vm) = self.vms.get(&lapse.vm) else { continue };
             let (runs, left_ms) = (vm.runs.len(), Ms(lapse.left));
@@ -146,7 +154,7 @@
         }
     }
 
-    /// Jobs and runs that aren't known to have ended.
+    /// Numbers of jobs and runs that are not known to have ended.
     pub fn open_work(&self) -> (usize, usize) {
         (self.jobs.len(), self.vms.values().map(|vm| vm.runs.len()).sum())
     }
@@ -162,13 +170,14 @@
             self.recover_loans(id);
             self.advance(id);
             if self.jobs.get(&id).is_some_and(|job| job.is_final()) {
-                // What is left of it is to be stopped, and its record to be closed.
+                // Stop the remaining runs and close the job record.
                 self.stop_job(id, "its job has ended");
                 self.log.touch(id);
             }
         }
-        // Which of two lives at one address is the later one, the address is asked: the list may have been
-        // read before the one that the store tells of began, and work there was started a second time.
+        // If there are two instances of a VM at one address, the address is asked which of them is the
+        // current one. The list may have been read before the instance in the store came up, and going
+        // by the list started work there a second time.
         for (id, progress) in progress {
             if !self.jobs.contains_key(id) && progress.home.is_none() {
                 self.closed.insert(*id, Closed { state: progress.state, since: now.steady });
@@ -187,14 +196,15 @@
             let vm = self
                 .vms
                 .entry(place.vm.clone())
-                .or_insert_with(|| unannounced(&place, service, now, self.inherited_until));
+                .or_insert_with(|| unlisted_vm(&place, service, now, self.inherited_until));
             vm.runs.insert(RunKey { task, run: place.run }, run);
         }
     }
 }
 
-/// A VM that work is bound to and that isn't announced: it may be out of reach, or gone.
-fn unannounced(place: &Place, service: &ServiceName, now: Duration, lapsed_by: Duration) -> Vm {
+/// Creates an entry for a VM that has work bound to it but is not in the list: it may be unreachable
+/// or gone.
+fn unlisted_vm(place: &Place, service: &ServiceName, now: Duration, lapsed_by: Duration) -> Vm {
     let entry = VmEntry {
         id: place.vm.clone(),
         service: service.clone(),
