--- a/src/shard/drain.rs
+++ b/src/shard/drain.rs
@@ -1,9 +1,9 @@
-//! Emptying VMs that leave.
+//! Draining of VMs that are about to leave.
 //!
-//! What still runs on a VM when it leaves is lost, and nobody hears of its end: its tasks could
-//! start again only once the time that the VM was given has passed, up to ten seconds later. So
-//! everything is stopped before: what lasts or can be resumed at once, the rest when it would not
-//! end in time, and all of it while there is still time to hear of the stop.
+//! Runs that are still on a VM when it leaves are lost without a report of their end. Their tasks
+//! could start again only after the VM's lease has expired, up to ten seconds later, so all runs are
+//! stopped before: long-running tasks at once, tasks with checkpoints if they would not end in time,
+//! and the rest while there is still time to confirm the stop.
 
 use super::Shard;
 use super::vm_run::{Leaving, Run, RunKey};
@@ -11,17 +11,18 @@
 use crate::job::{Life, Resume, Step};
 use std::time::Duration;
 
-/// Time that a leaving VM is taken to have if it doesn't say; the shortest notice of the users'.
-const USUAL_NOTICE: Duration = Duration::from_millis(2000);
+/// Assumed notice of a leaving VM that does not state one; the shortest notice in use.
+const DEFAULT_NOTICE: Duration = Duration::from_millis(2000);
 
-/// Time for a stop to be carried out and heard of.
-const STOP_TIME: Duration = Duration::from_millis(1300);
+/// Time for a stop to be carried out and confirmed.
+const STOP_MARGIN: Duration = Duration::from_millis(1300);
 
-/// Progress from which on the end of a run is foreseen, of 100; less tells too little.
-const FORESEEABLE: u8 = 10;
+/// Minimum progress in percent from which the remaining time of a run is extrapolated; below it the
+/// extrapolation is too inaccurate.
+const MIN_EXTRAPOLATED_PERCENT: u8 = 10;
 
 impl Shard {
-    /// Stops what won't end by itself on VMs that leave.
+    /// Stops runs on leaving VMs that would not end in time.
     pub(super) fn empty_leaving(&mut self) {
         let now = self.now.steady;
         let leaving: Vec<VmId> = self
@@ -31,40 +32,40 @@
             .map(|vm| vm.id.clone())
             .collect();
         for id in leaving {
-            for key in self.to_be_stopped(&id) {
-                self.stop_run(&id, key, "its VM leaves");
+            for key in self.runs_to_stop(&id) {
+                self.stop_run(&id, key, "its VM is leaving");
             }
         }
     }
 
-    fn to_be_stopped(&self, id: &VmId) -> Vec<RunKey> {
+    fn runs_to_stop(&self, id: &VmId) -> Vec<RunKey> {
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return Vec::new() };
         let Some(leaving) = vm.leaving else { return Vec::new() };
-        let left = time_left(leaving, now).saturating_sub(STOP_TIME);
+        let left = time_left(leaving, now).saturating_sub(STOP_MARGIN);
         let stops = |(key, run): &(&RunKey, &Run)| {
             let step = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task));
-            run.is_running() && step.is_some_and(|step| is_stopped(step, run, left, now))
+            run.is_running() && step.is_some_and(|step| must_stop(step, run, left, now))
         };
         vm.runs.iter().filter(stops).map(|(key, _)| *key).collect()
     }
 }
 
 fn time_left(leaving: Leaving, now: Duration) -> Duration {
-    let given = leaving.left.unwrap_or(USUAL_NOTICE);
+    let given = leaving.left.unwrap_or(DEFAULT_NOTICE);
     (leaving.since + given).saturating_sub(now)
 }
 
-fn is_stopped(step: &Step, run: &Run, left: Duration, now: Duration) -> bool {
+fn must_stop(step: &Step, run: &Run, left: Duration, now: Duration) -> bool {
     if step.life == Life::Lasting || left.is_zero() {
         return true;
     }
     let Some(since) = run.running_since else { return false };
     let ran = now.saturating_sub(since);
-    let rest = if run.percent >= FORESEEABLE {
+    let remaining = if run.percent >= MIN_EXTRAPOLATED_PERCENT {
         ran.mul_f64(f64::from(100 - run.percent.min(100)) / f64::from(run.percent))
     } else {
         step.estimate.saturating_sub(ran)
     };
-    step.resume == Resume::FromCheckpoint && rest > left
+    step.resume == Resume::FromCheckpoint && remaining > left
 }
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -1,9 +1,9 @@
-//! Emptying VMs whose machines go down for upkeep.
+//! Draining of VMs whose machines go down for maintenance.
 //!
-//! Everything on the machine ends with the order, so that nothing may be there then that isn't to
-//! end. Nothing is placed on such a VM any more. What lasts moves elsewhere, no more tasks of a step
-//! at a time than may be away; what can be resumed is stopped; the rest may end by itself for a
-//! while, since stopping it throws its work away.
+//! Carrying out the maintenance order ends everything on the machine, so the VM has to be empty by
+//! then. No new tasks are placed on it. Long-running tasks move to other VMs, with no more tasks of a
+//! step unavailable at a time than the step allows. Tasks that can resume from a checkpoint are
+//! stopped. All others get some time to finish, since stopping them discards their work.
 
 use super::Shard;
 use super::event::VacateOrder;
@@ -15,39 +15,39 @@
 use indexmap::{IndexMap, IndexSet};
 use std::time::Duration;
 
-/// Between two lines on why a VM isn't empty yet.
-const NOTE_EVERY: Duration = Duration::from_secs(2);
+/// Interval between log lines on why a VM is not empty yet.
+const LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Between two looks at what can be stopped.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
+/// Interval between checks for runs that can be stopped.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// VMs that are to be empty.
+/// VMs that are being drained for maintenance.
 #[derive(Debug, Default)]
 pub struct Vacating {
-    /// And since when.
+    /// VMs that are being drained, with the start time.
     vms: IndexMap<VmId, Duration>,
-    /// Their turn comes: nothing that lasts is to begin there.
+    /// VMs that are drained later: long-running tasks are not started there.
     later: IndexSet<VmId>,
-    /// Time that work which can't be resumed is left to end by itself.
+    /// Time that tasks without checkpoints get to finish.
     patience: Duration,
-    next_look: Duration,
-    next_note: Duration,
+    next_check: Duration,
+    next_log: Duration,
 }
 
 impl Vacating {
-    /// Whether nothing may be placed on a VM.
+    /// Returns whether a VM is being drained, so that nothing may be placed on it.
     pub fn has(&self, vm: &VmId) -> bool {
         self.vms.contains_key(vm)
     }
 
-    /// Whether what lasts would soon have to leave a VM.
+    /// Returns whether a VM is going to be drained soon, so that long-running tasks should avoid it.
     pub fn comes(&self, vm: &VmId) -> bool {
         self.later.contains(vm)
     }
 }
 
 impl Shard {
-    /// These VMs are to be empty, and those later.
+    /// Applies an order that names the VMs to drain now and those to drain later.
     pub(super) fn vacate(&mut self, order: VacateOrder) {
         let VacateOrder { vms, later, patience } = order;
         let now = self.now.steady;
@@ -60,14 +60,14 @@
             }
             self.vacating.vms.insert(vm, since.unwrap_or(now));
         }
-        self.vacating.next_look = before.next_look;
-        self.vacating.next_note = before.next_note;
+        self.vacating.next_check = before.next_check;
+        self.vacating.next_log = before.next_log;
         self.vacating.later = later.into_iter().collect();
         self.vacating.patience = patience;
         self.replan();
     }
 
-    /// VMs that were to be emptied and run nothing.
+    /// Returns the VMs that have been drained: they respond and have no runs.
     pub fn vacated(&self) -> Vec<VmId> {
         let now = self.now.steady;
         let is_empty = |vm: &&Vm| vm.runs.is_empty() && vm.is_heard(now);
@@ -75,68 +75,69 @@
         vms.filter(is_empty).map(|vm| vm.id.clone()).collect()
     }
 
-    /// Stops what is to leave and may.
+    /// Stops the runs on draining VMs that may be stopped now.
     pub(super) fn empty_vacating(&mut self) {
         let now = self.now.steady;
-        if self.vacating.vms.is_empty() || now < self.vacating.next_look {
+        if self.vacating.vms.is_empty() || now < self.vacating.next_check {
             return;
         }
-        self.vacating.next_look = now + LOOK_EVERY;
+        self.vacating.next_check = now + CHECK_INTERVAL;
         let vacating: Vec<(VmId, Duration)> =
             self.vacating.vms.iter().map(|(vm, since)| (vm.clone(), *since)).collect();
         for (vm, since) in vacating {
-            for key in self.running_on(&vm) {
-                // Each stop counts against what else of its step may be away.
-                match self.stays(&vm, key, since) {
-                    None => self.stop_run(&vm, key, "its VM is to be empty"),
-                    Some(reason) => self.note_stays(&vm, key, reason),
+            for key in self.runs_on(&vm) {
+                // Each stop reduces the number of further tasks of the step that may be stopped.
+                match self.stop_blocker(&vm, key, since) {
+                    None => self.stop_run(&vm, key, "its VM is drained for maintenance"),
+                    Some(reason) => self.log_blocked_stop(&vm, key, reason),
                 }
             }
         }
     }
 
-    fn note_stays(&mut self, vm: &VmId, key: RunKey, reason: Word) {
+    fn log_blocked_stop(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let now = self.now.steady;
-        if now >= self.vacating.next_note {
-            self.vacating.next_note = now + NOTE_EVERY;
+        if now >= self.vacating.next_log {
+            self.vacating.next_log = now + LOG_INTERVAL;
             self.note(Note::VacateWaits { vm: vm.clone(), task: key.task, reason });
         }
     }
 
-    fn running_on(&self, vm: &VmId) -> Vec<RunKey> {
+    fn runs_on(&self, vm: &VmId) -> Vec<RunKey> {
         let Some(vm) = self.vms.get(vm) else { return Vec::new() };
         let running = vm.runs.iter().filter(|(_, run)| run.is_running());
         running.map(|(key, _)| *key).collect()
     }
 
-    /// Why a run isn't stopped yet; `None` if it may be.
-    fn stays(&self, vm: &VmId, key: RunKey, since: Duration) -> Option<Word> {
+    /// Returns the reason why a run is not stopped yet, or `None` if it may be stopped.
+    fn stop_blocker(&self, vm: &VmId, key: RunKey, since: Duration) -> Option<Word> {
         let now = self.now.steady;
         let job = self.jobs.get(&key.task.job)?;
         let step = job.step(key.task)?;
         let run = self.vms.get(vm).and_then(|vm| vm.runs.get(&key))?;
         match (step.life, step.resume) {
-            (Life::Lasting, _) if !self.may_be_away(job, step, key.task) => {
-                Some("others of its step are away")
+            (Life::Lasting, _) if !self.may_stop_another(job, step, key.task) => {
+                Some("too many tasks of its step are unavailable")
             }
             (Life::Lasting, _)
-                if now.saturating_sub(since) < ROOM_PATIENCE && !self.has_room(job, step) =>
+                if now.saturating_sub(since) < MAX_ROOM_WAIT
+                    && !self.fits_elsewhere_now(job, step) =>
             {
-                Some("there is no room elsewhere")
+                Some("no other VM has room for it")
             }
             (Life::Finite, Resume::FromStart)
                 if now.saturating_sub(since) < self.vacating.patience || ends_soon(run, now) =>
             {
-                Some("it may end by itself")
+                Some("it may finish on its own")
             }
             _ => None,
         }
     }
 
-    /// Whether one more task of a step may be away.
-    fn may_be_away(&self, job: &JobRun, step: &Step, task: TaskRef) -> bool {
+    /// Returns whether one more task of a step may be unavailable.
+    fn may_stop_another(&self, job: &JobRun, step: &Step, task: TaskRef) -> bool {
         let Some(most) = step.max_away else { return true };
-        // What other shards do to the step's tasks isn't known here.
+        // Availability of the step's tasks in other shards is not known.
         let Some(run) = job.step_run(task).filter(|run| !job.is_guest() && !has_lent(run)) else {
             return false;
         };
@@ -144,12 +145,12 @@
             run.tasks.iter().enumerate().filter(|(index, _)| *index != task.index as usize);
         let away = others.filter(|(index, other)| {
             let number = u32::try_from(*index).unwrap_or(u32::MAX);
-            !self.is_at_work(TaskRef { index: number, ..task }, other)
+            !self.is_available(TaskRef { index: number, ..task }, other)
         });
         away.count() < most as usize
     }
 
-    fn is_at_work(&self, task: TaskRef, known: &Task) -> bool {
+    fn is_available(&self, task: TaskRef, known: &Task) -> bool {
         known.runs.iter().any(|place| {
             let key = RunKey { task, run: place.run };
             let run = self.vms.get(&place.vm).and_then(|vm| vm.runs.get(&key));
@@ -157,8 +158,8 @@
         })
     }
 
-    /// Whether a task of a step would find room at once.
-    fn has_room(&self, job: &JobRun, step: &Step) -> bool {
+    /// Returns whether a VM of this shard has room for a task of a step right now.
+    fn fits_elsewhere_now(&self, job: &JobRun, step: &Step) -> bool {
         let now = self.now.steady;
         self.vms.values().any(|vm| {
             vm.entry.service == job.job.service
@@ -174,17 +175,18 @@
     run.tasks.iter().any(|task| task.lent.is_some())
 }
 
-/// Whether a run will have ended in about a second.
+/// Returns whether a run is expected to end in less time than stopping it takes.
 fn ends_soon(run: &Run, now: Duration) -> bool {
     let Some(since) = run.running_since else { return false };
     let ran = now.saturating_sub(since);
     run.percent > 0
-        && ran.mul_f64(f64::from(100 - run.percent.min(100)) / f64::from(run.percent)) < SOON
+        && ran.mul_f64(f64::from(100 - run.percent.min(100)) / f64::from(run.percent))
+            < STOP_DURATION
 }
 
-/// Time for room elsewhere to come free for a task that lasts. On a full shard none does by itself: room
-/// is kept free, here or in another shard, only for what waits.
-const ROOM_PATIENCE: Duration = Duration::from_millis(1200);
+/// Longest time that a long-running task stays until other VMs have room for it. A full shard frees
+/// no room on its own: room is reserved, in this shard or another, only for waiting tasks.
+const MAX_ROOM_WAIT: Duration = Duration::from_millis(1200);
 
-/// As long as stopping takes.
-const SOON: Duration = Duration::from_millis(1000);
+/// Time that stopping a run takes.
+const STOP_DURATION: Duration = Duration::from_millis(1000);
