--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -1,9 +1,11 @@
-//! Making room on one VM for a large lasting task, where what is free lies in pieces on many.
+//! Defragmentation: makes room on one VM for a large long-running task when the free resources are
+//! spread over many VMs.
 //!
-//! Lasting tasks leave no room by themselves for as long as they run. A task that fits into none of the pieces
-//! would wait for all that time, so up to three smaller ones beside a piece move to other pieces. They stand still
-//! for about a second, and never reserve as much as the one that they move for. The VMs that take part are
-//! kept for the tasks that are to come there until they have come, or for [`KEPT_FOR`].
+//! Long-running tasks do not free their resources for as long as they run, and a task that fits on
+//! no VM would wait all that time. To make room for it, up to three smaller tasks move from one VM
+//! to others. They are interrupted for about a second, and together they always reserve less CPU
+//! than the task that they move for. The VMs involved are reserved for the tasks that are to be
+//! placed there until these are placed, or for [`RESERVATION_TIMEOUT`].
 
 #[cfg(test)]
 mod tests;
@@ -19,38 +21,42 @@
 use crate::units::{MilliCores, Resources};
 use std::time::Duration;
 
-/// Time that a task waits before others move for it: lending it to another shard stops nothing.
-const PATIENCE: Duration = Duration::from_millis(1000);
+/// Time that a task waits before others move for it. Lending it to another shard is tried first,
+/// since that interrupts no other task.
+const MOVE_DELAY: Duration = Duration::from_millis(1000);
 
-/// Longest time that VMs are kept for a move; a stop, two commits and a start take about one second.
-const KEPT_FOR: Duration = Duration::from_secs(4);
+/// Longest time that VMs are reserved for a move; a stop, two commits and a start take about one
+/// second.
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Moves that go on in a shard at a time.
-const MAX_MOVES: usize = 4;
+/// Maximum number of concurrent moves in a shard.
+const MAX_CONCURRENT_MOVES: usize = 4;
 
-/// Between two looks for moves, and the tasks that one is looked for at a time.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-const MAX_TRIED: usize = 8;
+/// Interval between checks for moves.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// VMs that are kept for single tasks.
+/// Maximum number of tasks for which a move is sought in one check.
+const MAX_TASKS_PER_CHECK: usize = 8;
+
+/// VMs that are reserved for specific tasks.
 #[derive(Debug, Default)]
 pub struct Kept {
-    vms: Vec<KeptVm>,
-    next_look: Duration,
+    vms: Vec<ReservedVm>,
+    next_check: Duration,
 }
 
-/// A VM that is kept for a task.
+/// A VM that is reserved for a task.
 #[derive(Clone, Debug)]
-struct KeptVm {
+struct ReservedVm {
     vm: VmId,
     task: TaskRef,
-    /// Where the task runs until it moves; `None` if it waits.
+    /// VM that the task runs on until it moves; `None` if the task is waiting.
     from: Option<VmId>,
     until: Duration,
 }
 
 impl Kept {
-    /// Whether a VM is kept for a task.
+    /// Returns whether a VM is reserved for a task.
     pub fn has(&self, vm: &VmId) -> bool {
         self.vms.iter().any(|kept| kept.vm == *vm)
     }
@@ -64,45 +70,45 @@
     }
 }
 
-/// A lasting task that may move.
+/// A long-running task that may move.
 #[derive(Clone, Debug)]
-struct Movable {
+struct MovableTask {
     key: RunKey,
     size: Resources,
 }
 
-/// What moves where so that a task fits on a VM.
+/// The moves to other VMs that make a task fit on a VM.
 #[derive(Clone, Debug)]
-struct Plan {
+struct MovePlan {
     vm: VmId,
-    moved: Vec<(Movable, VmId)>,
+    moved: Vec<(MovableTask, VmId)>,
 }
 
-impl Plan {
-    /// Processors of what moves, in thousandths of a core.
+impl MovePlan {
+    /// Total milli-cores of the tasks that move.
     fn milli_cores(&self) -> u32 {
         self.moved.iter().map(|(movable, _)| movable.size.milli_cores.0).sum()
     }
 }
 
 impl Shard {
-    /// Lets go of VMs whose task has come or will not come.
+    /// Releases VMs whose task has been placed or will not be placed there any more.
     pub(super) fn release_kept(&mut self) {
         let now = self.now.steady;
         let mut kept = std::mem::take(&mut self.kept);
         kept.vms.retain(|kept| {
             let task = self.jobs.get(&kept.task.job).filter(|job| !job.is_final());
             let task = task.and_then(|job| job.task(kept.task));
-            let is_to_come = task.is_some_and(|task| {
+            let is_pending = task.is_some_and(|task| {
                 let leaves = |place: &Place| kept.from.as_ref() == Some(&place.vm);
                 task.is_waiting() || (!task.runs.is_empty() && task.runs.iter().all(leaves))
             });
-            is_to_come && now < kept.until
+            is_pending && now < kept.until
         });
         self.kept = kept;
     }
 
-    /// Binds tasks to the VMs that are kept for them, as soon as they fit.
+    /// Binds tasks to the VMs that are reserved for them as soon as they fit.
     pub(super) fn place_kept(&mut self, pass: &mut Pass) {
         for kept in self.kept.vms.clone() {
             let job = self.jobs.get(&kept.task.job);
@@ -119,29 +125,31 @@
         }
     }
 
-    /// Moves small lasting tasks for large ones that have waited for long.
+    /// Moves smaller long-running tasks for larger ones that have waited long enough.
     pub(super) fn make_room(&mut self, waiting: &[TaskRef], pass: &Pass) {
         let now = self.now.steady;
-        if now < self.kept.next_look {
+        if now < self.kept.next_check {
             return;
         }
-        self.kept.next_look = now + LOOK_EVERY;
-        let movers: Vec<(TaskRef, Step)> =
-            waiting.iter().filter_map(|task| Some((*task, self.needs_move(*task)?))).collect();
-        for (task, step) in movers.into_iter().take(MAX_TRIED) {
-            if self.kept.moves() < MAX_MOVES {
+        self.kept.next_check = now + CHECK_INTERVAL;
+        let candidates: Vec<(TaskRef, Step)> = waiting
+            .iter()
+            .filter_map(|task| Some((*task, self.step_needing_room(*task)?)))
+            .collect();
+        for (task, step) in candidates.into_iter().take(MAX_TASKS_PER_CHECK) {
+            if self.kept.moves() < MAX_CONCURRENT_MOVES {
                 self.make_room_for(task, &step, pass);
             }
         }
     }
 
-    /// The step of a task that has waited long enough for others to move.
-    fn needs_move(&self, task: TaskRef) -> Option<Step> {
+    /// Returns the step of a task that has waited long enough for others to move.
+    fn step_needing_room(&self, task: TaskRef) -> Option<Step> {
         let job = self.jobs.get(&task.job)?;
-        let step = job.step(task).filter(|step| is_free(step))?;
+        let step = job.step(task).filter(|step| can_run_anywhere(step))?;
         let known = job.task(task).filter(|task| task.is_waiting())?;
         let waited = self.now.steady.saturating_sub(known.away_since?);
-        let needs = waited >= PATIENCE && !self.kept.has_task(task);
+        let needs = waited >= MOVE_DELAY && !self.kept.has_task(task);
         (needs && self.permits_of(task).is_none()).then(|| step.clone())
     }
 
@@ -149,7 +157,7 @@
         let Some(job) = self.jobs.get(&task.job) else { return };
         let since = job.task(task).and_then(|task| task.away_since);
         let waited = since.map_or(Duration::ZERO, |at| self.now.steady.saturating_sub(at));
-        let rooms = self.rooms_for_moves(&pass.rooms, &job.job.service);
+        let rooms = self.eligible_rooms(&pass.rooms, &job.job.service);
         let Some(plan) = self.plan(task, step, &rooms) else { return };
         self.note(Note::RoomPlanned {
             task,
@@ -159,22 +167,22 @@
             moved: plan.moved.len(),
             moved_milli_cores: plan.milli_cores(),
         });
-        self.carry_out(task, plan);
+        self.execute_plan(task, plan);
     }
 
-    fn carry_out(&mut self, task: TaskRef, plan: Plan) {
-        let until = self.now.steady + KEPT_FOR;
+    fn execute_plan(&mut self, task: TaskRef, plan: MovePlan) {
+        let until = self.now.steady + RESERVATION_TIMEOUT;
         for (movable, target) in plan.moved {
             let task = movable.key.task;
             let from = Some(plan.vm.clone());
-            self.kept.vms.push(KeptVm { vm: target, task, from, until });
-            self.stop_run(&plan.vm, movable.key, "it makes room for a larger one");
+            self.kept.vms.push(ReservedVm { vm: target, task, from, until });
+            self.stop_run(&plan.vm, movable.key, "it makes room for a larger task");
         }
-        self.kept.vms.push(KeptVm { vm: plan.vm, task, from: None, until });
+        self.kept.vms.push(ReservedVm { vm: plan.vm, task, from: None, until });
     }
 
-    /// VMs that may take part in a move.
-    fn rooms_for_moves<'a>(&self, rooms: &'a [Room], service: &ServiceName) -> Vec<&'a Room> {
+    /// Returns the VMs that may take part in a move.
+    fn eligible_rooms<'a>(&self, rooms: &'a [Room], service: &ServiceName) -> Vec<&'a Room> {
         let free = |room: &&Room| {
             room.service == *service
                 && room.trial == Trial::No
@@ -185,42 +193,43 @@
         rooms.iter().filter(free).collect()
     }
 
-    /// The plan that moves least.
-    fn plan(&self, task: TaskRef, step: &Step, rooms: &[&Room]) -> Option<Plan> {
+    /// Returns the plan that moves the fewest milli-cores.
+    fn plan(&self, task: TaskRef, step: &Step, rooms: &[&Room]) -> Option<MovePlan> {
         if rooms.iter().any(|room| room.could_take(step, task.of_step())) {
-            // Short work is in the way, and ends.
+            // Only short tasks are in the way, and they end soon.
             return None;
         }
-        let pieces: Vec<(&VmId, Resources)> =
+        let free_by_vm: Vec<(&VmId, Resources)> =
             rooms.iter().map(|room| (&room.vm, room.beside_lasting())).collect();
-        let most = pieces.iter().map(|(_, room)| room.milli_cores).max()?;
+        let most = free_by_vm.iter().map(|(_, room)| room.milli_cores).max()?;
         let plans = rooms.iter().filter_map(|room| {
             let movable = self.movable(room, step, most);
-            plan_on(&room.vm, step.reserved(), room.beside_lasting(), &movable, &pieces)
+            plan_for_vm(&room.vm, step.reserved(), room.beside_lasting(), &movable, &free_by_vm)
         });
-        plans.min_by_key(Plan::milli_cores)
+        plans.min_by_key(MovePlan::milli_cores)
     }
 
-    /// Lasting tasks on a VM that may move for a larger one, where no piece has more than the most.
-    fn movable(&self, room: &Room, larger: &Step, most: MilliCores) -> Vec<Movable> {
+    /// Returns the long-running tasks on a VM that may move for a larger one. `most` is the largest
+    /// free room on any VM, which a task must fit in.
+    fn movable(&self, room: &Room, larger: &Step, most: MilliCores) -> Vec<MovableTask> {
         let Some(vm) = self.vms.get(&room.vm) else { return Vec::new() };
         let may_move = |(key, run): (&RunKey, &super::vm_run::Run)| {
             let job = self.jobs.get(&key.task.job).filter(|job| !job.is_final())?;
-            let step = job.step(key.task).filter(|step| is_free(step))?;
+            let step = job.step(key.task).filter(|step| can_run_anywhere(step))?;
             let cores = step.size.milli_cores;
             let smaller = cores < larger.size.milli_cores && cores <= most;
             let moves = run.is_running()
                 && smaller
                 && step.max_away.is_none()
                 && self.permits_of(key.task).is_none();
-            moves.then(|| Movable { key: *key, size: step.reserved() })
+            moves.then(|| MovableTask { key: *key, size: step.reserved() })
         };
         vm.runs.iter().filter_map(may_move).collect()
     }
 }
 
-/// Whether a lasting task may go to any VM by itself.
-fn is_free(step: &Step) -> bool {
+/// Returns whether a step has long-running tasks that may be placed on any VM independently.
+fn can_run_anywhere(step: &Step) -> bool {
     step.life == Life::Lasting
         && step.share == Share::Reserved
         && step.label.is_none()
@@ -230,52 +239,52 @@
         && !step.members.one_rack()
 }
 
-/// The least of a VM's tasks that have to move to others for a task of the size to fit there.
-fn plan_on(
+/// Returns the plan that moves the fewest milli-cores off a VM so that a task of `size` fits there.
+fn plan_for_vm(
     vm: &VmId,
     size: Resources,
     room: Resources,
-    movable: &[Movable],
-    pieces: &[(&VmId, Resources)],
-) -> Option<Plan> {
-    let plan = |moved: Vec<&Movable>| {
+    movable: &[MovableTask],
+    free_by_vm: &[(&VmId, Resources)],
+) -> Option<MovePlan> {
+    let plan = |moved: Vec<&MovableTask>| {
         let freed = moved.iter().fold(room, |sum, movable| sum.saturating_add(&movable.size));
         if !size.fits_in(&freed) {
             return None;
         }
-        let plan = Plan { vm: vm.clone(), moved: targets(vm, &moved, pieces)? };
+        let plan = MovePlan { vm: vm.clone(), moved: choose_targets(vm, &moved, free_by_vm)? };
         (plan.milli_cores() < size.milli_cores.0).then_some(plan)
     };
-    groups(movable).into_iter().filter_map(plan).min_by_key(Plan::milli_cores)
+    combinations(movable).into_iter().filter_map(plan).min_by_key(MovePlan::milli_cores)
 }
 
-/// Each one, two and three of the tasks.
-fn groups(movable: &[Movable]) -> Vec<Vec<&Movable>> {
-    let mut groups = Vec::new();
+/// Returns all combinations of one, two or three tasks.
+fn combinations(movable: &[MovableTask]) -> Vec<Vec<&MovableTask>> {
+    let mut combinations = Vec::new();
     for (index, first) in movable.iter().enumerate() {
-        groups.push(vec![first]);
+        combinations.push(vec![first]);
         let after = &movable[index + 1..];
         for (index, second) in after.iter().enumerate() {
-            groups.push(vec![first, second]);
-            groups.extend(after[index + 1..].iter().map(|third| vec![first, second, third]));
+            combinations.push(vec![first, second]);
+            combinations.extend(after[index + 1..].iter().map(|third| vec![first, second, third]));
         }
     }
-    groups
+    combinations
 }
 
-/// A VM of its own for each task, the fullest in which it fits.
-fn targets(
+/// Chooses a separate VM for each task: the one with the least free CPU on which it fits.
+fn choose_targets(
     from: &VmId,
-    moved: &[&Movable],
-    pieces: &[(&VmId, Resources)],
-) -> Option<Vec<(Movable, VmId)>> {
-    let mut found: Vec<(Movable, VmId)> = Vec::new();
+    moved: &[&MovableTask],
+    free_by_vm: &[(&VmId, Resources)],
+) -> Option<Vec<(MovableTask, VmId)>> {
+    let mut found: Vec<(MovableTask, VmId)> = Vec::new();
     for movable in moved {
         let fits = |(vm, room): &&(&VmId, Resources)| {
-            let is_free = *vm != from && found.iter().all(|(_, taken)| taken != *vm);
-            is_free && movable.size.fits_in(room)
+            let is_unused = *vm != from && found.iter().all(|(_, taken)| taken != *vm);
+            is_unused && movable.size.fits_in(room)
         };
-        let (vm, _) = pieces.iter().filter(fits).min_by_key(|(_, room)| room.milli_cores)?;
+        let (vm, _) = free_by_vm.iter().filter(fits).min_by_key(|(_, room)| room.milli_cores)?;
         found.push(((*movable).clone(), (*vm).clone()));
     }
     Some(found)
