--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -1,10 +1,12 @@
-//! Tasks that crash the VMs that they run on.
+//! Detection of tasks that crash the VMs that they run on.
 //!
-//! A VM that comes back as another life without having said that it leaves has crashed, with everything that ran
-//! there. Any of it may be to blame, or nothing. Two things tell: a task that crashes its VMs does so each time, so
-//! that it is there again as the next one crashes; and mostly at once, while its neighbours had been at work for a
-//! while. Suspects are placed apart from each other, so that the next crash has one of them only. What can't be
-//! told in this way is bounded by the number of VMs that have crashed under a task.
+//! A VM that comes back as a new instance without having announced that it leaves has crashed,
+//! along with all its runs. Any of them may be the cause, or none. There are two indications. A
+//! task that crashes its VM does so every time, so it is also present at the next crash. And it
+//! mostly does so right after its start, while other runs on the VM have been working for a while.
+//! Suspects are placed on separate VMs, so that the next crash involves only one of them. Cases
+//! that cannot be distinguished in this way are bounded by the number of VMs that may crash under a
+//! task.
 
 use super::Shard;
 use super::job_run::{StepRun, Task, lasts};
@@ -17,29 +19,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Sudden crashes under a task that end it, if no other suspect was there.
-const SUDDEN: u8 = 3;
+/// Number of sudden crashes after which a task is failed, if no other suspect was on the VM.
+const SUDDEN_CRASH_LIMIT: u8 = 3;
 
-/// The same if the last was at once, nothing else had only just begun there, and no VM has crashed lately for a reason
-/// that isn't known.
-const PLAIN: u8 = 2;
+/// The same if the last crash was immediate, no other job had a run that had just started there,
+/// and no VM has crashed recently for an unrelated reason.
+const UNAMBIGUOUS_CRASH_LIMIT: u8 = 2;
 
-/// Time from the confirmation of a start within which a look fails if the start crashed the VM at once.
-const AT_ONCE: Duration = Duration::from_millis(100);
+/// Time from the confirmation of a start within which a poll of the VM fails if the start crashed
+/// it immediately.
+const IMMEDIATE_CRASH_WINDOW: Duration = Duration::from_millis(100);
 
-/// Crashes of any kind that end a task.
-const MOST: u8 = 5;
+/// Number of crashes of any kind after which a task is failed.
+const TOTAL_CRASH_LIMIT: u8 = 5;
 
-/// Time at work after which a run won't crash its VM at once.
-const PROVEN: Duration = Duration::from_millis(1500);
+/// Working time after which a task's sudden crashes are forgiven, since it does not crash its VM at
+/// the start.
+const SUDDEN_RESET_AFTER: Duration = Duration::from_millis(1500);
 
-/// Time at work after which a lasting task's earlier crashes had another reason.
-const CLEARED: Duration = Duration::from_secs(10);
+/// Working time after which all earlier crashes of a long-running task are attributed to other
+/// causes.
+const TOTAL_RESET_AFTER: Duration = Duration::from_secs(10);
 
-/// How long a crash is remembered.
-const LATELY: Duration = Duration::from_secs(30);
+/// How long a crash is remembered to judge later ones.
+const CRASH_RETENTION: Duration = Duration::from_secs(30);
 
-/// Crashes of VMs that say something about later ones.
+/// Recent VM crashes.
 #[derive(Debug, Default)]
 pub(super) struct CrashLog {
     crashes: VecDeque<PastCrash>,
@@ -50,99 +55,107 @@
     at: Duration,
     /// `ip:port` of the VM.
     addr: Arc<str>,
-    /// Jobs of the runs there.
+    /// Jobs with runs on the VM.
     jobs: Vec<JobId>,
-    /// Jobs of those that had only just begun.
+    /// Jobs with runs that had just started.
     suspects: Vec<JobId>,
 }
 
 impl CrashLog {
     fn add(&mut self, crash: PastCrash) {
-        while self.crashes.front().is_some_and(|past| crash.at >= past.at + LATELY) {
+        while self.crashes.front().is_some_and(|past| crash.at >= past.at + CRASH_RETENTION) {
             self.crashes.pop_front();
         }
         self.crashes.push_back(crash);
     }
 
-    /// Whether no VM has crashed lately for a reason that has nothing to do with a job: without anything that could be
-    /// to blame, or at this address while the job wasn't there.
-    fn is_calm(&self, job: JobId, addr: &str) -> bool {
+    /// Returns whether no VM has crashed recently for a reason unrelated to a job: without a
+    /// suspect, or at this address while the job was not there.
+    fn has_no_unrelated_crash(&self, job: JobId, addr: &str) -> bool {
         let others = |past: &PastCrash| past.suspects.is_empty() || *past.addr == *addr;
         !self.crashes.iter().any(|past| !past.jobs.contains(&job) && others(past))
     }
 }
 
 /// A run on a VM that has crashed.
-struct Witness {
+struct AffectedRun {
     key: RunKey,
-    onset: Onset,
-    /// Crashes under its task, with this one.
+    timing: CrashTiming,
+    /// Crashes of its task, including this one.
     crashes: Crashes,
 }
 
-/// How long a run had been at work when its VM crashed.
+/// When a VM crashed relative to the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Onset {
-    /// A look failed as soon as it was confirmed: the VM's connections broke.
-    AtOnce,
-    /// It was confirmed, and no look after that was answered.
+enum CrashTiming {
+    /// A poll failed right after the start was confirmed: the VM's connections broke.
+    Immediate,
+    /// The start was confirmed, but no later poll was answered.
     Sudden,
-    /// It had been at work for a while, or nobody knows.
+    /// The run had been working for a while, or its working time is unknown.
     Late,
 }
 
-impl Witness {
+impl AffectedRun {
     fn of(vm: &Vm, key: RunKey, run: &Run, before: Crashes) -> Option<Self> {
-        let onset = match run.stage {
+        let timing = match run.stage {
             Stage::Binding => return None,
             Stage::Starting { .. } if run.unanswered == Unanswered::No => return None,
             Stage::Running if vm.worked(key).is_zero() => {
                 let failing = vm.contact.failing_since;
-                let at_once = failing.is_some_and(|at| at < run.since + AT_ONCE);
-                if at_once { Onset::AtOnce } else { Onset::Sudden }
+                let immediate = failing.is_some_and(|at| at < run.since + IMMEDIATE_CRASH_WINDOW);
+                if immediate { CrashTiming::Immediate } else { CrashTiming::Sudden }
             }
-            _ => Onset::Late,
+            _ => CrashTiming::Late,
         };
-        let sudden = u8::from(onset != Onset::Late);
+        let sudden = u8::from(timing != CrashTiming::Late);
         let crashes = Crashes {
             all: before.all.saturating_add(1),
             sudden: before.sudden.saturating_add(sudden),
         };
-        Some(Self { key, onset, crashes })
+        Some(Self { key, timing, crashes })
     }
 
     fn is_sudden(&self) -> bool {
-        self.onset != Onset::Late
+        self.timing != CrashTiming::Late
     }
 
     fn job(&self) -> JobId {
         self.key.task.job
     }
 
-    /// Why the task is to blame for the crash, among all who were there; `calm` if VMs don't crash for other reasons.
-    fn blame(&self, there: &[Witness], calm: bool) -> Option<Word> {
-        let others = || there.iter().filter(|other| other.job() != self.job());
-        let any_sudden = others().any(Witness::is_sudden);
+    /// Returns why the task is blamed for the crash, or `None` if it is not.
+    ///
+    /// `no_unrelated_crash` tells that VMs have not crashed for other reasons recently.
+    fn blame_reason(
+        &self,
+        affected_runs: &[AffectedRun],
+        no_unrelated_crash: bool,
+    ) -> Option<Word> {
+        let others = || affected_runs.iter().filter(|other| other.job() != self.job());
+        let any_sudden = others().any(AffectedRun::is_sudden);
         let any_suspect = others().any(|other| other.crashes.sudden > 1);
-        let plain = calm && !any_sudden && self.onset == Onset::AtOnce;
-        let enough = if plain { PLAIN } else { SUDDEN };
-        if self.is_sudden() && !any_suspect && self.crashes.sudden >= enough {
-            return Some("VMs crash as soon as it starts");
+        let is_unambiguous =
+            no_unrelated_crash && !any_sudden && self.timing == CrashTiming::Immediate;
+        let limit = if is_unambiguous { UNAMBIGUOUS_CRASH_LIMIT } else { SUDDEN_CRASH_LIMIT };
+        if self.is_sudden() && !any_suspect && self.crashes.sudden >= limit {
+            return Some("VMs crash right after it starts");
         }
-        (self.crashes.all >= MOST).then_some("too many VMs have crashed under it")
+        (self.crashes.all >= TOTAL_CRASH_LIMIT)
+            .then_some("too many VMs have crashed while running it")
     }
 }
 
 impl Crashes {
-    /// Whether the task is to be kept apart from others that may crash their VMs, too.
+    /// Returns whether the task is to be placed apart from others that may crash their VMs.
     pub(super) fn is_suspect(self) -> bool {
         self.sudden > 0 || self.all > 1
     }
 }
 
 impl StepRun {
-    /// Whether a waiting task has to wait for the end of a trial: of several that may crash their VMs,
-    /// one is started, and the others once that one has worked for a while.
+    /// Returns whether a waiting task is held back by a trial run: of several tasks that may crash
+    /// their VMs, one is started first, and the others once it has worked for a while.
     pub(super) fn is_held_back(&self, index: usize) -> bool {
         let suspect = |task: &Task| task.phase == TaskPhase::Open && task.crashes.sudden > 0;
         if self.proven || !self.tasks.get(index).is_some_and(suspect) {
@@ -154,13 +167,13 @@
 }
 
 impl Shard {
-    /// Whether a task may crash its VM.
+    /// Returns whether a task may crash its VM.
     pub(super) fn is_suspect(&self, task: TaskRef) -> bool {
         let task = self.jobs.get(&task.job).and_then(|job| job.task(task));
         task.is_some_and(|task| task.crashes.is_suspect())
     }
 
-    /// A VM has crashed: counts it for what ran there, and gives up what is to blame.
+    /// Handles a VM crash: counts it for the tasks on the VM and fails those that are to blame.
     pub(super) fn vm_crashed(&mut self, id: &VmId) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return };
@@ -168,63 +181,63 @@
             return;
         }
         let runs = vm.runs.iter();
-        let there: Vec<Witness> = runs
+        let affected_runs: Vec<AffectedRun> = runs
             .filter_map(|(key, run)| {
                 let task = self.jobs.get(&key.task.job)?.task(key.task)?;
-                Witness::of(vm, *key, run, task.crashes)
+                AffectedRun::of(vm, *key, run, task.crashes)
             })
             .collect();
-        if there.is_empty() {
+        if affected_runs.is_empty() {
             return;
         }
-        let jobs = there.iter().map(Witness::job).collect();
-        let suspects = there.iter().filter(|witness| witness.is_sudden());
-        let suspects: Vec<JobId> = suspects.map(Witness::job).collect();
+        let jobs = affected_runs.iter().map(AffectedRun::job).collect();
+        let suspects = affected_runs.iter().filter(|affected| affected.is_sudden());
+        let suspects: Vec<JobId> = suspects.map(AffectedRun::job).collect();
         let (addr, sudden) = (vm.entry.addr.clone(), suspects.len());
-        self.note(Note::VmCrashed { vm: id.clone(), runs: there.len(), sudden });
-        there.iter().for_each(|witness| self.count_crash(witness));
-        for witness in &there {
-            let calm = self.crash_log.is_calm(witness.job(), &addr);
-            if let Some(reason) = witness.blame(&there, calm) {
-                self.give_up_for_crashes(id, witness, reason);
+        self.note(Note::VmCrashed { vm: id.clone(), runs: affected_runs.len(), sudden });
+        affected_runs.iter().for_each(|affected| self.record_crash(affected));
+        for affected in &affected_runs {
+            let no_unrelated_crash = self.crash_log.has_no_unrelated_crash(affected.job(), &addr);
+            if let Some(reason) = affected.blame_reason(&affected_runs, no_unrelated_crash) {
+                self.fail_for_crashes(id, affected, reason);
             }
         }
         self.crash_log.add(PastCrash { at: now, addr, jobs, suspects });
     }
 
-    fn count_crash(&mut self, witness: &Witness) {
-        let RunKey { task, .. } = witness.key;
+    fn record_crash(&mut self, affected: &AffectedRun) {
+        let RunKey { task, .. } = affected.key;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if let Some(task) = job.task_mut(task) {
-            task.crashes = witness.crashes;
+            task.crashes = affected.crashes;
         }
-        if let Some(step) = job.step_run_mut(task).filter(|_| witness.is_sudden()) {
+        if let Some(step) = job.step_run_mut(task).filter(|_| affected.is_sudden()) {
             step.proven = false;
         }
         self.log.touch(task.job);
     }
 
-    fn give_up_for_crashes(&mut self, vm: &VmId, witness: &Witness, reason: Word) {
-        let RunKey { task, run } = witness.key;
+    fn fail_for_crashes(&mut self, vm: &VmId, affected: &AffectedRun, reason: Word) {
+        let RunKey { task, run } = affected.key;
         if self.jobs.get(&task.job).is_none_or(|job| job.is_final()) {
             return;
         }
-        let Crashes { all, sudden } = witness.crashes;
+        let Crashes { all, sudden } = affected.crashes;
         let vm = vm.clone();
         self.note(Note::TaskGivenUp { task, run, vm, crashes: all, sudden, reason });
-        self.give_task_up(task);
+        self.fail_task(task);
     }
 
-    /// A run has been at work for a while: it isn't what crashes VMs.
+    /// Resets the crash counts of a task whose run has worked for long enough.
     pub(super) fn note_worked(&mut self, key: RunKey, worked: Duration) {
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
         let lasting = job.step(key.task).is_some_and(lasts);
         let Some(task) = job.task_mut(key.task) else { return };
         let before = task.crashes;
-        if worked >= PROVEN {
+        if worked >= SUDDEN_RESET_AFTER {
             task.crashes.sudden = 0;
         }
-        if worked >= CLEARED && lasting {
+        if worked >= TOTAL_RESET_AFTER && lasting {
             task.crashes.all = 0;
         }
         if task.crashes == before {
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its task and its job.
+//! Effects of the end of a run on its task and its job.
 
 use super::Shard;
 use super::job_run::{Effect, JobRun, lasts};
@@ -10,24 +10,30 @@
 use crate::vm::EndKind;
 use std::time::Duration;
 
-/// A run's end, as a VM lists it.
+/// The end of a run as reported by a VM.
 pub(super) struct End {
     pub vm: VmId,
     pub key: RunKey,
     pub how: EndKind,
     pub checkpoint: Option<Checkpoint>,
-    /// Number in the VM's list.
+    /// Number of the entry in the VM's list of ended runs.
     pub number: u64,
 }
 
 impl Shard {
-    /// A VM lists a run's end.
+    /// Handles the end of a run that a VM reported.
     pub(super) fn run_ended(&mut self, end: End) {
         let run = self.vms.get_mut(&end.vm).and_then(|vm| vm.runs.shift_remove(&end.key));
         let ran = run.and_then(|run| run.running_since);
         let ran_ms = Ms(ran.map_or_else(Default::default, |at| self.now.steady.saturating_sub(at)));
         let RunKey { task, run } = end.key;
-        self.note(Note::TaskEnded { task, run, vm: end.vm.clone(), how: word(end.how), ran_ms });
+        self.note(Note::TaskEnded {
+            task,
+            run,
+            vm: end.vm.clone(),
+            how: end_kind_name(end.how),
+            ran_ms,
+        });
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return self.take_effect(Effect::Forget { vm: end.vm, number: end.number });
@@ -61,7 +67,7 @@
             return;
         }
         if step.members.as_one() {
-            // One member's success stands for the group's.
+            // The success of one member is the success of the group.
             if let Some(run) = job.step_run_mut(task) {
                 run.tasks.iter_mut().for_each(|task| task.phase = TaskPhase::Succeeded);
             }
@@ -75,7 +81,7 @@
         let copies = known.runs.clone();
         for place in copies {
             let key = RunKey { task, run: place.run };
-            self.stop_run(&place.vm, key, "another copy has succeeded");
+            self.stop_run(&place.vm, key, "another copy of it has succeeded");
         }
     }
 
@@ -94,11 +100,12 @@
         self.note(Note::TaskFailed { task, run, vm: vm_id, failed, attempts, ran_ms });
         self.blame(vm, earlier.as_ref(), task);
         if failed >= attempts && !lasts(&step) {
-            self.give_task_up(task);
+            self.fail_task(task);
         }
     }
 
-    /// Blames a VM for a failure, or the task if it failed on another VM before.
+    /// Counts a failure against the health of a VM. If the task failed on another VM before, the
+    /// task is the likely cause, and that failure no longer counts against the other VM.
     pub(super) fn blame(&mut self, vm: &VmId, earlier: Option<&VmId>, task: TaskRef) {
         let now = self.now.steady;
         if let Some(other) = earlier.filter(|other| *other != vm)
@@ -117,8 +124,8 @@
         self.note(Note::VmHealth { vm, health: "sick", failed, of, rate_percent });
     }
 
-    /// A task isn't started any more: its job fails, wherever that is.
-    pub(super) fn give_task_up(&mut self, task: TaskRef) {
+    /// Fails a task for good, and with it the job, in the shard that accepted it.
+    pub(super) fn fail_task(&mut self, task: TaskRef) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.is_guest() {
             return self.fail_job(task.job);
@@ -135,7 +142,7 @@
         self.stop_job(id, "the job has failed");
     }
 
-    /// Moves a job on after one of its runs has ended.
+    /// Updates a job after one of its runs has ended.
     pub(super) fn advance(&mut self, id: JobId) {
         self.replan();
         let now = self.now.steady;
@@ -146,13 +153,13 @@
         job.advance(now);
     }
 
-    /// Begins occurrences whose time has come.
+    /// Starts the occurrences of repeated jobs that are due.
     pub(super) fn begin_due(&mut self) {
         let now = self.now;
         let mut begun = Vec::new();
         for job in self.jobs.values_mut() {
             let before = job.begun;
-            while !job.is_final() && begins(job, now.wall) {
+            while !job.is_final() && is_due(job, now.wall) {
                 job.begin_occurrence();
                 job.advance(now.steady);
             }
@@ -166,7 +173,7 @@
         begun.into_iter().for_each(|id| self.log.touch(id));
     }
 
-    /// Ends a run by this system's own decision.
+    /// Stops a run by a decision of the scheduler.
     pub(super) fn stop_run(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let now = self.now.steady;
         let Some(run) = self.vms.get_mut(vm).and_then(|vm| vm.runs.get_mut(&key)) else {
@@ -175,7 +182,8 @@
         if run.is_stopping() {
             return;
         }
-        // A run that is known from the store or from the VM was started by an earlier owner.
+        // A run found in the store or reported by the VM was started by an earlier owner, so its
+        // start was sent.
         let never_sent = match run.stage {
             Stage::Binding => true,
             Stage::Starting { .. } => run.sends == 0,
@@ -190,7 +198,7 @@
         self.note(Note::TaskStopping { task, run, vm: vm.clone(), reason });
     }
 
-    /// Takes a run off that surely doesn't run and never will.
+    /// Removes a run that is certain not to be running and never to start.
     pub(super) fn drop_run(&mut self, vm: &VmId, key: RunKey) {
         if let Some(vm) = self.vms.get_mut(vm) {
             vm.runs.shift_remove(&key);
@@ -205,7 +213,7 @@
         self.advance(key.task.job);
     }
 
-    /// Takes a run off whose VM has surely ended it, though the end was never listed.
+    /// Removes a run that is certain to have ended on its VM, although the end was never reported.
     pub(super) fn run_gone(&mut self, vm: &VmId, key: RunKey, proof: Word) {
         let RunKey { task, run } = key;
         let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.worked(key)));
@@ -213,8 +221,8 @@
         self.drop_run(vm, key);
     }
 
-    /// A run that was ordered is given up: dropped if the VM never got an order that it could
-    /// still carry out, and stopped otherwise, which bars it.
+    /// Abandons the start of a run: drops the run if no start order can still be carried out by the
+    /// VM, and otherwise stops it, which also prevents a delayed start.
     pub(super) fn give_up(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let Some(run) = self.vms.get(vm).and_then(|vm| vm.runs.get(&key)) else { return };
         if run.unanswered == Unanswered::No {
@@ -223,7 +231,7 @@
         self.stop_run(vm, key, reason);
     }
 
-    /// A task of the job has started.
+    /// Marks a job as started.
     pub(super) fn note_began(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.started = super::job_run::Started::Yes;
@@ -232,20 +240,22 @@
         }
     }
 
-    /// Number for a task's next run.
+    /// Returns the number for a task's next run.
     pub(super) fn next_run(job: &JobRun, task: TaskRef) -> RunNumber {
         let last = job.task(task).map_or(RunNumber(0), |task| task.last_run);
         RunNumber(last.0 + 1)
     }
 }
 
-fn begins(job: &JobRun, wall: Duration) -> bool {
+/// Returns whether the next occurrence of a job is due.
+fn is_due(job: &JobRun, wall: Duration) -> bool {
     !job.is_guest()
         && job.begun < job.job.repeat.occurrences()
         && job.job.repeat.due(job.begun).is_none_or(|due| wall >= due)
 }
 
-fn word(how: EndKind) -> Word {
+/// Name of an end kind in log lines.
+fn end_kind_name(how: EndKind) -> Word {
     match how {
         EndKind::Succeeded => "succeeded",
         EndKind::Failed => "failed",
