--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -1,7 +1,7 @@
 //! Group commit of changed jobs to the store.
 //!
-//! Only one commit is in flight at a time, since the next one depends on the revision that it leaves.
-//! Changes made in the meantime are collected for the next commit.
+//! Only one commit is in flight at a time, since the next one depends on the revision that it
+//! leaves. Changes made in the meantime are collected for the next commit.
 
 use super::event::Action;
 use super::job_run::{Effect, JobRun, RecordState};
@@ -18,7 +18,8 @@
 /// the record of unresponsive VMs.
 const RESERVED_ENTRIES: usize = 3;
 
-/// Maximum number of entries for one job: the condition on its id, the id, the job and its progress.
+/// Maximum number of entries for one job: the condition on its id, the id, the job and its
+/// progress.
 const MAX_JOB_ENTRIES: usize = 4;
 
 /// Store keys of one shard.
@@ -166,7 +167,8 @@
         self.in_flight.as_ref().map_or(Duration::ZERO, |c| now.saturating_sub(c.since))
     }
 
-    /// Earliest time of the next commit; `None` if there is nothing to commit or a commit is in flight.
+    /// Earliest time of the next commit; `None` if there is nothing to commit or a commit is in
+    /// flight.
     pub fn due(&self) -> Option<Duration> {
         let idle = self.in_flight.is_none();
         let empty = self.changed.is_empty()
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -1,4 +1,4 @@
-//! What others are told of a shard.
+//! Summary of a shard for other shards and daemons.
 
 use super::Shard;
 use super::event::FreeRoom;
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 
 impl Shard {
-    /// The shard as others need to know it: to choose where a job goes, and to count what waits.
+    /// Returns the summary that others need to choose a shard for a job and to count waiting work.
     pub fn summary(&self) -> Summary {
         let mut summary = Summary::default();
         let mut rooms = Vec::new();
@@ -40,14 +40,14 @@
         }
         let mut queued: IndexMap<QueueName, u32> = IndexMap::new();
         for job in self.jobs.values().filter(|job| !job.is_final()) {
-            summary.lasting += lasting_here(job);
+            summary.lasting += lasting_milli_cores(job);
             if job.durable.is_none() {
                 continue;
             }
             if job.started == Started::No && !job.is_guest() {
                 *queued.entry(job.job.queue.clone()).or_default() += 1;
             }
-            let work = work_left(job);
+            let work = remaining_work(job);
             summary.leftover_work += work.leftover;
             summary.waiting_work += work.waiting;
         }
@@ -57,18 +57,21 @@
 }
 
 impl Shard {
-    /// Share of the VMs' processors that lasting tasks reserve, once those that wait have some.
+    /// Fraction of the VMs' CPU that long-running tasks reserve, including those that are waiting.
     pub(super) fn lasting_share(&self, rooms: &[Room]) -> f64 {
         let open = self.jobs.values().filter(|job| !job.is_final());
-        let lasting: u64 = open.map(lasting_here).sum();
+        let lasting: u64 = open.map(lasting_milli_cores).sum();
         let cores: f64 = rooms.iter().map(Room::milli_cores).sum();
         lasting as f64 / cores.max(1.0)
     }
 }
 
 impl Summary {
-    /// Whether the shard turns a job away that brings its lasting tasks to so much, in thousandths of a core. The
-    /// first such job of a shard is taken whatever its size: it may be larger than the share of each.
+    /// Returns whether the shard refuses a job that would raise the CPU reserved by its
+    /// long-running tasks to `lasting` milli-cores.
+    ///
+    /// With [`Urge::Always`], the first such job of a shard is accepted whatever its size, since it
+    /// may be larger than the limit of every shard.
     pub fn is_full_with(&self, lasting: f64, urge: Urge) -> bool {
         let capacity = self.capacity as f64;
         match urge {
@@ -78,8 +81,8 @@
     }
 }
 
-/// Processors that the lasting tasks of a job reserve here, in thousandths of a core.
-fn lasting_here(job: &super::JobRun) -> u64 {
+/// Milli-cores that the long-running tasks of a job reserve in this shard.
+fn lasting_milli_cores(job: &super::JobRun) -> u64 {
     let mut cores = 0;
     for occurrence in &job.open {
         for (step, run) in job.job.steps.iter().zip(&occurrence.steps) {
@@ -93,13 +96,14 @@
     cores
 }
 
-struct WorkLeft {
+/// Remaining work of a job in this shard, in milli-core milliseconds.
+struct RemainingWork {
     leftover: u64,
     waiting: u64,
 }
 
-fn work_left(job: &super::JobRun) -> WorkLeft {
-    let mut left = WorkLeft { leftover: 0, waiting: 0 };
+fn remaining_work(job: &super::JobRun) -> RemainingWork {
+    let mut left = RemainingWork { leftover: 0, waiting: 0 };
     for occurrence in &job.open {
         for (step, run) in job.job.steps.iter().zip(&occurrence.steps) {
             if step.life == Life::Lasting {
