--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -1,15 +1,16 @@
 //! Lending of tasks to another shard than the one that accepted their job.
 //!
 //! A shard's VMs may have no room for a task that fits on VMs of another shard: the task is too
-//! large, the rack with its data or the VM with its label belongs to another shard, or VMs were lost.
-//! Such a task is lent. The lender first commits that it does not run the task itself and then sends
-//! the loan. The borrower commits that it has the task, runs it like its own, commits the outcome,
-//! and returns the task.
+//! large, the rack with its data or the VM with its label belongs to another shard, or VMs were
+//! lost. Such a task is lent. The lender first commits that it does not run the task itself and
+//! then sends the loan. The borrower commits that it has the task, runs it like its own, commits
+//! the outcome, and returns the task.
 //!
 //! At any time at most one shard may start a task, even if messages are lost, delayed or duplicated
-//! or an owner is replaced, because each side repeats what it has committed until the other answers.
-//! A returned loan is recognized by its number and not accepted again. The owner that remembers the
-//! number may have been replaced, so each message is addressed to one owner by its fencing token.
+//! or an owner is replaced, because each side repeats what it has committed until the other
+//! answers. A returned loan is recognized by its number and not accepted again. The owner that
+//! remembers the number may have been replaced, so each message is addressed to one owner by its
+//! fencing token.
 
 use super::Shard;
 use super::event::{Action, FreeRoom, Neighbour, Summary};
@@ -28,7 +29,8 @@
 /// Interval between messages about a loan; an answer takes 10 to 40 ms.
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Interval at which an accepted loan is sent again, to learn whether a task of the job has started.
+/// Interval at which an accepted loan is sent again, to learn whether a task of the job has
+/// started.
 const TAKEN_LOAN_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Time that a task waits for room in this shard before it is lent. Lending takes two commits and a
@@ -41,8 +43,8 @@
 /// The same for leftover tasks, which are not urgent.
 const LEFTOVER_LEND_DELAY: Duration = Duration::from_millis(900);
 
-/// Fraction of another shard's free resources that is assumed to be usable: its summary is up to half
-/// a second old, and other shards lend to it too.
+/// Fraction of another shard's free resources that is assumed to be usable: its summary is up to
+/// half a second old, and other shards lend to it too.
 const USABLE_FRACTION: f64 = 0.6;
 
 /// Time that a borrowed task may wait for room before it is returned.
@@ -211,9 +213,9 @@
         let spec = job.job.clone();
         for ((to, loan), tasks) in msgs {
             self.mark_sent(id, &tasks, now);
-            // Sent only after a commit: an owner that was paused and replaced could otherwise lend a
-            // task that was returned long ago to a borrower that has forgotten the loan, and the task
-            // would run a second time.
+            // Sent only after a commit: an owner that was paused and replaced could otherwise lend
+            // a task that was returned long ago to a borrower that has forgotten the loan, and the
+            // task would run a second time.
             self.send_after_commit(&to, LoanMsg::Lend { job: spec.clone(), loan, tasks });
         }
         for (to, tasks) in recalls {
@@ -297,7 +299,8 @@
             job
         });
         if job.home.as_ref() != Some(from) || job.record == RecordState::Dropped {
-            // The remains of an earlier loan are still being removed; the lender sends this loan again.
+            // The remains of an earlier loan are still being removed; the lender sends this loan
+            // again.
             return;
         }
         self.loans.borrowed.insert(id);
@@ -432,8 +435,8 @@
     }
 
     /// Sends a message that only the current owner may send, after the next commit has proved the
-    /// ownership. Without this, an owner that has lost the shard unnoticed could, for example, report
-    /// loans of its successor as unknown.
+    /// ownership. Without this, an owner that has lost the shard unnoticed could, for example,
+    /// report loans of its successor as unknown.
     fn send_after_commit(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
             self.log.after_next_commit(Action::Tell { to: to.clone(), fence, msg });
@@ -447,7 +450,8 @@
         }
     }
 
-    /// Returns whether another shard has a VM with room for a task of the step, by its last summary.
+    /// Returns whether another shard has a VM with room for a task of the step, by its last
+    /// summary.
     pub(super) fn fits_elsewhere(&self, job: JobId, step: &Step) -> bool {
         let Some(job) = self.jobs.get(&job) else { return false };
         let mut others = self.loans.neighbours.values();
@@ -542,8 +546,8 @@
     summary.rooms.iter().filter(fits).count() as f64 * USABLE_FRACTION
 }
 
-/// Estimated milli-cores that leftover tasks of an image would get in a shard; zero if it is less than
-/// one task needs.
+/// Estimated milli-cores that leftover tasks of an image would get in a shard; zero if it is less
+/// than one task needs.
 fn leftover_milli_cores(summary: &Summary, step: &Step, image: &Image) -> f64 {
     let harmless = summary.harmless_free.iter().find(|(known, _)| known == image);
     let free = harmless.map_or(0.0, |(_, free)| *free as f64) * USABLE_FRACTION;
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -3,9 +3,9 @@
 //! The service's verdict on a VM never changes, but a permit is valid for only a few seconds. The
 //! service handles one request at a time from each daemon and takes longer the more VMs a request
 //! names, so each request delays those queued behind it. Permits for the most urgent steps are
-//! therefore requested first. A request names as many VMs as the waiting tasks are expected to need,
-//! based on the grant rate so far, and never a VM that was denied before. A VM refuses a start that
-//! has no valid permit.
+//! therefore requested first. A request names as many VMs as the waiting tasks are expected to
+//! need, based on the grant rate so far, and never a VM that was denied before. A VM refuses a
+//! start that has no valid permit.
 
 use super::Shard;
 use super::event::Action;
