--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -1,4 +1,5 @@
-//! Takeover of a shard: rebuilds its state from the store, to be reconciled with what the VMs report.
+//! Takeover of a shard: rebuilds its state from the store, to be reconciled with what the VMs
+//! report.
 
 use super::job_run::{JobRun, Place};
 use super::log::{Keys, Log};
@@ -119,9 +120,9 @@
 
     /// Returns the VMs that do not answer, for the owner that the shard is handed to.
     ///
-    /// The new owner cannot know when the leases of these VMs were last extended, and would wait for
-    /// the full time again before it starts their work elsewhere. Over three planned stops in a row,
-    /// tasks of a dead VM were delayed by half a minute.
+    /// The new owner cannot know when the leases of these VMs were last extended, and would wait
+    /// for the full time again before it starts their work elsewhere. Over three planned stops in a
+    /// row, tasks of a dead VM were delayed by half a minute.
     pub fn lapses(&self) -> Vec<Lapse> {
         let now = self.now.steady;
         let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_heard(now));
@@ -175,9 +176,9 @@
                 self.log.touch(id);
             }
         }
-        // If there are two instances of a VM at one address, the address is asked which of them is the
-        // current one. The list may have been read before the instance in the store came up, and going
-        // by the list started work there a second time.
+        // If there are two instances of a VM at one address, the address is asked which of them is
+        // the current one. The list may have been read before the instance in the store came up,
+        // and going by the list started work there a second time.
         for (id, progress) in progress {
             if !self.jobs.contains_key(id) && progress.home.is_none() {
                 self.closed.insert(*id, Closed { state: progress.state, since: now.steady });
@@ -202,8 +203,8 @@
     }
 }
 
-/// Creates an entry for a VM that has work bound to it but is not in the list: it may be unreachable
-/// or gone.
+/// Creates an entry for a VM that has work bound to it but is not in the list: it may be
+/// unreachable or gone.
 fn unlisted_vm(place: &Place, service: &ServiceName, now: Duration, lapsed_by: Duration) -> Vm {
     let entry = VmEntry {
         id: place.vm.clone(),
--- a/src/shard/silence.rs
+++ b/src/shard/silence.rs
@@ -3,9 +3,9 @@
 //! Work on a VM that does not answer is certain to have ended some time after its lease was last
 //! extended. Only the owner knows that time; its successor would have to assume that the lease was
 //! extended until the takeover or even later. An owner therefore records in the store that it does
-//! not extend a VM, and tells the other daemons how much time is left. The record is durably removed
-//! before the VM's lease is extended again, so the reported times are valid for as long as the record
-//! is in the store, however late they are read.
+//! not extend a VM, and tells the other daemons how much time is left. The record is durably
+//! removed before the VM's lease is extended again, so the reported times are valid for as long as
+//! the record is in the store, however late they are read.
 
 use super::Shard;
 use super::recover::Lapse;
@@ -20,8 +20,8 @@
 /// recorded pause costs two commits.
 const RECORD_SILENCE_AFTER: Duration = Duration::from_secs(3);
 
-/// Number of the commit that first recorded a silent period; distinguishes it from earlier periods of
-/// the same VM.
+/// Number of the commit that first recorded a silent period; distinguishes it from earlier periods
+/// of the same VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark(pub u64);
 
@@ -85,8 +85,8 @@
         self.sent = None;
     }
 
-    /// Returns whether a VM's lease may be extended: the VM is neither in the durable record nor in one
-    /// that is being written.
+    /// Returns whether a VM's lease may be extended: the VM is neither in the durable record nor in
+    /// one that is being written.
     pub fn may_extend(&self, vm: &VmId) -> bool {
         let sent = self.sent.as_ref().is_some_and(|sent| sent.contains_key(vm));
         !sent && !self.durable.contains_key(vm)
