--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -1,8 +1,8 @@
 //! Draining of VMs whose machines go down for maintenance.
 //!
 //! Carrying out the maintenance order ends everything on the machine, so the VM has to be empty by
-//! then. No new tasks are placed on it. Long-running tasks move to other VMs, with no more tasks of a
-//! step unavailable at a time than the step allows. Tasks that can resume from a checkpoint are
+//! then. No new tasks are placed on it. Long-running tasks move to other VMs, with no more tasks of
+//! a step unavailable at a time than the step allows. Tasks that can resume from a checkpoint are
 //! stopped. All others get some time to finish, since stopping them discards their work.
 
 use super::Shard;
@@ -40,7 +40,8 @@
         self.vms.contains_key(vm)
     }
 
-    /// Returns whether a VM is going to be drained soon, so that long-running tasks should avoid it.
+    /// Returns whether a VM is going to be drained soon, so that long-running tasks should avoid
+    /// it.
     pub fn comes(&self, vm: &VmId) -> bool {
         self.later.contains(vm)
     }
