--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -80,7 +80,7 @@
     in_flight: Option<InFlight>,
     /// Actions to take once the next commit is durable.
     after_next_commit: Vec<Action>,
-    pub silence: silence::Record,
+    pub silence: silence::SilenceRecord,
     last_seq: u64,
     next_at: Duration,
 }
@@ -108,7 +108,7 @@
 
 impl Log {
     /// Creates a log whose last commit was `seq`.
-    pub fn new(keys: Keys, seq: u64, silence: silence::Record) -> Self {
+    pub fn new(keys: Keys, seq: u64, silence: silence::SilenceRecord) -> Self {
         Self {
             keys,
             changed: IndexSet::new(),
@@ -174,7 +174,7 @@
         let empty = self.changed.is_empty()
             && self.expired.is_empty()
             && self.after_next_commit.is_empty()
-            && !self.silence.is_changed();
+            && !self.silence.needs_write();
         (idle && !empty).then_some(self.next_at)
     }
 
@@ -195,8 +195,8 @@
             actions: std::mem::take(&mut self.after_next_commit),
         };
         let room = MAX_TXN_ENTRIES - RESERVED_ENTRIES - MAX_JOB_ENTRIES;
-        if self.silence.is_changed() {
-            txn.puts.push(put(self.keys.silence(), encode(&self.silence.send())));
+        if self.silence.needs_write() {
+            txn.puts.push(put(self.keys.silence(), encode(&self.silence.start_write())));
         }
         while txn.entries() <= room {
             let Some(id) = self.changed.shift_remove_index(0) else { break };
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -4,7 +4,7 @@
 use super::job_run::{JobRun, Place};
 use super::log::{Keys, Log};
 use super::settings::{BLIND_EXTENSION, CLOCK_DRIFT, LAPSE_MARGIN, Settings};
-use super::silence::{Record, SilentVm, ToldLapse};
+use super::silence::{SilenceRecord, SilentVm, ToldLapse};
 use super::vm_run::{Announced, Run, RunKey, Stage, Vm};
 use super::{Closed, Now, Shard};
 use crate::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
@@ -87,7 +87,7 @@
             closed: IndexMap::new(),
             vms: IndexMap::new(),
             gone: IndexSet::new(),
-            log: Log::new(keys, recovered.seq, Record::new(recovered.silent)),
+            log: Log::new(keys, recovered.seq, SilenceRecord::new(recovered.silent)),
             loans: super::loan::Loans::default(),
             questions: super::permits::Questions::default(),
             vacating: super::vacate::Vacating::default(),
--- a/src/shard/silence.rs
+++ b/src/shard/silence.rs
@@ -48,13 +48,13 @@
 
 /// The record of silent VMs: wanted, in flight to the store, and durable.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct SilenceRecord {
     wanted: IndexMap<VmId, Mark>,
     sent: Option<IndexMap<VmId, Mark>>,
     durable: IndexMap<VmId, Mark>,
 }
 
-impl Record {
+impl SilenceRecord {
     /// Creates the record from its stored rows.
     pub fn new(rows: Vec<SilentVm>) -> Self {
         let durable: IndexMap<VmId, Mark> =
@@ -63,12 +63,12 @@
     }
 
     /// Returns whether the record needs to be written and no write is in flight.
-    pub fn is_changed(&self) -> bool {
+    pub fn needs_write(&self) -> bool {
         self.sent.is_none() && self.wanted != self.durable
     }
 
     /// Returns the rows to write and marks them as in flight.
-    pub fn send(&mut self) -> Vec<SilentVm> {
+    pub fn start_write(&mut self) -> Vec<SilentVm> {
         self.sent = Some(self.wanted.clone());
         self.wanted.iter().map(|(vm, mark)| SilentVm { vm: vm.clone(), mark: *mark }).collect()
     }
