--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -1,4 +1,4 @@
-use super::{Answer, Call, Calls, Need, Refused, Reply, Sent};
+use super::{Answer, Call, Calls, Demand, Refusals, Reply, UnreportedLoad};
 use crate::clock::{Clock, SystemClock};
 use crate::cluster::{Hello, Member, MemberStage};
 use crate::ids::{DaemonId, DomainId, ServiceName};
@@ -27,20 +27,20 @@
 const JOB: JobId = JobId(0xa1);
 const SHARD: &str = "kacyiru/0";
 
-/// Far longer than any answer takes here; only a fault makes a test wait so long.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Far longer than any answer takes here; reached only when a test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time of a call that is to end without an answer from anybody.
-const SHORT: Duration = Duration::from_millis(60);
+/// Budget of calls that are expected to time out.
+const CALL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// A store that says where a job is, or doesn't answer.
-struct Store(Option<Found>);
+/// Answers job lookups with a fixed result, or never if it is `None`.
+struct FakeStore(Option<Found>);
 
-impl Actor for Store {
+impl Actor for FakeStore {
     type Context = Context<Self>;
 }
 
-impl Handler<FindJob> for Store {
+impl Handler<FindJob> for FakeStore {
     type Result = ResponseFuture<Found>;
 
     fn handle(&mut self, _: FindJob, _: &mut Self::Context) -> Self::Result {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Calls of a daemon that owns nothing; the shard's owner is at `owner`, if it has one.
+/// Client on a daemon that owns no shard; `owner` is the address of the shard's owner, if any.
 fn calls(found: Option<Found>, owner: Option<SocketAddr>) -> Calls {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let journal = Journal::start(clock.clone(), Weight::Urgent, std::io::sink());
@@ -82,7 +82,7 @@
     let (_, fixed) = watch::channel(Arc::new(shown));
     drop(view);
     let links = Links::new(control.clone()).start();
-    let finder = Store(found).start().recipient();
+    let finder = FakeStore(found).start().recipient();
     Calls::new(fixed, directory, control, links, finder, clock)
 }
 
@@ -99,58 +99,57 @@
 }
 
 async fn answered(call: impl Future<Output = Answer>) -> Answer {
-    tokio::time::timeout(LIMIT, call).await.expect("an answer")
+    tokio::time::timeout(TEST_TIMEOUT, call).await.expect("an answer")
 }
 
-/// A listener whose connections are made and never served.
-fn silent() -> (TcpListener, SocketAddr) {
+/// A listener that accepts connections and never answers requests.
+fn unserved_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("an address");
     (listener, addr)
 }
 
-// A caller asks for a job of which this daemon knows nothing; it asks the store, which doesn't answer.
-// The caller waits only as long as it said, and is told that nothing is known: waiting for the store
-// instead would leave it without an answer.
+// The daemon doesn't know the job and looks it up in a store that doesn't answer. Guards against a
+// call that waits for the store beyond its budget and leaves the caller without an answer.
 #[actix::test]
 async fn a_store_that_does_not_answer_leaves_no_caller_without_an_answer() {
     let calls = calls(None, None);
-    let shown = answered(calls.show(JOB, SHORT)).await;
+    let shown = answered(calls.show(JOB, CALL_TIMEOUT)).await;
     assert!(matches!(shown, Answer::Unknown { .. }), "{shown:?}");
-    let cancelled = answered(calls.cancel(JOB, SHORT)).await;
+    let cancelled = answered(calls.cancel(JOB, CALL_TIMEOUT)).await;
     assert!(matches!(cancelled, Answer::Unknown { .. }), "{cancelled:?}");
 }
 
-// The caller's time is over before its job is sent to the shard's owner. Nothing was sent, so the job
-// surely doesn't run, and the caller may send it again elsewhere. Sending it all the same, without time
-// for an answer, would leave it unknown.
+// The call's budget is used up before the job is sent to the shard's owner. It must be reported
+// as not run, so that the caller can resubmit it; sending it without time for an answer would leave
+// the outcome unknown.
 #[actix::test]
-async fn a_job_that_was_not_sent_in_time_has_not_run() {
-    let (_listener, addr) = silent();
+async fn a_job_that_was_not_sent_in_time_is_reported_as_not_run() {
+    let (_listener, addr) = unserved_listener();
     let calls = calls(None, Some(addr));
-    calls.note_shard(JOB, SHARD);
+    calls.remember_shard(JOB, SHARD);
     let answer = answered(calls.submit(job(), Duration::ZERO)).await;
     assert!(matches!(answer, Answer::NotRun { .. }), "{answer:?}");
 }
 
-// A call has all the time it wants, and waits for a shard without an owner; then the daemon stops as
-// planned. The caller is answered before the daemon ends, not cut off.
+// A call with a long budget waits for a job's shard to become known when a planned shutdown begins.
+// Guards against the call being cut off without an answer when the daemon exits.
 #[actix::test]
-async fn a_call_is_answered_before_the_daemon_ends() {
-    let calls = calls(Some(Found::Unknown("the store is away".to_owned())), None);
-    let (patient, clock) = (calls.clone(), SystemClock);
-    let caller = actix::spawn(async move { patient.show(JOB, 10 * LIMIT).await });
+async fn an_open_call_is_answered_before_a_planned_shutdown() {
+    let calls = calls(Some(Found::Unknown("the store is unreachable".to_owned())), None);
+    let (waiting, clock) = (calls.clone(), SystemClock);
+    let caller = actix::spawn(async move { waiting.show(JOB, 10 * TEST_TIMEOUT).await });
     tokio::task::yield_now().await;
-    calls.end_by(clock.now() + SHORT);
+    calls.end_by(clock.now() + CALL_TIMEOUT);
     let answer = answered(async { caller.await.expect("a caller that doesn't panic") }).await;
     assert!(matches!(answer, Answer::Unknown { .. }), "{answer:?}");
 }
 
-/// An owner that shows every job as done.
+/// A shard owner that reports every job as done.
 #[derive(Clone)]
-struct Owning;
+struct FakeOwner;
 
-impl JobsRpc for Owning {
+impl JobsRpc for FakeOwner {
     async fn hello(self, _: CallContext, _: Hello) -> Option<Hello> {
         None
     }
@@ -172,52 +171,52 @@
     async fn take(self, _: CallContext, _: String, _: DaemonId, _: Vec<Lapse>) {}
 }
 
-/// Serves an owner whose first connection goes silent.
-async fn serve_after_silence(listener: TcpListener) {
+/// Serves a shard owner whose first connection stays unanswered.
+async fn serve_from_second_connection(listener: TcpListener) {
     listener.set_nonblocking(true).expect("a socket");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a socket");
     let _silent = listener.accept().await.expect("a connection");
     loop {
         let (stream, _) = listener.accept().await.expect("a connection");
         let transport = tarpc::serde_transport::Transport::from((stream, Bincode::default()));
-        let requests = BaseChannel::with_defaults(transport).execute(Owning.serve());
+        let requests = BaseChannel::with_defaults(transport).execute(FakeOwner.serve());
         actix::spawn(requests.for_each(|answer| async {
             actix::spawn(answer);
         }));
     }
 }
 
-// The connection to a shard's owner has gone silent without a word; new ones work. The caller has time
-// left when the first attempt is given up, and what it asks may be asked twice: it gets its answer over
-// a new connection, not "unknown".
+// The existing connection to a shard's owner no longer responds, while new ones work. The call is
+// idempotent and has time left after the first attempt times out, so it must be retried over a new
+// connection instead of returning "unknown".
 #[actix::test]
 async fn a_silent_connection_is_not_the_end_of_a_call() {
-    let (listener, addr) = silent();
-    actix::spawn(serve_after_silence(listener));
+    let (listener, addr) = unserved_listener();
+    actix::spawn(serve_from_second_connection(listener));
     let calls = calls(None, Some(addr));
-    calls.note_shard(JOB, SHARD);
-    let answer = answered(calls.show(JOB, LIMIT)).await;
+    calls.remember_shard(JOB, SHARD);
+    let answer = answered(calls.show(JOB, TEST_TIMEOUT)).await;
     assert_eq!(answer, Answer::Shown(ShownState::Done));
 }
 
-/// A job of one lasting task of two cores.
+/// A job with one lasting task of two cores.
 fn lasting() -> Job {
     let step =
         Step { life: Life::Lasting, ..Step::new(1, Resources::new(2000, 2000, 0), Duration::ZERO) };
     Job { steps: vec![step], ..job() }
 }
 
-// A caller hands in a lasting job while no shard has room for more of them. The one with most room is
-// asked and refuses; asking hundreds of others in turn would take the whole time of the call.
+// No shard has room for another lasting job. After the shard with the most room has refused, trying
+// hundreds of others in turn would use up the call's budget.
 #[test]
-fn shards_without_room_for_lasting_work_are_not_asked_one_by_one() {
+fn full_shards_are_not_tried_one_by_one_for_lasting_jobs() {
     let job = lasting();
     let full = Summary { capacity: 8000, lasting: 7000, vms: 1, ..Summary::default() };
-    let cost = |refused: &Refused| {
-        Need::of(&job, refused).cost(SHARD, &full, &Sent::default(), Urge::Always)
+    let cost = |refusals: &Refusals| {
+        Demand::of(&job, refusals).cost(SHARD, &full, &UnreportedLoad::default(), Urge::Always)
     };
-    assert!(cost(&Refused::default()).is_some());
-    let mut refused = Refused::default();
-    refused.add("kacyiru/1".to_owned(), Urge::Always);
-    assert_eq!(cost(&refused), None);
+    assert!(cost(&Refusals::default()).is_some());
+    let mut refusals = Refusals::default();
+    refusals.add("kacyiru/1".to_owned(), Urge::Always);
+    assert_eq!(cost(&refusals), None);
 }
