--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -6,8 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-use super::control::{Control, TakeCall};
-use super::links::{self, Links, PassOn};
+use super::control::{Control, HandleCall};
+use super::links::{self, ForwardCall, Links};
 use super::records::{FindJob, Found};
 use super::view::{Directory, Owner, ShardView, View};
 use crate::clock::Clock;
@@ -272,7 +272,7 @@
             None => Attempt::NotRun,
             Some(Owner::Here) => self.attempt_locally(shard, call, timeout).await,
             Some(Owner::Other(to)) => {
-                let msg = PassOn { to, shard: shard.to_owned(), call, timeout };
+                let msg = ForwardCall { to, shard: shard.to_owned(), call, timeout };
                 match self.links.send(msg).await {
                     Ok(Ok(Reply::Answer(answer))) => Attempt::Answered(answer),
                     Ok(Ok(Reply::NotOwner)) => Attempt::NotRun,
@@ -285,7 +285,7 @@
     }
 
     async fn attempt_locally(&self, shard: &str, call: Call, timeout: Duration) -> Attempt {
-        let msg = TakeCall { shard: shard.to_owned(), call };
+        let msg = HandleCall { shard: shard.to_owned(), call };
         match tokio::time::timeout(timeout, self.control.send(msg)).await {
             Ok(Ok(Reply::Answer(answer))) => Attempt::Answered(answer),
             Ok(Ok(Reply::NotOwner)) => Attempt::NotRun,
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -13,13 +13,13 @@
 pub use status::GetStatus;
 
 pub use messages::{
-    Connect, Drain, GiveUp, Hear, OwnsAny, Refused, Stored, TakeCall, TakeMessage, TakeOffer, Told,
-    Upkept,
+    Connect, ConnectionRefused, Drain, GiveUp, HandleCall, HandleLoanMessage, HandleOffer,
+    HelloReceived, OwnsAny, Stored, Told, Upkept,
 };
 
 use super::calls::Reply;
 use super::confirmed::Confirmed;
-use super::links::{AskThrough, Links, Tell};
+use super::links::{ForwardPermitRequest, Links, SendLoanMessage};
 use super::machines::Upkeep;
 use super::orders::{AskHere, Order};
 use super::records::{Claim, Commit, Confirm, Forget, ReadHeads};
@@ -282,7 +282,7 @@
         *self.asking.entry(name.clone()).or_default() += 1;
         let (sent, step, vms) = (self.last, req.step, req.vms.clone());
         let answer: Pin<Box<dyn Future<Output = _>>> = match through {
-            Some(to) => Box::pin(rings.links.send(AskThrough { to, req })),
+            Some(to) => Box::pin(rings.links.send(ForwardPermitRequest { to, req })),
             None => Box::pin(rings.asker.send(AskHere(req))),
         };
         let shard = shard.clone();
@@ -309,13 +309,13 @@
         if self.hosted.contains_key(&**to) {
             // Not at once: the shard that says it is being stepped.
             let (from, to) = (from.clone(), to.clone());
-            cx.notify(TakeMessage { shard: to, from, fence, msg });
+            cx.notify(HandleLoanMessage { shard: to, from, fence, msg });
             return;
         }
         // Without an owner it is lost, and said again.
         let (Some(owner), Some(rings)) = (self.ownership.owner(to), &self.rings) else { return };
         let (shard, from) = (to.to_string(), from.to_string());
-        rings.links.do_send(Tell { to: owner, shard, from, fence, msg });
+        rings.links.do_send(SendLoanMessage { to: owner, shard, from, fence, msg });
     }
 
     fn tick(&mut self, cx: &mut Context<Self>) {
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -155,12 +155,12 @@
 /// Another daemon's news.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Hear(pub Hello);
+pub struct HelloReceived(pub Hello);
 
-impl Handler<Hear> for Control {
+impl Handler<HelloReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: Hear, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: HelloReceived, cx: &mut Self::Context) {
         let now = self.wake(cx).steady;
         for news in &msg.0.shards {
             let shared: Arc<str> = Arc::from(news.name.as_str());
@@ -182,12 +182,12 @@
 /// Another daemon's port refuses connections.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Refused(pub DaemonId);
+pub struct ConnectionRefused(pub DaemonId);
 
-impl Handler<Refused> for Control {
+impl Handler<ConnectionRefused> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: Refused, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: ConnectionRefused, cx: &mut Self::Context) {
         self.wake(cx);
         self.own(cluster::Event::Refused(msg.0), cx);
     }
@@ -196,15 +196,15 @@
 /// A caller's call about a shard.
 #[derive(Message)]
 #[rtype(result = "Reply")]
-pub struct TakeCall {
+pub struct HandleCall {
     pub shard: String,
     pub call: Call,
 }
 
-impl Handler<TakeCall> for Control {
+impl Handler<HandleCall> for Control {
     type Result = ResponseFuture<Reply>;
 
-    fn handle(&mut self, msg: TakeCall, cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: HandleCall, cx: &mut Self::Context) -> Self::Result {
         self.wake(cx);
         if !self.hosted.contains_key(&msg.shard) {
             return Box::pin(std::future::ready(Reply::NotOwner));
@@ -229,16 +229,16 @@
 /// Another daemon gives a shard to this one.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct TakeOffer {
+pub struct HandleOffer {
     pub shard: String,
     pub from: DaemonId,
     pub lapses: Vec<Lapse>,
 }
 
-impl Handler<TakeOffer> for Control {
+impl Handler<HandleOffer> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: TakeOffer, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: HandleOffer, cx: &mut Self::Context) {
         self.wake(cx);
         let offer = Offered { from: msg.from.clone(), at: self.last, lapses: msg.lapses };
         self.offered.insert(msg.shard.clone(), offer);
@@ -249,7 +249,7 @@
 /// Another shard's owner says something about a loan.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct TakeMessage {
+pub struct HandleLoanMessage {
     pub shard: Arc<str>,
     pub from: Arc<str>,
     /// Token of the owner that it is meant for.
@@ -257,10 +257,10 @@
     pub msg: LoanMsg,
 }
 
-impl Handler<TakeMessage> for Control {
+impl Handler<HandleLoanMessage> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: TakeMessage, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: HandleLoanMessage, cx: &mut Self::Context) {
         self.wake(cx);
         self.step(&msg.shard, Event::Message { from: msg.from, to: msg.fence, msg: msg.msg }, cx);
     }
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::cluster::{Hello, MemberStage, ShardNews};
 use crate::jobs::confirmed::Standing;
-use crate::jobs::links::SayHello;
+use crate::jobs::links::SendHello;
 use crate::jobs::view::{Owner, Readiness, ShardView, View};
 use crate::note::Note;
 use crate::shard::interference::Learned;
@@ -141,7 +141,7 @@
         };
         let (owners, others) = to.into_iter().partition(|to| self.ownership.is_owner(&to.name));
         if let Some(rings) = &self.rings {
-            rings.links.do_send(SayHello { hello, owners, others });
+            rings.links.do_send(SendHello { hello, owners, others });
         }
     }
 
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -8,7 +8,7 @@
 use crate::jobs::calls::Reply;
 use crate::jobs::confirmed::Standing;
 use crate::jobs::follow::operators::ReadQueues;
-use crate::jobs::links::{Offer, Probe};
+use crate::jobs::links::{OfferShard, ProbeMember};
 use crate::jobs::records::{Claim, Confirm, Confirmation, Forget, ReadHeads};
 use crate::journal::Journal;
 use crate::note::{Ms, Note};
@@ -83,7 +83,7 @@
         {
             let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.lapses());
             let (shard, lapses) = (shard.to_owned(), lapses.unwrap_or_default());
-            rings.links.do_send(Offer { shard, to, from, lapses });
+            rings.links.do_send(OfferShard { shard, to, from, lapses });
         }
         self.drop_shard(shard, "given away", cx);
     }
@@ -140,7 +140,7 @@
                 rings.claims.do_send(Claim { shard, previous, replaces });
             }
             cluster::Action::ReadHeads => rings.heads.do_send(ReadHeads),
-            cluster::Action::Probe(member) => rings.links.do_send(Probe(member)),
+            cluster::Action::Probe(member) => rings.links.do_send(ProbeMember(member)),
             cluster::Action::HandOver { .. } | cluster::Action::Note(_) => {}
         }
     }
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,4 +1,4 @@
-use super::{Connect, Control, Hear, OwnsAny, Rings, Stored, TakeCall};
+use super::{Connect, Control, HandleCall, HelloReceived, OwnsAny, Rings, Stored};
 use crate::clock::{Clock, ManualClock};
 use crate::cluster::ownership::OWN_PAUSE;
 use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
@@ -130,7 +130,7 @@
     control.send(claimed()).await.expect("a control");
     clock.advance(2 * OWN_PAUSE);
     for call in [Call::Show(JobId(1)), Call::Cancel(JobId(1))] {
-        let asked = control.send(TakeCall { shard: SHARD.to_owned(), call });
+        let asked = control.send(HandleCall { shard: SHARD.to_owned(), call });
         let reply = tokio::time::timeout(LIMIT, asked).await.expect("an answer");
         assert_eq!(reply.expect("a control"), Reply::NotOwner);
     }
@@ -227,11 +227,11 @@
     let clock = Arc::new(ManualClock::new());
     let lines = Lines::default();
     let control = logging_control(clock.clone(), lines.clone());
-    control.send(Hear(hello())).await.expect("a control");
+    control.send(HelloReceived(hello())).await.expect("a control");
     control.send(claimed_with_silent_vm()).await.expect("a control");
     assert!(lines.wait_for("vm-lapse-told", 1).await, "another owner told of it");
     clock.advance(2 * OWN_PAUSE);
-    control.send(TakeCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
+    control.send(HandleCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
     assert!(
         !control.send(OwnsAny).await.expect("a control"),
         "the store says that it lost the shard"
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -1,14 +1,16 @@
-//! The duty that talks to other daemons, over `tarpc`.
+//! Actor that communicates with other daemons over `tarpc`.
 //!
-//! Hellos tell who is there and what it owns; both sides of a call learn from it. Callers' calls
-//! are passed on to the owner of the shard that they concern. Nothing is repeated here: a hello is
-//! followed by the next one, and a call that failed is the caller's to repeat.
+//! Hello messages announce a daemon and the shards it owns, to both sides of the exchange. Callers'
+//! requests are forwarded to the owner of the shard concerned. Nothing is retried here: hellos are
+//! sent periodically, and a failed call is retried by whoever made it.
 
 #[cfg(test)]
 mod tests;
 
 use super::calls::{Call, Reply};
-use super::control::{Control, Hear, Refused, TakeCall, TakeMessage, TakeOffer};
+use super::control::{
+    ConnectionRefused, Control, HandleCall, HandleLoanMessage, HandleOffer, HelloReceived,
+};
 use super::orders::AskHere;
 use crate::cluster::{Hello, Member};
 use crate::ids::DaemonId;
@@ -32,80 +34,82 @@
 use tarpc::server::{BaseChannel, Channel};
 use tarpc::tokio_serde::formats::Bincode;
 
-/// Largest message between daemons, in bytes; a job is bounded by the limits on bodies.
+/// Maximum size of a message between daemons, in bytes. A job is bounded by the limits on request
+/// bodies.
 const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// Within a site an answer takes 1 to 3 ms; a daemon that is slowed by five still makes this.
+/// Connect timeout. Answers within a site take 1 to 3 ms, and a daemon slowed down fivefold still
+/// connects in this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// For hellos; three fit into the silence after which an owner is replaced.
+/// Timeout of a hello. Three fit into the period of silence after which an owner is replaced.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What daemons ask of each other.
+/// RPC interface between daemons.
 #[tarpc::service]
 pub trait JobsRpc {
-    /// Exchanges news.
+    /// Exchanges the state of both daemons.
     async fn hello(hello: Hello) -> Option<Hello>;
 
-    /// Makes a caller's call at the owner of a shard.
+    /// Runs a caller's request at the owner of a shard.
     async fn call(shard: String, call: Call) -> Reply;
 
-    /// Says something about a loan to the owner of a shard.
+    /// Sends a message about lent tasks to the owner of a shard.
     async fn tell(shard: String, from: String, fence: Fence, msg: LoanMsg);
 
-    /// Asks the service that permits steps, which takes one question at a time from each daemon.
+    /// Asks the permit service for a step. The service handles one request at a time per daemon.
     async fn ask(req: PermitReq) -> permit::Result<PermitResp>;
 
-    /// Offers a shard that its owner has given up.
+    /// Offers a shard that its owner has released.
     async fn take(shard: String, from: DaemonId, lapses: Vec<Lapse>);
 }
 
-/// A call that failed.
+/// Why a call to another daemon failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The process isn't there.
-    #[error("{addr} refuses connections; its process has ended")]
+    /// The process has ended.
+    #[error("{addr} refused the connection; its process has ended")]
     Refused { addr: String },
-    /// Nothing was sent.
-    #[error("{addr} can't be reached ({reason})")]
+    /// The call was not sent.
+    #[error("cannot reach {addr} ({reason})")]
     NotSent { addr: String, reason: String },
     #[error("{addr} did not answer ({reason}); the call may have taken effect")]
     NoAnswer { addr: String, reason: String },
 }
 
-/// Result of a call.
+/// Result of a call to another daemon.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The duty.
+/// Actor that holds the connections to other daemons.
 pub struct Links {
     control: Addr<Control>,
-    links: IndexMap<String, Link>,
-    mine: Option<Mine>,
+    peers: IndexMap<String, PeerClient>,
+    own_hello: Option<OwnHello>,
 }
 
-/// What this daemon tells of itself: to daemons that own shards, and to others.
-struct Mine {
+/// This daemon's hello: in full for daemons that own shards, shortened for others.
+struct OwnHello {
     full: Hello,
     brief: Hello,
 }
 
 impl Links {
-    /// A duty that knows nobody yet.
+    /// Creates an actor without connections.
     pub fn new(control: Addr<Control>) -> Self {
-        Self { control, links: IndexMap::new(), mine: None }
+        Self { control, peers: IndexMap::new(), own_hello: None }
     }
 
-    fn link(&mut self, addr: &str) -> Link {
-        self.links.entry(addr.to_owned()).or_insert_with(|| Link::new(addr)).clone()
+    fn peer(&mut self, addr: &str) -> PeerClient {
+        self.peers.entry(addr.to_owned()).or_insert_with(|| PeerClient::new(addr)).clone()
     }
 
-    fn say_hello(&mut self, to: &Member, hello: Hello) {
-        let (link, control, to) = (self.link(&to.addr), self.control.clone(), to.id.clone());
+    fn send_hello(&mut self, to: &Member, hello: Hello) {
+        let (peer, control, to) = (self.peer(&to.addr), self.control.clone(), to.id.clone());
         actix::spawn(async move {
-            match link.hello(hello).await {
-                Ok(Some(news)) => control.do_send(Hear(news)),
+            match peer.hello(hello).await {
+                Ok(Some(hello)) => control.do_send(HelloReceived(hello)),
                 Ok(None) | Err(Error::NotSent { .. } | Error::NoAnswer { .. }) => {}
-                Err(Error::Refused { .. }) => control.do_send(Refused(to)),
+                Err(Error::Refused { .. }) => control.do_send(ConnectionRefused(to)),
             }
         });
     }
@@ -119,7 +123,7 @@
     }
 }
 
-/// Takes other daemons' calls on the present thread until it ends.
+/// Serves other daemons' calls on the current thread until it ends.
 pub async fn serve(
     listener: TcpListener,
     links: Addr<Links>,
@@ -132,7 +136,7 @@
     listener.config_mut().max_frame_length(MAX_FRAME_BYTES);
     actix::spawn(async move {
         while let Some(incoming) = listener.next().await {
-            // A connection that broke while it was taken is made again by its other end.
+            // The peer reconnects if its connection broke while it was accepted.
             let Ok(transport) = incoming else { continue };
             let (links, control) = (links.clone(), control.clone());
             let server = Server { links, control, asker: asker.clone() };
@@ -155,18 +159,18 @@
 impl JobsRpc for Server {
     async fn hello(self, _: CallContext, hello: Hello) -> Option<Hello> {
         let detail = if hello.shards.is_empty() { Detail::Brief } else { Detail::Full };
-        self.control.do_send(Hear(hello));
+        self.control.do_send(HelloReceived(hello));
         self.links.send(GetHello(detail)).await.ok().flatten()
     }
 
     async fn call(self, _: CallContext, shard: String, call: Call) -> Reply {
-        // A control that has ended owns nothing any more.
-        self.control.send(TakeCall { shard, call }).await.unwrap_or(Reply::NotOwner)
+        // A control actor that has ended owns no shards.
+        self.control.send(HandleCall { shard, call }).await.unwrap_or(Reply::NotOwner)
     }
 
     async fn tell(self, _: CallContext, shard: String, from: String, fence: Fence, msg: LoanMsg) {
         let (shard, from) = (Arc::from(shard.as_str()), Arc::from(from.as_str()));
-        self.control.do_send(TakeMessage { shard, from, fence, msg });
+        self.control.do_send(HandleLoanMessage { shard, from, fence, msg });
     }
 
     async fn ask(self, _: CallContext, req: PermitReq) -> permit::Result<PermitResp> {
@@ -175,47 +179,47 @@
     }
 
     async fn take(self, _: CallContext, shard: String, from: DaemonId, lapses: Vec<Lapse>) {
-        self.control.do_send(TakeOffer { shard, from, lapses });
+        self.control.do_send(HandleOffer { shard, from, lapses });
     }
 }
 
-/// What this daemon tells of itself, to be told to these at once.
+/// Sends this daemon's hello to the given daemons, and keeps it as the answer to others' hellos.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct SayHello {
+pub struct SendHello {
     pub hello: Hello,
     pub owners: Vec<Member>,
     pub others: Vec<Member>,
 }
 
-impl Handler<SayHello> for Links {
+impl Handler<SendHello> for Links {
     type Result = ();
 
-    fn handle(&mut self, msg: SayHello, _: &mut Self::Context) {
+    fn handle(&mut self, msg: SendHello, _: &mut Self::Context) {
         let brief = msg.hello.brief();
-        msg.owners.iter().for_each(|owner| self.say_hello(owner, msg.hello.clone()));
-        msg.others.iter().for_each(|other| self.say_hello(other, brief.clone()));
-        self.mine = Some(Mine { full: msg.hello, brief });
-        while self.links.len() > MAX_LINKS {
-            self.links.shift_remove_index(0);
+        msg.owners.iter().for_each(|owner| self.send_hello(owner, msg.hello.clone()));
+        msg.others.iter().for_each(|other| self.send_hello(other, brief.clone()));
+        self.own_hello = Some(OwnHello { full: msg.hello, brief });
+        while self.peers.len() > MAX_CONNECTIONS {
+            self.peers.shift_remove_index(0);
         }
     }
 }
 
-/// Connections to other daemons that are kept; a daemon that is forgotten is connected to again.
-const MAX_LINKS: usize = 512;
+/// Maximum number of cached connections; an evicted one is opened again on demand.
+const MAX_CONNECTIONS: usize = 512;
 
-/// Says hello to one daemon, to learn whether it answers.
+/// Sends a hello to one daemon to find out whether it responds.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Probe(pub Member);
+pub struct ProbeMember(pub Member);
 
-impl Handler<Probe> for Links {
+impl Handler<ProbeMember> for Links {
     type Result = ();
 
-    fn handle(&mut self, msg: Probe, _: &mut Self::Context) {
-        if let Some(hello) = self.mine.as_ref().map(|mine| mine.full.clone()) {
-            self.say_hello(&msg.0, hello);
+    fn handle(&mut self, msg: ProbeMember, _: &mut Self::Context) {
+        if let Some(hello) = self.own_hello.as_ref().map(|own| own.full.clone()) {
+            self.send_hello(&msg.0, hello);
         }
     }
 }
@@ -224,7 +228,7 @@
 #[rtype(result = "Option<Hello>")]
 struct GetHello(Detail);
 
-/// How much of this daemon is told.
+/// Level of detail of a hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Detail {
     Full,
@@ -235,10 +239,10 @@
     type Result = Option<Hello>;
 
     fn handle(&mut self, msg: GetHello, _: &mut Self::Context) -> Self::Result {
-        let mine = self.mine.as_ref()?;
+        let own_hello = self.own_hello.as_ref()?;
         Some(match msg.0 {
-            Detail::Full => mine.full.clone(),
-            Detail::Brief => mine.brief.clone(),
+            Detail::Full => own_hello.full.clone(),
+            Detail::Brief => own_hello.brief.clone(),
         })
     }
 }
@@ -246,29 +250,29 @@
 /// Offers a shard to a daemon.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Offer {
+pub struct OfferShard {
     pub shard: String,
     pub to: Member,
     pub from: DaemonId,
     pub lapses: Vec<Lapse>,
 }
 
-impl Handler<Offer> for Links {
+impl Handler<OfferShard> for Links {
     type Result = ();
 
-    fn handle(&mut self, msg: Offer, _: &mut Self::Context) {
-        let link = self.link(&msg.to.addr);
+    fn handle(&mut self, msg: OfferShard, _: &mut Self::Context) {
+        let peer = self.peer(&msg.to.addr);
         actix::spawn(async move {
-            // A daemon that doesn't hear of the offer finds the shard without an owner.
-            let _ = link.take(msg.shard, msg.from, msg.lapses).await;
+            // If the offer is lost, the daemon finds the shard without an owner.
+            let _ = peer.offer_shard(msg.shard, msg.from, msg.lapses).await;
         });
     }
 }
 
-/// Says something about a loan to a shard's owner; lost if it isn't heard.
+/// Sends a message about lent tasks to a shard's owner, without a retry.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Tell {
+pub struct SendLoanMessage {
     pub to: Member,
     pub shard: String,
     pub from: String,
@@ -276,97 +280,97 @@
     pub msg: LoanMsg,
 }
 
-impl Handler<Tell> for Links {
+impl Handler<SendLoanMessage> for Links {
     type Result = ();
 
-    fn handle(&mut self, msg: Tell, _: &mut Self::Context) {
-        let link = self.link(&msg.to.addr);
+    fn handle(&mut self, msg: SendLoanMessage, _: &mut Self::Context) {
+        let peer = self.peer(&msg.to.addr);
         actix::spawn(async move {
-            // It is said again until it is answered.
-            let _ = link.tell(msg).await;
+            // The sending shard repeats the message until it is acknowledged.
+            let _ = peer.send_loan_message(msg).await;
         });
     }
 }
 
-/// Asks the service that permits steps, through another daemon.
+/// Asks the permit service for a step through another daemon.
 #[derive(Message)]
 #[rtype(result = "permit::Result<PermitResp>")]
-pub struct AskThrough {
+pub struct ForwardPermitRequest {
     pub to: Member,
     pub req: PermitReq,
 }
 
-impl Handler<AskThrough> for Links {
+impl Handler<ForwardPermitRequest> for Links {
     type Result = ResponseFuture<permit::Result<PermitResp>>;
 
-    fn handle(&mut self, msg: AskThrough, _: &mut Self::Context) -> Self::Result {
-        let link = self.link(&msg.to.addr);
+    fn handle(&mut self, msg: ForwardPermitRequest, _: &mut Self::Context) -> Self::Result {
+        let peer = self.peer(&msg.to.addr);
         Box::pin(async move {
-            let unheard = |e: Error| permit::Error::NoAnswer { reason: e.to_string() };
-            link.ask_permits(msg.req).await.map_err(unheard)?
+            let no_answer = |e: Error| permit::Error::NoAnswer { reason: e.to_string() };
+            peer.ask_permits(msg.req).await.map_err(no_answer)?
         })
     }
 }
 
-/// Makes a caller's call at another daemon.
+/// Forwards a caller's request to another daemon.
 #[derive(Message)]
 #[rtype(result = "Result<Reply>")]
-pub struct PassOn {
+pub struct ForwardCall {
     pub to: Member,
     pub shard: String,
     pub call: Call,
     pub timeout: Duration,
 }
 
-impl Handler<PassOn> for Links {
+impl Handler<ForwardCall> for Links {
     type Result = ResponseFuture<Result<Reply>>;
 
-    fn handle(&mut self, msg: PassOn, _: &mut Self::Context) -> Self::Result {
-        let link = self.link(&msg.to.addr);
-        Box::pin(async move { link.call(msg.shard, msg.call, msg.timeout).await })
+    fn handle(&mut self, msg: ForwardCall, _: &mut Self::Context) -> Self::Result {
+        let peer = self.peer(&msg.to.addr);
+        Box::pin(async move { peer.call(msg.shard, msg.call, msg.timeout).await })
     }
 }
 
-/// The connection to one daemon, made again when it breaks.
+/// Client of one daemon that reconnects on demand.
 #[derive(Clone)]
-struct Link {
+struct PeerClient {
     addr: Rc<str>,
     client: Rc<RefCell<Option<Rc<JobsRpcClient>>>>,
 }
 
-impl Link {
+impl PeerClient {
     fn new(addr: &str) -> Self {
         Self { addr: Rc::from(addr), client: Rc::default() }
     }
 
     async fn hello(&self, hello: Hello) -> Result<Option<Hello>> {
-        self.ask(HELLO_TIMEOUT, |client, cx| async move { client.hello(cx, hello).await }).await
+        self.request(HELLO_TIMEOUT, |client, cx| async move { client.hello(cx, hello).await }).await
     }
 
-    async fn take(&self, shard: String, from: DaemonId, lapses: Vec<Lapse>) -> Result<()> {
-        let take =
+    async fn offer_shard(&self, shard: String, from: DaemonId, lapses: Vec<Lapse>) -> Result<()> {
+        let offer =
             |client: JobsRpcClient, cx| async move { client.take(cx, shard, from, lapses).await };
-        self.ask(HELLO_TIMEOUT, take).await
+        self.request(HELLO_TIMEOUT, offer).await
     }
 
-    async fn tell(&self, tell: Tell) -> Result<()> {
-        let Tell { shard, from, fence, msg, .. } = tell;
-        let told = |client: JobsRpcClient, cx| async move {
+    async fn send_loan_message(&self, message: SendLoanMessage) -> Result<()> {
+        let SendLoanMessage { shard, from, fence, msg, .. } = message;
+        let send = |client: JobsRpcClient, cx| async move {
             client.tell(cx, shard, from, fence, msg).await
         };
-        self.ask(HELLO_TIMEOUT, told).await
+        self.request(HELLO_TIMEOUT, send).await
     }
 
     async fn call(&self, shard: String, call: Call, timeout: Duration) -> Result<Reply> {
-        self.ask(timeout, |client, cx| async move { client.call(cx, shard, call).await }).await
+        self.request(timeout, |client, cx| async move { client.call(cx, shard, call).await }).await
     }
 
     async fn ask_permits(&self, req: PermitReq) -> Result<permit::Result<PermitResp>> {
         let timeout = req.timeout + HELLO_TIMEOUT;
-        self.ask(timeout, |client, cx| async move { client.ask(cx, req).await }).await
+        self.request(timeout, |client, cx| async move { client.ask(cx, req).await }).await
     }
 
-    async fn ask<T, F>(
+    async fn request<T, F>(
         &self,
         timeout: Duration,
         call: impl FnOnce(JobsRpcClient, CallContext) -> F,
@@ -374,30 +378,30 @@
     where
         F: Future<Output = std::result::Result<T, RpcError>>,
     {
-        let used = OnceCell::new();
-        let asked = async {
+        let client_used = OnceCell::new();
+        let request = async {
             let client = self.client().await?;
-            let client = used.get_or_init(|| client);
+            let client = client_used.get_or_init(|| client);
             Ok(call((**client).clone(), tarpc::context::current()).await)
         };
-        let reason = match tokio::time::timeout(timeout, asked).await {
+        let reason = match tokio::time::timeout(timeout, request).await {
             Ok(Ok(Ok(answer))) => return Ok(answer),
             Ok(Ok(Err(e))) => e.to_string(),
             Ok(Err(not_sent)) => return Err(not_sent),
             Err(_) => "timeout".to_owned(),
         };
         let addr = self.addr.to_string();
-        let Some(client) = used.get() else { return Err(Error::NotSent { addr, reason }) };
-        self.drop_client(client);
+        let Some(client) = client_used.get() else { return Err(Error::NotSent { addr, reason }) };
+        self.discard_client(client);
         Err(Error::NoAnswer { addr, reason })
     }
 
-    /// A connection that went silent looks like a dead daemon for as long as it is kept. A newer one,
-    /// made after another call was given up, stays: without this each of the calls that wait on the
-    /// silent one costs a connection more.
-    fn drop_client(&self, silent: &Rc<JobsRpcClient>) {
+    /// Drops an unresponsive connection, which would make its daemon look dead for as long as it is
+    /// kept. A newer connection, opened after another call timed out, stays: otherwise each call
+    /// that waits on the unresponsive one would cost another connection.
+    fn discard_client(&self, unresponsive: &Rc<JobsRpcClient>) {
         let mut client = self.client.borrow_mut();
-        if client.as_ref().is_some_and(|client| Rc::ptr_eq(client, silent)) {
+        if client.as_ref().is_some_and(|client| Rc::ptr_eq(client, unresponsive)) {
             client.take();
         }
     }
