--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -1,7 +1,7 @@
-//! The duty that decides: it holds the shards that this daemon owns, and who owns which.
+//! Actor that runs the shards owned by this daemon and tracks the owners of the others.
 //!
-//! It never waits. After a pause of its own, the machine's suspension included, it asks the store
-//! whether it still owns its shards before it gives any order.
+//! Its handlers never block. After a pause of the process, such as a suspension of the machine, it
+//! confirms in the store that it still owns its shards before it gives any order.
 
 mod messages;
 mod publish;
@@ -49,23 +49,23 @@
 use tokio::sync::{oneshot, watch};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Between two looks at the time. Orders that wait for their turn are late by half of it.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval of timer events. Orders that wait for one are late by half of it on average.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Between two publications of who owns what.
-const PUBLISH: Duration = Duration::from_millis(100);
+/// Interval at which the view of the shards and their owners is published.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two looks at the waves of upkeep.
-const UPKEEP_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which upkeep waves are advanced.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Between two tellings of the shards here what is known of the others, and two summaries of the
-/// shards here; both cost as much as some dozen events.
-const NEIGHBOURS_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which the local shards are summarized and informed about the other shards. Each of
+/// the two costs as much as a few dozen events.
+const NEIGHBOUR_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Orders and commits that wait at control.
-const WAITING_ACTIONS: usize = 100_000;
+/// Maximum number of actions that wait for another actor's ring.
+const MAX_PENDING_ACTIONS: usize = 100_000;
 
-/// The rings to the other duties.
+/// Connections to the other actors.
 pub struct Rings {
     pub orders: Ring<Order>,
     pub asker: Recipient<AskHere>,
@@ -78,80 +78,84 @@
     pub confirm: Recipient<Confirm>,
 }
 
-/// A shard that this daemon owns.
-struct Hosted {
+/// A shard owned by this daemon.
+struct HostedShard {
     shard: Shard,
     name: Arc<str>,
-    /// Events that wait until it is known that the shard is still owned.
-    held: Option<Vec<Event>>,
+    /// Events deferred until ownership is confirmed; `None` while no confirmation is pending.
+    deferred: Option<Vec<Event>>,
+    /// Recently accepted jobs, with the time of acceptance.
     accepted: VecDeque<(Duration, JobId)>,
-    next_learned: Duration,
-    /// Daemon that the shard is given to.
-    to: Option<Member>,
+    /// When the learned interference is next sent to other daemons.
+    next_learned_at: Duration,
+    /// Daemon that the shard is being handed over to.
+    new_owner: Option<Member>,
     summary: Arc<Summary>,
-    summarized: Duration,
+    summary_at: Duration,
 }
 
-/// A shard that another daemon gave to this one.
-struct Offered {
+/// Another daemon's offer to hand a shard over to this one.
+struct ShardOffer {
     from: DaemonId,
     at: Duration,
     lapses: Vec<Lapse>,
 }
 
-/// What a shard's owner told last of silent VMs, and when.
+/// A shard owner's last report on silent VMs, with its time.
 struct TimedLapses {
     at: Duration,
     lapses: Vec<ToldLapse>,
 }
 
 impl TimedLapses {
-    /// The same as of now.
+    /// Adjusts the report to the time passed since.
     fn aged(self, now: Duration) -> Vec<ToldLapse> {
         let passed = now.saturating_sub(self.at);
-        self.lapses.into_iter().map(|told| told.aged(passed)).collect()
+        self.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect()
     }
 }
 
-/// The duty.
+/// Actor that runs the daemon's shards.
 pub struct Control {
     settings: shard::Settings,
     clock: Arc<dyn Clock>,
     journal: Journal,
     ownership: Ownership,
     rings: Option<Rings>,
-    hosted: IndexMap<String, Hosted>,
-    others: IndexMap<String, ShardView>,
+    hosted: IndexMap<String, HostedShard>,
+    remote_shards: IndexMap<String, ShardView>,
     queues: Option<Arc<Queues>>,
     confirmed: Confirmed,
-    /// Whether it was logged that the configuration isn't confirmed.
+    /// Whether the loss of the configuration's confirmation was logged.
     config_unconfirmed: bool,
-    /// Why it couldn't be read, since the last confirmation.
-    config_fault: Option<String>,
+    /// Last error in reading the configuration since its last confirmation.
+    config_error: Option<String>,
     fleet: Vec<VmEntry>,
     shapes: Arc<Shapes>,
     plan: Plan,
-    store: StoreReach,
-    store_lost: Option<Duration>,
+    store_reach: StoreReach,
+    store_lost_at: Option<Duration>,
     upkeep: Duty,
     next_upkeep: Duration,
-    /// Questions about permits that are under way, by the daemon that asks.
-    asking: IndexMap<String, u32>,
-    offered: IndexMap<String, Offered>,
-    told_lapses: IndexMap<String, TimedLapses>,
+    /// Number of open permit requests by the daemon that sends them to the service.
+    permit_requests: IndexMap<String, u32>,
+    offers: IndexMap<String, ShardOffer>,
+    reported_lapses: IndexMap<String, TimedLapses>,
     tickets: IndexMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: u64,
     view: watch::Sender<Arc<View>>,
     directory: Arc<Mutex<Directory>>,
-    /// What shards that others own have learned.
+    /// Interference between images, as learned by other daemons' shards.
     learned: IndexMap<String, Vec<Learned>>,
-    last: Duration,
+    /// When a handler last started.
+    last_wake: Duration,
     next_publish: Duration,
     next_neighbours: Duration,
 }
 
 impl Control {
-    /// A duty that owns nothing; a configuration may take `config_in_force` to be in force everywhere.
+    /// Creates an actor without shards. A configuration change takes effect on all daemons within
+    /// `config_in_force`.
     pub fn new(
         me: Member,
         settings: shard::Settings,
@@ -169,27 +173,27 @@
             ownership: Ownership::new(me, now),
             rings: None,
             hosted: IndexMap::new(),
-            others: IndexMap::new(),
+            remote_shards: IndexMap::new(),
             queues: None,
             confirmed: Confirmed::new(now, config_in_force),
             config_unconfirmed: false,
-            config_fault: None,
+            config_error: None,
             fleet: Vec::new(),
             shapes: Arc::default(),
             plan: Plan::default(),
-            store: StoreReach::Away,
-            store_lost: None,
+            store_reach: StoreReach::Away,
+            store_lost_at: None,
             upkeep,
             next_upkeep: now,
-            asking: IndexMap::new(),
-            offered: IndexMap::new(),
-            told_lapses: IndexMap::new(),
+            permit_requests: IndexMap::new(),
+            offers: IndexMap::new(),
+            reported_lapses: IndexMap::new(),
             tickets: IndexMap::new(),
             next_ticket: 0,
             view,
             directory,
             learned: IndexMap::new(),
-            last: now,
+            last_wake: now,
             next_publish: now,
             next_neighbours: now,
             clock,
@@ -201,48 +205,42 @@
         Now { steady: self.clock.now(), wall }
     }
 
-    /// Called first in each handler: finds out whether this daemon stood still.
-    fn wake(&mut self, cx: &mut Context<Self>) -> Now {
+    /// Called first in each handler: after a pause of the process, starts to confirm ownership.
+    fn begin_handler(&mut self, cx: &mut Context<Self>) -> Now {
         let now = self.now();
-        let pause = now.steady.saturating_sub(self.last);
-        self.last = now.steady;
+        let pause = now.steady.saturating_sub(self.last_wake);
+        self.last_wake = now.steady;
         if pause >= OWN_PAUSE {
-            self.confirm_all(cx);
+            self.confirm_all_ownership(cx);
         }
         now
     }
 
-    /// Lets a shard decide, and carries out what it asks for.
-    fn step(&mut self, name: &str, event: Event, cx: &mut Context<Self>) {
+    /// Passes an event to a shard and executes the resulting actions.
+    fn step_shard(&mut self, name: &str, event: Event, cx: &mut Context<Self>) {
         let now = self.now();
         let Some(hosted) = self.hosted.get_mut(name) else { return };
-        if let Some(held) = &mut hosted.held {
+        if let Some(deferred) = &mut hosted.deferred {
             if !matches!(event, Event::Tick) {
-                held.push(event);
+                deferred.push(event);
             }
             return;
         }
         let actions = hosted.shard.step(now, event);
         let (shard, fence) = (hosted.name.clone(), hosted.shard.fence());
         for action in actions {
-            self.carry_out(&shard, fence, action, cx);
+            self.execute(&shard, fence, action, cx);
         }
     }
 
-    fn carry_out(
-        &mut self,
-        shard: &Arc<str>,
-        fence: Fence,
-        action: Action,
-        cx: &mut Context<Self>,
-    ) {
+    fn execute(&mut self, shard: &Arc<str>, fence: Fence, action: Action, cx: &mut Context<Self>) {
         match action {
             Action::Look { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => {
                 let Some(rings) = &mut self.rings else { return };
-                // The order's answer never comes if its duty has ended, and nothing else does then.
+                // The push fails only if the orders actor has ended; no order is answered then.
                 let _ = rings.orders.push(Order { shard: shard.clone(), fence, action });
             }
             Action::Ask(req) => self.ask_permits(shard, fence, req, cx),
@@ -253,16 +251,16 @@
             }
             Action::Reply { ticket, answer } => self.reply(ticket, Reply::Answer(answer)),
             Action::Note(note) => {
-                self.hear_of_job(shard, &note);
+                self.record_accepted_job(shard, &note);
                 self.journal.write(note);
             }
-            Action::Tell { to, fence, msg } => self.tell(shard, &to, fence, msg, cx),
-            Action::Fenced => self.drop_shard(shard, "a VM has seen a later owner", cx),
-            Action::HandedOver => self.handed_over(shard, cx),
+            Action::Tell { to, fence, msg } => self.send_loan_message(shard, &to, fence, msg, cx),
+            Action::Fenced => self.drop_shard(shard, "a VM reported a newer owner", cx),
+            Action::HandedOver => self.complete_hand_over(shard, cx),
         }
     }
 
-    /// Asks the service that permits steps, through the daemon with the fewest questions of ours.
+    /// Asks the permit service, through the daemon with the fewest open requests of this one.
     fn ask_permits(
         &mut self,
         shard: &Arc<str>,
@@ -270,25 +268,27 @@
         req: PermitReq,
         cx: &mut Context<Self>,
     ) {
-        let through = self.ownership.members().into_iter().filter(may_ask).min_by_key(|member| {
-            let asked = self.asking.get(&member.name).copied().unwrap_or(0);
-            (asked, xxh3_64(format!("{}/{}", req.step, member.name).as_bytes()))
-        });
-        let here = self.asking.get(&self.ownership.me().name).copied().unwrap_or(0);
         let through =
-            through.filter(|member| here > self.asking.get(&member.name).copied().unwrap_or(0));
+            self.ownership.members().into_iter().filter(can_forward_permits).min_by_key(|member| {
+                let open = self.permit_requests.get(&member.name).copied().unwrap_or(0);
+                (open, xxh3_64(format!("{}/{}", req.step, member.name).as_bytes()))
+            });
+        let open_here = self.permit_requests.get(&self.ownership.me().name).copied().unwrap_or(0);
+        let through = through.filter(|member| {
+            open_here > self.permit_requests.get(&member.name).copied().unwrap_or(0)
+        });
         let Some(rings) = &mut self.rings else { return };
         let name = through.as_ref().unwrap_or(self.ownership.me()).name.clone();
-        *self.asking.entry(name.clone()).or_default() += 1;
-        let (sent, step, vms) = (self.last, req.step, req.vms.clone());
+        *self.permit_requests.entry(name.clone()).or_default() += 1;
+        let (sent, step, vms) = (self.last_wake, req.step, req.vms.clone());
         let answer: Pin<Box<dyn Future<Output = _>>> = match through {
             Some(to) => Box::pin(rings.links.send(ForwardPermitRequest { to, req })),
             None => Box::pin(rings.asker.send(AskHere(req))),
         };
         let shard = shard.clone();
         cx.spawn(answer.into_actor(self).map(move |answer, this, cx| {
-            if let Some(asked) = this.asking.get_mut(&name) {
-                *asked = asked.saturating_sub(1);
+            if let Some(open) = this.permit_requests.get_mut(&name) {
+                *open = open.saturating_sub(1);
             }
             let ended = |e: MailboxError| permit::Error::NotSent { reason: e.to_string() };
             let result = answer.map_err(ended).flatten();
@@ -297,8 +297,8 @@
         }));
     }
 
-    /// Says something to the owner of another shard, wherever that is.
-    fn tell(
+    /// Sends a message about lent tasks to the owner of another shard, local or remote.
+    fn send_loan_message(
         &mut self,
         from: &Arc<str>,
         to: &Arc<str>,
@@ -307,34 +307,34 @@
         cx: &mut Context<Self>,
     ) {
         if self.hosted.contains_key(&**to) {
-            // Not at once: the shard that says it is being stepped.
+            // Queued as a message, since the sending shard is still processing its event.
             let (from, to) = (from.clone(), to.clone());
             cx.notify(HandleLoanMessage { shard: to, from, fence, msg });
             return;
         }
-        // Without an owner it is lost, and said again.
+        // Without an owner the message is lost; the sending shard repeats it.
         let (Some(owner), Some(rings)) = (self.ownership.owner(to), &self.rings) else { return };
         let (shard, from) = (to.to_string(), from.to_string());
         rings.links.do_send(SendLoanMessage { to: owner, shard, from, fence, msg });
     }
 
     fn tick(&mut self, cx: &mut Context<Self>) {
-        let now = self.wake(cx);
+        let now = self.begin_handler(cx);
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
-            self.step(&name, Event::Tick, cx);
+            self.step_shard(&name, Event::Tick, cx);
         }
         if now.steady >= self.next_publish {
-            self.next_publish = now.steady + PUBLISH;
-            self.own(cluster::Event::Tick, cx);
+            self.next_publish = now.steady + PUBLISH_INTERVAL;
+            self.step_ownership(cluster::Event::Tick, cx);
             if now.steady >= self.next_upkeep {
-                self.next_upkeep = now.steady + UPKEEP_EVERY;
-                self.go_on_with_upkeep(cx);
+                self.next_upkeep = now.steady + UPKEEP_INTERVAL;
+                self.tick_upkeep(cx);
             }
             if now.steady >= self.next_neighbours {
-                self.next_neighbours = now.steady + NEIGHBOURS_EVERY;
-                self.summarize();
-                self.tell_neighbours(cx);
+                self.next_neighbours = now.steady + NEIGHBOUR_INTERVAL;
+                self.update_summaries();
+                self.report_neighbours(cx);
             }
             self.publish(now.steady);
         }
@@ -343,24 +343,24 @@
         }
     }
 
-    fn go_on_with_upkeep(&mut self, cx: &mut Context<Self>) {
-        let own = |(name, hosted): (&String, &Hosted)| OwnShard {
+    fn tick_upkeep(&mut self, cx: &mut Context<Self>) {
+        let own = |(name, hosted): (&String, &HostedShard)| OwnShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
             vacated: hosted.shard.vacated(),
         };
         let shards = self.hosted.iter().map(own).collect();
-        self.keep_up(upkeep::duty::Event::Tick(shards), cx);
+        self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
     }
 
-    /// Lets the duty of upkeep decide, and carries out what it asks for.
-    fn keep_up(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
+    /// Passes an event to the upkeep state machine and executes the resulting actions.
+    fn step_upkeep(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
         let now = self.clock.now();
         for action in self.upkeep.step(now, event) {
             match action {
                 upkeep::duty::Action::Note(note) => self.journal.write(note),
                 upkeep::duty::Action::Vacate { shard, order } => {
-                    self.step(&shard, Event::Vacate(order), cx);
+                    self.step_shard(&shard, Event::Vacate(order), cx);
                 }
                 other => {
                     if let Some(rings) = &self.rings {
@@ -372,8 +372,8 @@
     }
 }
 
-/// Whether a daemon may ask for others.
-fn may_ask(member: &Member) -> bool {
+/// Whether a daemon may send permit requests for others.
+fn can_forward_permits(member: &Member) -> bool {
     member.stage == MemberStage::Serving
 }
 
@@ -382,9 +382,9 @@
 
     fn started(&mut self, cx: &mut Self::Context) {
         cx.set_mailbox_capacity(RING_CAPACITY);
-        cx.run_interval(TICK, Self::tick);
+        cx.run_interval(TICK_INTERVAL, Self::tick);
     }
 }
 
-/// What a ring from control does when it is full.
-pub const ACTIONS: WhenFull = WhenFull::Wait { limit: WAITING_ACTIONS };
+/// Behaviour of a full ring from this actor to another.
+pub const ACTIONS: WhenFull = WhenFull::Wait { limit: MAX_PENDING_ACTIONS };
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -1,6 +1,6 @@
-//! What control is told.
+//! Messages handled by the control actor.
 
-use super::{Control, Offered, Rings, TimedLapses};
+use super::{Control, Rings, ShardOffer, TimedLapses};
 use crate::cluster::{self, Head, Hello, Member, Plan, StoreReach};
 use crate::ids::{DaemonId, Ticket};
 use crate::jobs::calls::{Call, Reply};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Joins control to the other duties.
+/// Connects the control actor to the others.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Connect(pub Rings);
@@ -43,15 +43,15 @@
     type Result = ();
 
     fn handle(&mut self, msg: Told, cx: &mut Self::Context) {
-        self.wake(cx);
-        // An answer to an earlier ownership of the shard says nothing about this one.
+        self.begin_handler(cx);
+        // Answers to orders from an earlier ownership of the shard are stale.
         if self.hosted.get(&*msg.shard).is_some_and(|hosted| hosted.shard.fence() == msg.fence) {
-            self.step(&msg.shard, msg.event, cx);
+            self.step_shard(&msg.shard, msg.event, cx);
         }
     }
 }
 
-/// What the store has, or did.
+/// Data read from the store, or the result of a store operation.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub enum Stored {
@@ -70,7 +70,7 @@
         seq: u64,
         result: CommitResult,
     },
-    /// VMs as they were at some time after `at`; `None` if that isn't known.
+    /// VMs as of some time after `at`; `None` if the time is unknown.
     Fleet {
         vms: Vec<VmEntry>,
         announcements: Announcements,
@@ -78,7 +78,7 @@
     },
     Queues(Box<ReadQueues>),
     Wave(Wave),
-    /// The configuration in force was the newest then.
+    /// At that time the configuration in force was the newest one.
     ConfigConfirmed {
         at: Duration,
     },
@@ -98,47 +98,49 @@
     type Result = ();
 
     fn handle(&mut self, msg: Stored, cx: &mut Self::Context) {
-        self.wake(cx);
+        self.begin_handler(cx);
         match msg {
-            Stored::Members(members) => self.own(cluster::Event::Registered(members), cx),
-            Stored::Heads(heads) => self.own(cluster::Event::Heads(heads), cx),
+            Stored::Members(members) => {
+                self.step_ownership(cluster::Event::Registered(members), cx)
+            }
+            Stored::Heads(heads) => self.step_ownership(cluster::Event::Heads(heads), cx),
             Stored::Plan(plan) => {
                 if plan != self.plan {
                     self.plan = plan.clone();
-                    self.keep_up(upkeep::duty::Event::Plan(plan.clone()), cx);
-                    self.own(cluster::Event::Plan(plan), cx);
+                    self.step_upkeep(upkeep::duty::Event::Plan(plan.clone()), cx);
+                    self.step_ownership(cluster::Event::Plan(plan), cx);
                 }
             }
-            Stored::Claimed(recovered) => self.take_recovered(*recovered, cx),
+            Stored::Claimed(recovered) => self.start_shard(*recovered, cx),
             Stored::ClaimFailed { shard, head, reason } => {
-                self.own(cluster::Event::ClaimFailed { shard, head, reason }, cx);
+                self.step_ownership(cluster::Event::ClaimFailed { shard, head, reason }, cx);
             }
             Stored::Committed { shard, fence, seq, result } => {
                 if self.hosted.get(&shard).is_some_and(|hosted| hosted.shard.fence() == fence) {
                     let lost = matches!(result, CommitResult::Superseded(_));
-                    self.step(&shard, Event::Committed { seq, result }, cx);
+                    self.step_shard(&shard, Event::Committed { seq, result }, cx);
                     if lost {
                         self.drop_shard(&shard, "another daemon owns it", cx);
                     }
                 }
             }
             Stored::Fleet { vms, announcements, at } => {
-                self.take_fleet(vms, announcements, at, cx);
+                self.update_fleet(vms, announcements, at, cx);
             }
-            Stored::Queues(queues) => self.take_queues(*queues, cx),
-            Stored::Wave(wave) => self.keep_up(upkeep::duty::Event::Wave(wave), cx),
+            Stored::Queues(queues) => self.apply_config(*queues, cx),
+            Stored::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
             Stored::ConfigConfirmed { at } => self.confirm_config(at),
-            Stored::ConfigUnread { reason } => self.config_fault = Some(reason),
+            Stored::ConfigUnread { reason } => self.config_error = Some(reason),
             Stored::Reach { reach, silent, reason } => {
-                self.take_reach(reach, silent, reason);
-                self.own(cluster::Event::Store(reach), cx);
+                self.update_store_reach(reach, silent, reason);
+                self.step_ownership(cluster::Event::Store(reach), cx);
             }
             Stored::Note(note) => self.journal.write(note),
         }
     }
 }
 
-/// What became of something that was done for a wave.
+/// Result of an action for an upkeep wave.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Upkept(pub upkeep::duty::Event);
@@ -147,12 +149,12 @@
     type Result = ();
 
     fn handle(&mut self, msg: Upkept, cx: &mut Self::Context) {
-        self.wake(cx);
-        self.keep_up(msg.0, cx);
+        self.begin_handler(cx);
+        self.step_upkeep(msg.0, cx);
     }
 }
 
-/// Another daemon's news.
+/// Another daemon's hello was received.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct HelloReceived(pub Hello);
@@ -161,25 +163,26 @@
     type Result = ();
 
     fn handle(&mut self, msg: HelloReceived, cx: &mut Self::Context) {
-        let now = self.wake(cx).steady;
+        let now = self.begin_handler(cx).steady;
         for news in &msg.0.shards {
             let shared: Arc<str> = Arc::from(news.name.as_str());
             news.accepted.iter().for_each(|job| self.add_to_directory(*job, &shared));
             let summary = Arc::new(news.summary.clone());
-            self.others.insert(news.name.clone(), ShardView { owner: None, summary, at: now });
+            self.remote_shards
+                .insert(news.name.clone(), ShardView { owner: None, summary, at: now });
             let lapses = TimedLapses { at: now, lapses: news.lapses.clone() };
-            self.told_lapses.insert(news.name.clone(), lapses);
+            self.reported_lapses.insert(news.name.clone(), lapses);
         }
         let learned: Vec<(String, Vec<Learned>)> =
             msg.0.shards.iter().map(|news| (news.name.clone(), news.learned.clone())).collect();
         for (from, learned) in learned {
-            self.hear_learned(&from, learned, cx);
+            self.share_learned(&from, learned, cx);
         }
-        self.own(cluster::Event::Hello(msg.0), cx);
+        self.step_ownership(cluster::Event::Hello(msg.0), cx);
     }
 }
 
-/// Another daemon's port refuses connections.
+/// Another daemon refused a connection.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ConnectionRefused(pub DaemonId);
@@ -188,12 +191,12 @@
     type Result = ();
 
     fn handle(&mut self, msg: ConnectionRefused, cx: &mut Self::Context) {
-        self.wake(cx);
-        self.own(cluster::Event::Refused(msg.0), cx);
+        self.begin_handler(cx);
+        self.step_ownership(cluster::Event::Refused(msg.0), cx);
     }
 }
 
-/// A caller's call about a shard.
+/// A caller's request to a shard.
 #[derive(Message)]
 #[rtype(result = "Reply")]
 pub struct HandleCall {
@@ -205,7 +208,7 @@
     type Result = ResponseFuture<Reply>;
 
     fn handle(&mut self, msg: HandleCall, cx: &mut Self::Context) -> Self::Result {
-        self.wake(cx);
+        self.begin_handler(cx);
         if !self.hosted.contains_key(&msg.shard) {
             return Box::pin(std::future::ready(Reply::NotOwner));
         }
@@ -218,15 +221,16 @@
             Call::Cancel(job) => Event::Cancel { ticket, job },
             Call::Show(job) => Event::Show { ticket, job },
         };
-        self.step(&msg.shard, event, cx);
+        self.step_shard(&msg.shard, event, cx);
         Box::pin(async move {
-            let lost = || Answer::Unknown { reason: "the shard has changed hands".to_owned() };
+            let lost =
+                || Answer::Unknown { reason: "the shard has moved to another owner".to_owned() };
             rx.await.unwrap_or_else(|_| Reply::Answer(lost()))
         })
     }
 }
 
-/// Another daemon gives a shard to this one.
+/// Another daemon offers a shard to this one.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct HandleOffer {
@@ -239,20 +243,20 @@
     type Result = ();
 
     fn handle(&mut self, msg: HandleOffer, cx: &mut Self::Context) {
-        self.wake(cx);
-        let offer = Offered { from: msg.from.clone(), at: self.last, lapses: msg.lapses };
-        self.offered.insert(msg.shard.clone(), offer);
-        self.own(cluster::Event::Offered { shard: msg.shard, from: msg.from }, cx);
+        self.begin_handler(cx);
+        let offer = ShardOffer { from: msg.from.clone(), at: self.last_wake, lapses: msg.lapses };
+        self.offers.insert(msg.shard.clone(), offer);
+        self.step_ownership(cluster::Event::Offered { shard: msg.shard, from: msg.from }, cx);
     }
 }
 
-/// Another shard's owner says something about a loan.
+/// Another shard's owner sent a message about lent tasks.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct HandleLoanMessage {
     pub shard: Arc<str>,
     pub from: Arc<str>,
-    /// Token of the owner that it is meant for.
+    /// Fencing token of the owner that the message is addressed to.
     pub fence: Fence,
     pub msg: LoanMsg,
 }
@@ -261,12 +265,16 @@
     type Result = ();
 
     fn handle(&mut self, msg: HandleLoanMessage, cx: &mut Self::Context) {
-        self.wake(cx);
-        self.step(&msg.shard, Event::Message { from: msg.from, to: msg.fence, msg: msg.msg }, cx);
+        self.begin_handler(cx);
+        self.step_shard(
+            &msg.shard,
+            Event::Message { from: msg.from, to: msg.fence, msg: msg.msg },
+            cx,
+        );
     }
 }
 
-/// The daemon stops as planned.
+/// Begins a planned shutdown: hands the shards over.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Drain;
@@ -275,14 +283,14 @@
     type Result = ();
 
     fn handle(&mut self, _: Drain, cx: &mut Self::Context) {
-        let now = self.wake(cx).steady;
-        self.own(cluster::Event::Drain, cx);
+        let now = self.begin_handler(cx).steady;
+        self.step_ownership(cluster::Event::Drain, cx);
         self.ownership.greet_all();
         self.publish(now);
     }
 }
 
-/// The daemon ends now, and with it whatever it owns.
+/// Releases all shards at once because the daemon is about to exit.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct GiveUp;
@@ -291,14 +299,14 @@
     type Result = ();
 
     fn handle(&mut self, _: GiveUp, cx: &mut Self::Context) {
-        let now = self.wake(cx).steady;
-        self.own(cluster::Event::GiveUp, cx);
+        let now = self.begin_handler(cx).steady;
+        self.step_ownership(cluster::Event::GiveUp, cx);
         self.ownership.greet_all();
         self.publish(now);
     }
 }
 
-/// Asks whether any shard is still owned here.
+/// Returns whether this daemon still owns any shard.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct OwnsAny;
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -1,6 +1,6 @@
-//! What control tells the other duties and daemons of its shards.
+//! State that the control actor publishes to other actors and daemons.
 
-use super::{Control, Hosted};
+use super::{Control, HostedShard};
 use crate::clock::Clock;
 use crate::cluster::{Hello, MemberStage, ShardNews};
 use crate::jobs::confirmed::Standing;
@@ -14,22 +14,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an accepted job is told of: with three hellos, so that one may be lost.
-const TOLD_FOR: Duration = Duration::from_millis(1200);
+/// How long hellos report an accepted job: three hellos, so that one may be lost.
+const ACCEPTED_REPORT_PERIOD: Duration = Duration::from_millis(1200);
 
-/// Age up to which another shard's news are gone by for lending.
-const FRESH_NEIGHBOUR: Duration = Duration::from_millis(1500);
+/// Maximum age of another shard's summary that is used for lending tasks.
+const MAX_NEIGHBOUR_AGE: Duration = Duration::from_millis(1500);
 
-/// Between two tellings of what was learned of how images disturb each other: 2 KB with 45 pairs.
-pub(super) const LEARNED_EVERY: Duration = Duration::from_millis(1500);
+/// Interval at which the learned interference between images is sent: 2 KB with 45 pairs.
+pub(super) const LEARNED_INTERVAL: Duration = Duration::from_millis(1500);
 
 impl Control {
-    /// Tells the shards here what is known of the others.
-    pub(super) fn tell_neighbours(&mut self, cx: &mut Context<Self>) {
+    /// Informs each local shard about the other shards.
+    pub(super) fn report_neighbours(&mut self, cx: &mut Context<Self>) {
         let now = self.clock.now();
         let mut known: Vec<Neighbour> = Vec::new();
-        for (name, view) in &self.others {
-            let fresh = now.saturating_sub(view.at) < FRESH_NEIGHBOUR;
+        for (name, view) in &self.remote_shards {
+            let fresh = now.saturating_sub(view.at) < MAX_NEIGHBOUR_AGE;
             if fresh && self.ownership.owner(name).is_some() && !self.hosted.contains_key(name) {
                 let (name, summary) = (Arc::from(name.as_str()), view.summary.clone());
                 let fence = self.ownership.fence(&name);
@@ -45,30 +45,32 @@
         let askers = u32::try_from(daemons.div_ceil(shards)).unwrap_or(1);
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
-            self.step(&name, Event::Askers(askers), cx);
+            self.step_shard(&name, Event::Askers(askers), cx);
             let others = known.iter().filter(|other| *other.name != *name).cloned().collect();
-            self.step(&name, Event::Neighbours(others), cx);
+            self.step_shard(&name, Event::Neighbours(others), cx);
         }
     }
 
-    pub(super) fn summarize(&mut self) {
+    /// Recomputes the summaries of the local shards.
+    pub(super) fn update_summaries(&mut self) {
         let now = self.clock.now();
         for hosted in self.hosted.values_mut() {
             hosted.summary = Arc::new(hosted.shard.summary());
-            hosted.summarized = now;
+            hosted.summary_at = now;
         }
     }
 
+    /// Publishes the current view and sends the hellos that are due.
     pub(super) fn publish(&mut self, now: Duration) {
-        self.watch_config(now);
+        self.check_config_confirmation(now);
         let mut shards = IndexMap::new();
         for name in self.ownership.shards() {
             let view = match self.hosted.get_mut(&name) {
                 Some(hosted) => {
-                    let (summary, at) = (hosted.summary.clone(), hosted.summarized);
+                    let (summary, at) = (hosted.summary.clone(), hosted.summary_at);
                     ShardView { owner: Some(Owner::Here), summary, at }
                 }
-                None => self.other(&name),
+                None => self.remote_view(&name),
             };
             shards.insert(name, view);
         }
@@ -89,11 +91,11 @@
             readiness,
             shapes: self.shapes.clone(),
         }));
-        self.say_hello();
+        self.send_hellos();
     }
 
-    pub(super) fn other(&self, name: &str) -> ShardView {
-        let known = self.others.get(name);
+    pub(super) fn remote_view(&self, name: &str) -> ShardView {
+        let known = self.remote_shards.get(name);
         ShardView {
             owner: self.ownership.owner(name).map(Owner::Other),
             summary: known.map(|view| view.summary.clone()).unwrap_or_default(),
@@ -108,15 +110,15 @@
     ) -> Readiness {
         let not = |reason| Readiness::Not { reason };
         if self.ownership.me().stage == MemberStage::Draining {
-            return not("the daemon stops");
+            return not("the daemon is stopping");
         }
         if self.queues.is_none() {
-            return not("no configuration was read yet");
+            return not("no configuration has been read yet");
         }
         match self.confirmed.standing(now) {
             Standing::Unconfirmed => return not("the configuration isn't confirmed"),
             Standing::CutOff if !self.ownership.store_in_reach() => {
-                return not("the store can't be reached");
+                return not("the store is unreachable");
             }
             Standing::CutOff | Standing::Confirmed => {}
         }
@@ -126,8 +128,8 @@
         Readiness::Ready
     }
 
-    /// Greets whoever is to be greeted now.
-    pub(super) fn say_hello(&mut self) {
+    /// Sends hellos to the members that are due for one.
+    pub(super) fn send_hellos(&mut self) {
         let now = self.clock.now();
         let to = self.ownership.to_greet(now);
         if to.is_empty() {
@@ -135,9 +137,9 @@
         }
         let hello = Hello {
             from: self.ownership.me().clone(),
-            store: self.store,
+            store: self.store_reach,
             config: self.queues.as_ref().map_or(0, |queues| queues.version),
-            shards: self.news(),
+            shards: self.shard_news(),
         };
         let (owners, others) = to.into_iter().partition(|to| self.ownership.is_owner(&to.name));
         if let Some(rings) = &self.rings {
@@ -145,31 +147,35 @@
         }
     }
 
-    pub(super) fn news(&mut self) -> Vec<ShardNews> {
+    pub(super) fn shard_news(&mut self) -> Vec<ShardNews> {
         let now = self.clock.now();
-        let news = |(name, hosted): (&String, &mut Hosted)| {
-            while hosted.accepted.front().is_some_and(|(at, _)| now.saturating_sub(*at) > TOLD_FOR)
+        let news = |(name, hosted): (&String, &mut HostedShard)| {
+            while hosted
+                .accepted
+                .front()
+                .is_some_and(|(at, _)| now.saturating_sub(*at) > ACCEPTED_REPORT_PERIOD)
             {
                 hosted.accepted.pop_front();
             }
-            let tells = now >= hosted.next_learned;
-            if tells {
-                hosted.next_learned = now + LEARNED_EVERY;
+            let learned_due = now >= hosted.next_learned_at;
+            if learned_due {
+                hosted.next_learned_at = now + LEARNED_INTERVAL;
             }
             ShardNews {
                 name: name.clone(),
                 fence: hosted.shard.fence().0,
                 summary: (*hosted.summary).clone(),
                 accepted: hosted.accepted.iter().map(|(_, job)| *job).collect(),
-                learned: if tells { hosted.shard.learned() } else { Vec::new() },
+                learned: if learned_due { hosted.shard.learned() } else { Vec::new() },
                 lapses: hosted.shard.told_lapses(now),
             }
         };
         self.hosted.iter_mut().map(news).collect()
     }
 
-    /// Passes on what another shard has learned, and keeps it for shards taken over later.
-    pub(super) fn hear_learned(
+    /// Passes the interference learned by another shard to the local shards, and keeps it for
+    /// shards taken over later.
+    pub(super) fn share_learned(
         &mut self,
         from: &str,
         learned: Vec<Learned>,
@@ -181,7 +187,7 @@
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let (from, learned) = (from.to_owned(), learned.clone());
-            self.step(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Learned { from, learned }, cx);
         }
         self.learned.insert(from.to_owned(), learned);
     }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -1,7 +1,7 @@
-//! The shards that are owned here: how they come, what they hear of, and how they go.
+//! Life cycle of the shards owned by this daemon, and the events passed to them.
 
-use super::publish::LEARNED_EVERY;
-use super::{Control, Hosted, TimedLapses};
+use super::publish::LEARNED_INTERVAL;
+use super::{Control, HostedShard, TimedLapses};
 use crate::cluster::{self, HandOver, StoreReach};
 use crate::ids::Ticket;
 use crate::job::JobId;
@@ -18,48 +18,50 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-/// Pause before the store is asked again whether shards are still owned.
-const CONFIRM_RETRY: Duration = Duration::from_millis(150);
+/// Delay before the store is asked again to confirm a shard's ownership.
+const CONFIRM_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl Control {
-    pub(super) fn confirm_all(&mut self, cx: &mut Context<Self>) {
+    /// Defers the events of all local shards until the store confirms their ownership.
+    pub(super) fn confirm_all_ownership(&mut self, cx: &mut Context<Self>) {
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let Some(hosted) = self.hosted.get_mut(&name) else { continue };
-            hosted.held.get_or_insert_default();
-            self.confirm(name, cx);
+            hosted.deferred.get_or_insert_default();
+            self.confirm_ownership(name, cx);
         }
     }
 
-    pub(super) fn confirm(&mut self, shard: String, cx: &mut Context<Self>) {
+    pub(super) fn confirm_ownership(&mut self, shard: String, cx: &mut Context<Self>) {
         let Some(rings) = &self.rings else { return };
         let owner = self.ownership.me().id.clone();
         let asked = rings.confirm.send(Confirm { shard: shard.clone(), owner });
         cx.spawn(asked.into_actor(self).map(move |answer, this, cx| match answer {
-            Ok(Confirmation::Owned) => this.go_on(&shard, cx),
+            Ok(Confirmation::Owned) => this.resume_shard(&shard, cx),
             Ok(Confirmation::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
             Ok(Confirmation::Unknown) | Err(_) => {
-                cx.run_later(CONFIRM_RETRY, move |this, cx| {
-                    if this.hosted.get(&shard).is_some_and(|hosted| hosted.held.is_some()) {
-                        this.confirm(shard, cx);
+                cx.run_later(CONFIRM_RETRY_DELAY, move |this, cx| {
+                    if this.hosted.get(&shard).is_some_and(|hosted| hosted.deferred.is_some()) {
+                        this.confirm_ownership(shard, cx);
                     }
                 });
             }
         }));
     }
 
-    pub(super) fn go_on(&mut self, shard: &str, cx: &mut Context<Self>) {
-        let held = self.hosted.get_mut(shard).and_then(|hosted| hosted.held.take());
-        for event in held.into_iter().flatten() {
-            self.step(shard, event, cx);
+    /// Processes the deferred events of a shard whose ownership was confirmed.
+    pub(super) fn resume_shard(&mut self, shard: &str, cx: &mut Context<Self>) {
+        let deferred = self.hosted.get_mut(shard).and_then(|hosted| hosted.deferred.take());
+        for event in deferred.into_iter().flatten() {
+            self.step_shard(shard, event, cx);
         }
     }
 
-    pub(super) fn hear_of_job(&mut self, shard: &Arc<str>, note: &Note) {
+    pub(super) fn record_accepted_job(&mut self, shard: &Arc<str>, note: &Note) {
         if let Note::JobAccepted { job, .. } = note {
             self.add_to_directory(*job, shard);
             if let Some(hosted) = self.hosted.get_mut(&**shard) {
-                hosted.accepted.push_back((self.last, *job));
+                hosted.accepted.push_back((self.last_wake, *job));
             }
         }
     }
@@ -70,32 +72,32 @@
 
     pub(super) fn reply(&mut self, ticket: Ticket, reply: Reply) {
         if let Some(tx) = self.tickets.swap_remove(&ticket) {
-            // A caller that has gone doesn't wait for its answer.
+            // The send fails only if the caller no longer waits.
             let _ = tx.send(reply);
         }
     }
 
-    pub(super) fn handed_over(&mut self, shard: &str, cx: &mut Context<Self>) {
-        let to = self.hosted.get(shard).and_then(|hosted| hosted.to.clone());
+    pub(super) fn complete_hand_over(&mut self, shard: &str, cx: &mut Context<Self>) {
+        let new_owner = self.hosted.get(shard).and_then(|hosted| hosted.new_owner.clone());
         let from = self.ownership.me().id.clone();
-        if let (Some(to), Some(rings)) = (to, &self.rings)
+        if let (Some(to), Some(rings)) = (new_owner, &self.rings)
             && to.id != from
         {
             let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.lapses());
             let (shard, lapses) = (shard.to_owned(), lapses.unwrap_or_default());
             rings.links.do_send(OfferShard { shard, to, from, lapses });
         }
-        self.drop_shard(shard, "given away", cx);
+        self.drop_shard(shard, "handed over", cx);
     }
 
     pub(super) fn drop_shard(&mut self, shard: &str, reason: &'static str, cx: &mut Context<Self>) {
         let Some(mut hosted) = self.hosted.shift_remove(shard) else { return };
-        // This daemon may be the next owner as well.
+        // Kept because this daemon may become the shard's next owner.
         let now = self.now().steady;
         let lapses = TimedLapses { at: now, lapses: hosted.shard.told_lapses(now) };
-        self.told_lapses.insert(shard.to_owned(), lapses);
-        for event in hosted.held.take().into_iter().flatten() {
-            // Not decided on, so it had no effect: the caller was left waiting, and can ask the owner.
+        self.reported_lapses.insert(shard.to_owned(), lapses);
+        for event in hosted.deferred.take().into_iter().flatten() {
+            // A deferred call had no effect; its caller still waits and can be sent to the owner.
             if let Some(ticket) = event.ticket() {
                 self.reply(ticket, Reply::NotOwner);
             }
@@ -109,11 +111,11 @@
             rings.forget.do_send(Forget { shard: shard.to_owned() });
         }
         let gone = cluster::Event::Gone { shard: shard.to_owned(), reason };
-        self.own(gone, cx);
+        self.step_ownership(gone, cx);
     }
 
-    /// Lets ownership decide, and carries out what it asks for.
-    pub(super) fn own(&mut self, event: cluster::Event, cx: &mut Context<Self>) {
+    /// Passes an event to the ownership state machine and executes the resulting actions.
+    pub(super) fn step_ownership(&mut self, event: cluster::Event, cx: &mut Context<Self>) {
         let now = self.now().steady;
         let actions = self.ownership.step(now, event);
         for action in actions {
@@ -121,19 +123,19 @@
                 cluster::Action::Note(note) => self.journal.write(note),
                 cluster::Action::HandOver { shard, to, how } => {
                     if let Some(hosted) = self.hosted.get_mut(&shard) {
-                        hosted.to = Some(to);
+                        hosted.new_owner = Some(to);
                     }
                     match how {
-                        HandOver::Settled => self.step(&shard, Event::HandOver, cx),
-                        HandOver::AtOnce => self.handed_over(&shard, cx),
+                        HandOver::Settled => self.step_shard(&shard, Event::HandOver, cx),
+                        HandOver::AtOnce => self.complete_hand_over(&shard, cx),
                     }
                 }
-                other => self.ask(other),
+                other => self.execute_ownership_action(other),
             }
         }
     }
 
-    pub(super) fn ask(&mut self, action: cluster::Action) {
+    pub(super) fn execute_ownership_action(&mut self, action: cluster::Action) {
         let Some(rings) = &self.rings else { return };
         match action {
             cluster::Action::Claim { shard, previous, replaces } => {
@@ -145,22 +147,23 @@
         }
     }
 
-    /// VMs of a shard.
-    pub(super) fn vms_of(&self, shard: &str) -> Vec<VmEntry> {
-        let ours = |vm: &&VmEntry| self.plan.shard_of(vm).as_deref() == Some(shard);
-        self.fleet.iter().filter(ours).cloned().collect()
+    /// VMs that the plan assigns to a shard.
+    pub(super) fn shard_vms(&self, shard: &str) -> Vec<VmEntry> {
+        let in_shard = |vm: &&VmEntry| self.plan.shard_of(vm).as_deref() == Some(shard);
+        self.fleet.iter().filter(in_shard).cloned().collect()
     }
 
-    pub(super) fn take_recovered(&mut self, mut recovered: Recovered, cx: &mut Context<Self>) {
+    pub(super) fn start_shard(&mut self, mut recovered: Recovered, cx: &mut Context<Self>) {
         let now = self.now();
-        let offered = self.offered.shift_remove(&recovered.shard);
-        // Another owner in between may have extended work since.
-        if let Some(offered) = offered.filter(|o| recovered.predecessor.as_ref() == Some(&o.from)) {
-            let passed = now.steady.saturating_sub(offered.at);
-            recovered.lapses = offered.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
+        let offer = self.offers.shift_remove(&recovered.shard);
+        // Valid only if the offering daemon was the last owner: another one in between may have
+        // extended the time for which the VMs keep their work running.
+        if let Some(offer) = offer.filter(|o| recovered.predecessor.as_ref() == Some(&o.from)) {
+            let passed = now.steady.saturating_sub(offer.at);
+            recovered.lapses = offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
         }
-        if let Some(told) = self.told_lapses.shift_remove(&recovered.shard) {
-            recovered.told = told.aged(now.steady);
+        if let Some(reported) = self.reported_lapses.shift_remove(&recovered.shard) {
+            recovered.told = reported.aged(now.steady);
         }
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
@@ -170,35 +173,35 @@
             recovered,
             self.settings,
             self.queues.clone().unwrap_or_default(),
-            self.vms_of(&name),
+            self.shard_vms(&name),
             now,
         );
         let shared: Arc<str> = Arc::from(name.as_str());
         known.iter().for_each(|id| self.add_to_directory(*id, &shared));
         let (_, runs) = shard.open_work();
-        log_claim(&self.journal, &name, fence, jobs, runs);
+        journal_claim(&self.journal, &name, fence, jobs, runs);
         let summary = Arc::new(shard.summary());
-        let hosted = Hosted {
+        let hosted = HostedShard {
             shard,
             name: shared,
-            held: None,
+            deferred: None,
             accepted: known.into_iter().map(|job| (now.steady, job)).collect(),
-            next_learned: now.steady + LEARNED_EVERY,
-            to: None,
+            next_learned_at: now.steady + LEARNED_INTERVAL,
+            new_owner: None,
             summary,
-            summarized: now.steady,
+            summary_at: now.steady,
         };
         self.hosted.insert(name.clone(), hosted);
         for (from, learned) in self.learned.clone() {
-            self.step(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Learned { from, learned }, cx);
         }
-        self.own(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
-        self.step(&name, Event::Tick, cx);
+        self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
+        self.step_shard(&name, Event::Tick, cx);
         self.ownership.greet_all();
         self.publish(now.steady);
     }
 
-    pub(super) fn take_queues(&mut self, read: ReadQueues, cx: &mut Context<Self>) {
+    pub(super) fn apply_config(&mut self, read: ReadQueues, cx: &mut Context<Self>) {
         let ReadQueues { queues, bytes, decode } = read;
         let before = self.queues.as_ref().map_or(0, |queues| queues.version);
         if queues.version <= before {
@@ -215,16 +218,16 @@
         });
         let queues = Arc::new(queues);
         self.queues = Some(queues.clone());
-        self.tell_all(cx, &|| Event::Queues(queues.clone()));
+        self.step_all_shards(cx, &|| Event::Queues(queues.clone()));
         self.publish(now);
     }
 
-    /// The store has confirmed the configuration in force.
+    /// Records that the store confirmed the configuration in force.
     pub(super) fn confirm_config(&mut self, at: Duration) {
         let now = self.now().steady;
         let unconfirmed_ms = Ms(self.confirmed.age(now));
         self.confirmed.confirm(at);
-        self.config_fault = None;
+        self.config_error = None;
         if self.config_unconfirmed && self.confirmed.standing(now) == Standing::Confirmed {
             self.config_unconfirmed = false;
             let version = self.queues.as_ref().map_or(0, |queues| queues.version);
@@ -233,11 +236,11 @@
         }
     }
 
-    /// Finds out whether the configuration in force may be old, and logs it once.
-    pub(super) fn watch_config(&mut self, now: Duration) {
+    /// Checks whether the configuration in force may be outdated, and logs it once.
+    pub(super) fn check_config_confirmation(&mut self, now: Duration) {
         let Some(queues) = &self.queues else { return };
         let (version, newest) = (queues.version, self.ownership.newest_config());
-        self.confirmed.hear(self.store, version, newest);
+        self.confirmed.hear(self.store_reach, version, newest);
         if self.config_unconfirmed || self.confirmed.standing(now) == Standing::Confirmed {
             return;
         }
@@ -246,14 +249,15 @@
         self.journal.write(Note::ConfigUnconfirmed { version, newest, unconfirmed_ms });
     }
 
-    pub(super) fn tell_all(&mut self, cx: &mut Context<Self>, event: &dyn Fn() -> Event) {
+    /// Passes an event to every local shard.
+    pub(super) fn step_all_shards(&mut self, cx: &mut Context<Self>, event: &dyn Fn() -> Event) {
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
-            self.step(&name, event(), cx);
+            self.step_shard(&name, event(), cx);
         }
     }
 
-    pub(super) fn take_fleet(
+    pub(super) fn update_fleet(
         &mut self,
         vms: Vec<VmEntry>,
         announcements: Announcements,
@@ -268,29 +272,34 @@
         }
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
-            let vms = self.vms_of(&name);
-            self.step(&name, Event::Fleet { vms, announcements, at }, cx);
+            let vms = self.shard_vms(&name);
+            self.step_shard(&name, Event::Fleet { vms, announcements, at }, cx);
         }
     }
 
-    pub(super) fn take_reach(&mut self, reach: StoreReach, silent: Duration, reason: String) {
+    pub(super) fn update_store_reach(
+        &mut self,
+        reach: StoreReach,
+        silent: Duration,
+        reason: String,
+    ) {
         let now = self.now().steady;
-        match (reach, self.store) {
+        match (reach, self.store_reach) {
             (StoreReach::Away, StoreReach::Reached) => {
-                self.store_lost = Some(now);
+                self.store_lost_at = Some(now);
                 self.journal.write(Note::StoreLost { reason, silent_ms: Ms(silent) });
             }
             (StoreReach::Reached, StoreReach::Away) => {
-                let away = self.store_lost.take().map_or(Duration::ZERO, |at| now - at);
+                let away = self.store_lost_at.take().map_or(Duration::ZERO, |at| now - at);
                 self.journal.write(Note::StoreRegained { away_ms: Ms(away) });
             }
             _ => {}
         }
-        self.store = reach;
+        self.store_reach = reach;
     }
 }
 
-fn log_claim(journal: &Journal, name: &str, fence: Fence, jobs: usize, runs: usize) {
+fn journal_claim(journal: &Journal, name: &str, fence: Fence, jobs: usize, runs: usize) {
     let shard = name.to_owned();
     let took_ms = Ms(Duration::ZERO);
     journal.write(Note::ShardOwned { shard, fence: fence.0, jobs, runs, took_ms });
--- a/src/jobs/control/status.rs
+++ b/src/jobs/control/status.rs
@@ -1,4 +1,4 @@
-//! How this daemon and what it sees are doing, for operators.
+//! Status report for operators.
 
 use super::Control;
 use crate::api::{
@@ -12,7 +12,7 @@
 use actix::prelude::*;
 use indexmap::IndexMap;
 
-/// Asks how the daemon is doing.
+/// Requests the daemon's status.
 #[derive(Message)]
 #[rtype(result = "Status")]
 pub struct GetStatus;
@@ -29,7 +29,7 @@
     fn status(&self) -> Status {
         let now = self.clock.now();
         let me = self.ownership.me();
-        let reachable = self.store == StoreReach::Reached;
+        let reachable = self.store_reach == StoreReach::Reached;
         Status {
             daemon: me.id.clone(),
             domain: me.domain.clone(),
@@ -46,7 +46,7 @@
                 unconfirmed_ms: millis(self.confirmed.age(now)),
                 calls_refused: self.confirmed.standing(now) == Standing::Unconfirmed,
                 newest_heard: Revision(self.ownership.newest_config()),
-                fault: self.config_fault.clone(),
+                fault: self.config_error.clone(),
             }),
             members: self.ownership.member_configs().map(member_status).collect(),
         }
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -25,17 +25,17 @@
 
 const SHARD: &str = "kacyiru/0";
 
-/// Far longer than any answer takes here; only a fault makes a test wait so long.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Far longer than any answer takes here; reached only when a test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The duties beside control. The store says that another daemon owns every shard.
-struct Others;
+/// Stands in for the other actors. The store reports that another daemon owns every shard.
+struct FakeActors;
 
-impl Actor for Others {
+impl Actor for FakeActors {
     type Context = Context<Self>;
 }
 
-impl Handler<Confirm> for Others {
+impl Handler<Confirm> for FakeActors {
     type Result = Confirmation;
 
     fn handle(&mut self, _: Confirm, _: &mut Self::Context) -> Self::Result {
@@ -43,7 +43,7 @@
     }
 }
 
-impl Handler<AskHere> for Others {
+impl Handler<AskHere> for FakeActors {
     type Result = permit::Result<PermitResp>;
 
     fn handle(&mut self, _: AskHere, _: &mut Self::Context) -> Self::Result {
@@ -51,10 +51,10 @@
     }
 }
 
-/// Messages that these duties take and do nothing about.
+/// Implements handlers that ignore their message.
 macro_rules! ignored {
     ($($msg:ty),+) => {
-        $(impl Handler<$msg> for Others {
+        $(impl Handler<$msg> for FakeActors {
             type Result = ();
 
             fn handle(&mut self, _: $msg, _: &mut Self::Context) {}
@@ -90,7 +90,7 @@
     let in_force = Duration::from_secs(2);
     let control = Control::new(me, settings, in_force, clock, journal, publish, Arc::default());
     let control = control.start();
-    let others = Others.start();
+    let others = FakeActors.start();
     control.do_send(Connect(Rings {
         orders: Ring::new(others.clone(), WhenFull::Drop),
         asker: others.clone().recipient(),
@@ -120,9 +120,9 @@
     }))
 }
 
-// A daemon stood still for a while, and another one has taken its shard. A caller asks; the call waits
-// until the store has said who owns the shard. The call had no effect here, so the caller is to be sent
-// to the owner, not left waiting for an answer that nobody gives any more.
+// A daemon was paused, and another one has claimed its shard. A call made then is deferred until
+// the store tells who owns the shard. The call had no effect, so the caller must be referred to the
+// new owner. Guards against leaving the caller without an answer.
 #[actix::test]
 async fn calls_held_for_a_shard_that_was_lost_are_sent_on_to_its_owner() {
     let clock = Arc::new(ManualClock::new());
@@ -131,17 +131,17 @@
     clock.advance(2 * OWN_PAUSE);
     for call in [Call::Show(JobId(1)), Call::Cancel(JobId(1))] {
         let asked = control.send(HandleCall { shard: SHARD.to_owned(), call });
-        let reply = tokio::time::timeout(LIMIT, asked).await.expect("an answer");
+        let reply = tokio::time::timeout(TEST_TIMEOUT, asked).await.expect("an answer");
         assert_eq!(reply.expect("a control"), Reply::NotOwner);
     }
     assert!(clock.now() >= OWN_PAUSE);
 }
 
-/// A log that the test reads.
+/// Collects log output for the test.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl std::io::Write for Lines {
+impl std::io::Write for LogBuffer {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("no test panics with it").extend_from_slice(buf);
         Ok(buf.len())
@@ -152,8 +152,8 @@
     }
 }
 
-impl Lines {
-    /// Waits until an event stands there so many times; false if that takes too long.
+impl LogBuffer {
+    /// Waits until an event is logged `times` times; returns `false` after the timeout.
     async fn wait_for(&self, event: &str, times: usize) -> bool {
         let found = || {
             let bytes = self.0.lock().expect("no test panics with it");
@@ -164,13 +164,13 @@
                 actix::clock::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(LIMIT, waited).await.is_ok()
+        tokio::time::timeout(TEST_TIMEOUT, waited).await.is_ok()
     }
 }
 
 const VM: &str = "i-1";
 
-/// A shard with a task on a VM that the store has as silent.
+/// A claimed shard with a task on a VM that the store lists as silent.
 fn claimed_with_silent_vm() -> Stored {
     let size = Resources::new(1000, 1000, 0);
     let step = Step {
@@ -206,7 +206,7 @@
     Stored::Claimed(recovered)
 }
 
-/// What an earlier owner tells of the silent VM.
+/// Hello in which an earlier owner reports the silent VM.
 fn hello() -> Hello {
     let lapse = Lapse { vm: VmId::new(VM), left: Duration::from_secs(5) };
     let news = ShardNews {
@@ -221,21 +221,22 @@
     Hello { from, store: StoreReach::Reached, config: 1, shards: vec![news] }
 }
 
-// Guards against work of a dead VM that stands still since an owner forgot, with its shard, what it told others.
+// A daemon loses a shard and claims it again. Guards against it forgetting what it reported about
+// silent VMs, which would leave the work of a dead VM stalled.
 #[actix::test]
 async fn an_owner_that_takes_its_shard_back_knows_what_it_told_of_silent_vms() {
     let clock = Arc::new(ManualClock::new());
-    let lines = Lines::default();
+    let lines = LogBuffer::default();
     let control = logging_control(clock.clone(), lines.clone());
     control.send(HelloReceived(hello())).await.expect("a control");
     control.send(claimed_with_silent_vm()).await.expect("a control");
-    assert!(lines.wait_for("vm-lapse-told", 1).await, "another owner told of it");
+    assert!(lines.wait_for("vm-lapse-told", 1).await, "the earlier owner reported the VM");
     clock.advance(2 * OWN_PAUSE);
     control.send(HandleCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
     assert!(
         !control.send(OwnsAny).await.expect("a control"),
-        "the store says that it lost the shard"
+        "the shard is dropped after the store reports another owner"
     );
     control.send(claimed_with_silent_vm()).await.expect("a control");
-    assert!(lines.wait_for("vm-lapse-told", 2).await, "it told of it itself");
+    assert!(lines.wait_for("vm-lapse-told", 2).await, "the daemon itself reported the VM before");
 }
