--- a/src/jobs/confirmed.rs
+++ b/src/jobs/confirmed.rs
@@ -1,9 +1,9 @@
-//! How sure a daemon is that its configuration is the newest.
+//! Tracks whether a daemon's configuration is confirmed to be the newest.
 //!
-//! The store confirms the version in force with each answer to the watch that follows it. A daemon that has gone
-//! without that for longer than a change may take to be in force would handle calls by an old version, and turns
-//! them away instead. Where the whole domain is cut off from the store nobody can know better, and calls are
-//! handled by the version at hand.
+//! The store confirms the version in force with each response to the configuration watch. Without a
+//! confirmation for longer than a change may take to be in force, the version may be outdated and
+//! the daemon refuses calls. If the whole domain is cut off from the store, no daemon can know of a
+//! newer version, and calls are handled with the current one.
 
 #[cfg(test)]
 mod tests;
@@ -11,51 +11,53 @@
 use crate::cluster::StoreReach;
 use std::time::Duration;
 
-/// Kept back from the time that a change may take, for the answer to a call.
-const MARGIN: Duration = Duration::from_millis(100);
+/// Part of the time allowed for a change that is reserved for answering a call.
+const ANSWER_MARGIN: Duration = Duration::from_millis(100);
 
-/// Whether calls may be handled by the version in force.
+/// Whether calls may be handled with the version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     Confirmed,
-    /// It may be old; the store doesn't answer, and nobody is heard to have a newer one.
+    /// The version may be outdated, but the store is unreachable and no other daemon is known to
+    /// have a newer one. Calls are handled.
     CutOff,
-    /// It may be old, and the store or another daemon could tell.
+    /// The version may be outdated, and the store or another daemon may have a newer one. Calls are
+    /// refused.
     Unconfirmed,
 }
 
-/// When the version in force was last confirmed.
+/// Last confirmation of the version in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Confirmed {
-    at: Duration,
-    limit: Duration,
+    confirmed_at: Duration,
+    max_age: Duration,
     cut_off: bool,
 }
 
 impl Confirmed {
-    /// Confirmed now; a change may take `in_force` to be in force everywhere.
+    /// Starts as confirmed at `now`. A change may take up to `in_force` to be in force everywhere.
     pub fn new(now: Duration, in_force: Duration) -> Self {
-        Self { at: now, limit: in_force.saturating_sub(MARGIN), cut_off: false }
+        Self { confirmed_at: now, max_age: in_force.saturating_sub(ANSWER_MARGIN), cut_off: false }
     }
 
-    /// The version in force was the newest at that time.
+    /// Records that the version in force was the newest one at time `at`.
     pub fn confirm(&mut self, at: Duration) {
-        self.at = self.at.max(at);
+        self.confirmed_at = self.confirmed_at.max(at);
     }
 
-    /// Learns whether anybody could tell of a newer version.
-    pub fn hear(&mut self, store: StoreReach, in_force: u64, newest_heard: u64) {
+    /// Updates whether the store or another daemon could provide a newer version.
+    pub fn update_reach(&mut self, store: StoreReach, in_force: u64, newest_heard: u64) {
         self.cut_off = store == StoreReach::Away && newest_heard <= in_force;
     }
 
     /// Time since the last confirmation.
     pub fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.at)
+        now.saturating_sub(self.confirmed_at)
     }
 
-    /// Whether calls may be handled by the version in force.
+    /// Whether calls may be handled with the version in force.
     pub fn standing(&self, now: Duration) -> Standing {
-        if self.age(now) <= self.limit {
+        if self.age(now) <= self.max_age {
             Standing::Confirmed
         } else if self.cut_off {
             Standing::CutOff
@@ -66,7 +68,7 @@
 }
 
 impl Default for Confirmed {
-    /// Of a daemon that has no configuration yet.
+    /// For a daemon that has no configuration yet.
     fn default() -> Self {
         Self::new(Duration::ZERO, Duration::MAX)
     }
--- a/src/jobs/confirmed/tests.rs
+++ b/src/jobs/confirmed/tests.rs
@@ -1,36 +1,37 @@
-use super::{Confirmed, MARGIN, Standing};
+use super::{ANSWER_MARGIN, Confirmed, Standing};
 use crate::cluster::StoreReach;
 use std::time::Duration;
 
 const IN_FORCE: Duration = Duration::from_secs(2);
 const START: Duration = Duration::from_secs(100);
 
-/// A daemon with version 7 that was confirmed long ago.
-fn old(store: StoreReach, newest_heard: u64) -> Standing {
+/// Standing of a daemon whose confirmation of version 7 has expired.
+fn unconfirmed(store: StoreReach, newest_heard: u64) -> Standing {
     let mut confirmed = Confirmed::new(START, IN_FORCE);
-    confirmed.hear(store, 7, newest_heard);
+    confirmed.update_reach(store, 7, newest_heard);
     confirmed.standing(START + IN_FORCE)
 }
 
-// Guards against calls that are handled by an old version although the store, or another daemon, knows of a newer one.
+// Guards against handling calls with an outdated version although the store, or another daemon, may
+// have a newer one.
 #[test]
-fn an_old_confirmation_counts_only_where_nobody_could_know_better() {
-    assert_eq!(old(StoreReach::Reached, 0), Standing::Unconfirmed);
-    assert_eq!(old(StoreReach::Away, 8), Standing::Unconfirmed);
-    assert_eq!(old(StoreReach::Away, 7), Standing::CutOff);
+fn an_expired_confirmation_is_accepted_only_when_cut_off_from_newer_versions() {
+    assert_eq!(unconfirmed(StoreReach::Reached, 0), Standing::Unconfirmed);
+    assert_eq!(unconfirmed(StoreReach::Away, 8), Standing::Unconfirmed);
+    assert_eq!(unconfirmed(StoreReach::Away, 7), Standing::CutOff);
 }
 
-// Guards against calls that are turned away while confirmations come as they should.
+// Guards against refusing calls while confirmations arrive on time.
 #[test]
-fn a_recent_confirmation_holds_whatever_else_is_heard() {
+fn a_recent_confirmation_holds_when_a_newer_version_is_reported() {
     let mut confirmed = Confirmed::new(START, IN_FORCE);
-    confirmed.hear(StoreReach::Away, 7, 8);
-    assert_eq!(confirmed.standing(START + IN_FORCE - MARGIN), Standing::Confirmed);
+    confirmed.update_reach(StoreReach::Away, 7, 8);
+    assert_eq!(confirmed.standing(START + IN_FORCE - ANSWER_MARGIN), Standing::Confirmed);
 }
 
-// Guards against an answer that comes late and takes a newer confirmation back.
+// Guards against a late response that moves the time of the last confirmation back.
 #[test]
-fn an_older_confirmation_changes_nothing() {
+fn an_earlier_confirmation_does_not_replace_a_later_one() {
     let mut confirmed = Confirmed::new(START, IN_FORCE);
     confirmed.confirm(START + IN_FORCE);
     confirmed.confirm(START);
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -240,7 +240,7 @@
     pub(super) fn check_config_confirmation(&mut self, now: Duration) {
         let Some(queues) = &self.queues else { return };
         let (version, newest) = (queues.version, self.ownership.newest_config());
-        self.confirmed.hear(self.store_reach, version, newest);
+        self.confirmed.update_reach(self.store_reach, version, newest);
         if self.config_unconfirmed || self.confirmed.standing(now) == Standing::Confirmed {
             return;
         }
