--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -344,12 +344,12 @@
     }
 
     fn tick_upkeep(&mut self, cx: &mut Context<Self>) {
-        let own = |(name, hosted): (&String, &HostedShard)| OwnShard {
+        let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
             vacated: hosted.shard.vacated(),
         };
-        let shards = self.hosted.iter().map(own).collect();
+        let shards = self.hosted.iter().map(to_own_shard).collect();
         self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
     }
 
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -35,8 +35,8 @@
     pub(super) fn confirm_ownership(&mut self, shard: String, cx: &mut Context<Self>) {
         let Some(rings) = &self.rings else { return };
         let owner = self.ownership.me().id.clone();
-        let asked = rings.confirm.send(Confirm { shard: shard.clone(), owner });
-        cx.spawn(asked.into_actor(self).map(move |answer, this, cx| match answer {
+        let confirmation = rings.confirm.send(Confirm { shard: shard.clone(), owner });
+        cx.spawn(confirmation.into_actor(self).map(move |answer, this, cx| match answer {
             Ok(Confirmation::Owned) => this.resume_shard(&shard, cx),
             Ok(Confirmation::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
             Ok(Confirmation::Unknown) | Err(_) => {
@@ -110,8 +110,8 @@
         if let Some(rings) = &self.rings {
             rings.forget.do_send(Forget { shard: shard.to_owned() });
         }
-        let gone = cluster::Event::Gone { shard: shard.to_owned(), reason };
-        self.step_ownership(gone, cx);
+        let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
+        self.step_ownership(dropped, cx);
     }
 
     /// Passes an event to the ownership state machine and executes the resulting actions.
@@ -168,7 +168,7 @@
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
         let accepted = recovered.progress.iter().filter(|(_, p)| p.home.is_none());
-        let known: Vec<JobId> = accepted.map(|(id, _)| *id).collect();
+        let accepted_jobs: Vec<JobId> = accepted.map(|(id, _)| *id).collect();
         let shard = Shard::new(
             recovered,
             self.settings,
@@ -177,7 +177,7 @@
             now,
         );
         let shared: Arc<str> = Arc::from(name.as_str());
-        known.iter().for_each(|id| self.add_to_directory(*id, &shared));
+        accepted_jobs.iter().for_each(|id| self.add_to_directory(*id, &shared));
         let (_, runs) = shard.open_work();
         journal_claim(&self.journal, &name, fence, jobs, runs);
         let summary = Arc::new(shard.summary());
@@ -185,7 +185,7 @@
             shard,
             name: shared,
             deferred: None,
-            accepted: known.into_iter().map(|job| (now.steady, job)).collect(),
+            accepted: accepted_jobs.into_iter().map(|job| (now.steady, job)).collect(),
             next_learned_at: now.steady + LEARNED_INTERVAL,
             new_owner: None,
             summary,
