--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,14 +1,15 @@
-//! The daemon that runs jobs: its duties, each on a thread of its own, joined by bounded rings.
+//! The job daemon. Its components are actors that communicate through bounded mailboxes; `records`
+//! and `machines` share a thread, each of the others has its own.
 //!
-//! | duty | does | when its ring is full |
+//! | component | responsibility | when its mailbox is full |
 //! |---|---|---|
-//! | `control` | decides: shards and who owns them | callers are refused as not run; answers of other duties wait |
-//! | `machines` | lists machines and orders their upkeep, keeps waves' records | a wave waits |
-//! | `records` | reads and writes the store | commits wait at control |
-//! | `orders` | calls VMs, and the service that permits steps | orders wait at control |
-//! | `links` | talks to other daemons | messages are dropped; their senders repeat them |
+//! | `control` | makes all decisions: shards and their ownership | new calls are refused as not run; responses from other components wait |
+//! | `machines` | lists machines, orders their maintenance, stores the records of maintenance waves | the wave waits |
+//! | `records` | reads and writes the store | commits wait in control |
+//! | `orders` | calls the VMs and the permit service | orders wait in control |
+//! | `links` | exchanges messages with other daemons | messages are dropped; the senders repeat them |
 //!
-//! What the platform's interfaces look like is behind [`Platform`].
+//! The platform's own interfaces are behind [`Platform`].
 
 pub mod calls;
 pub mod claim;
@@ -31,62 +32,62 @@
 use crate::upkeep::{MachinePort, Wave, WaveState};
 use crate::vm::{VmEntry, VmPort};
 
-/// An item of the store that can't be read.
+/// A store entry that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{key}` can't be read ({reason}); the platform writes something newer than this release")]
+#[error("can't decode `{key}` ({reason}); it may be in a newer format than this release supports")]
 pub struct Unreadable {
     pub key: String,
     pub reason: String,
 }
 
-/// What operators write.
+/// A decoded operator entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Written {
-    /// The configuration, whole.
+    /// The complete configuration.
     Queues(Queues),
     Wave(Wave),
-    /// Nothing that this release knows.
+    /// A kind of entry that this release does not know.
     Other,
 }
 
-/// What the platform offers, and how its own entries in the store read.
+/// Clients for the platform's services, and decoders for its entries in the store.
 pub trait Platform: Clone + Send + Unpin + 'static {
-    /// Client of the store.
+    /// Client for the store.
     type Store: Kv + Clone + Unpin + 'static;
-    /// Client of the VMs.
+    /// Client for the VMs.
     type Vms: VmPort + Clone + Unpin + 'static;
-    /// Client of the service that permits steps on VMs.
+    /// Client for the service that permits steps on VMs.
     type Permits: PermitPort + Clone + Unpin + 'static;
-    /// Client of the service that looks after the machines.
+    /// Client for the machine maintenance service.
     type Machines: MachinePort + Clone + Unpin + 'static;
 
-    /// A client of the store, made on the thread that uses it.
+    /// Creates a store client. Called on the thread that uses it.
     fn store(&self) -> Self::Store;
 
-    /// A client of the VMs, made on the thread that uses it.
+    /// Creates a VM client. Called on the thread that uses it.
     fn vms(&self) -> Self::Vms;
 
-    /// A client of the service that permits steps, made on the thread that uses it.
+    /// Creates a permit service client. Called on the thread that uses it.
     fn permits(&self) -> Self::Permits;
 
-    /// A client for the machines, made on the thread that uses it.
+    /// Creates a machine maintenance client. Called on the thread that uses it.
     fn machines(&self) -> Self::Machines;
 
-    /// Prefix of the VMs' announcements.
+    /// Key prefix of the VM announcements.
     fn fleet_prefix(&self) -> &str;
 
-    /// Reads a VM's announcement.
+    /// Decodes a VM announcement.
     fn read_vm(&self, item: &Item) -> Result<VmEntry, Unreadable>;
 
-    /// Prefix of what operators write.
+    /// Key prefix of the operator entries.
     fn operator_prefix(&self) -> &str;
 
-    /// Key of the configuration, among what operators write.
+    /// Key of the configuration, under the operator prefix.
     fn config_key(&self) -> &str;
 
-    /// Reads what an operator wrote.
+    /// Decodes an operator entry.
     fn read_operators(&self, item: &Item) -> Result<Written, Unreadable>;
 
-    /// What tells operators how far a wave has come.
+    /// Builds the store write that reports a wave's progress to operators.
     fn wave_state(&self, wave: u64, state: WaveState) -> Put;
 }
--- a/src/jobs/view.rs
+++ b/src/jobs/view.rs
@@ -1,4 +1,4 @@
-//! What callers' calls need to know, as control last published it.
+//! The state that callers' calls use, as last published by control.
 
 use super::confirmed::Confirmed;
 use crate::cluster::Member;
@@ -10,37 +10,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A snapshot of who owns what.
+/// A snapshot of the shards and their owners.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The configuration in force; `None` until one was read from the store.
     pub queues: Option<Arc<Queues>>,
-    /// When it was last confirmed.
+    /// When the configuration was last confirmed.
     pub confirmed: Confirmed,
     pub shards: IndexMap<String, ShardView>,
     pub readiness: Readiness,
-    /// What VMs can carry.
+    /// Task sizes that the VMs can hold.
     pub shapes: Arc<Shapes>,
 }
 
-/// A shard as last heard of.
+/// Last known state of a shard.
 #[derive(Clone, Debug)]
 pub struct ShardView {
-    /// The owner, if it is heard.
+    /// The owner, if it is responding.
     pub owner: Option<Owner>,
     pub summary: Arc<Summary>,
-    /// When the summary was made.
+    /// When the summary was created.
     pub at: Duration,
 }
 
-/// Who owns a shard.
+/// The owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     Here,
     Other(Member),
 }
 
-/// Whether callers are to be sent here.
+/// Whether the load balancer should send callers to this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     Ready,
@@ -53,27 +53,27 @@
     }
 }
 
-/// Which shard a job is in, as far as this daemon knows.
+/// The shards of recently seen jobs.
 ///
-/// Bounded: a job that was forgotten is looked up in the store.
+/// The size is bounded; the shard of an evicted job is looked up in the store.
 #[derive(Debug, Default)]
 pub struct Directory {
     shards: IndexMap<JobId, Arc<str>>,
 }
 
-/// Jobs remembered: two minutes' worth at 35 jobs a second.
-const MAX_JOBS: usize = 4096;
+/// Maximum number of jobs held: two minutes' worth at 35 jobs a second.
+const MAX_DIRECTORY_JOBS: usize = 4096;
 
 impl Directory {
-    /// Notes a job's shard.
+    /// Records a job's shard.
     pub fn add(&mut self, job: JobId, shard: &Arc<str>) {
         self.shards.insert(job, shard.clone());
-        if self.shards.len() > MAX_JOBS {
+        if self.shards.len() > MAX_DIRECTORY_JOBS {
             self.shards.shift_remove_index(0);
         }
     }
 
-    /// The shard of a job.
+    /// The shard of a job, if known.
     pub fn find(&self, job: JobId) -> Option<Arc<str>> {
         self.shards.get(&job).cloned()
     }
