--- a/src/jobs/settings.rs
+++ b/src/jobs/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon that runs jobs.
+//! Settings of the job daemon.
 
 use crate::ids::DomainId;
 use crate::shard;
@@ -6,17 +6,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Result of reading settings.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Settings that can't be used.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     #[error("{0}; correct the settings file")]
     Syntax(String),
     #[error("`{key}` is {value}; give a value {expected}")]
     Range { key: &'static str, value: String, expected: &'static str },
-    #[error("no port from {first} to {last} is left for `{what}`; widen `ports`")]
+    #[error("the range {first} to {last} has no port for `{what}`; widen `ports`")]
     NoPort { first: u16, last: u16, what: &'static str },
 }
 
@@ -24,13 +23,13 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the daemon, the same after a restart.
+    /// Name of the daemon; stays the same across restarts.
     pub name: String,
-    /// Failure domain that it is in.
+    /// Failure domain of the daemon.
     pub domain: DomainId,
     /// Address of its VM.
     pub ip: std::net::IpAddr,
-    /// First and last port that daemons may use among themselves.
+    /// First and last port for traffic between daemons.
     pub ports: [u16; 2],
     pub machine: Machine,
     pub listen: Listen,
@@ -46,17 +45,17 @@
     pub log: Log,
 }
 
-/// What the daemon may use of its VM.
+/// CPU available to the daemon on its VM.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
     pub cores: f64,
-    /// Share of the cores.
+    /// Fraction of the cores that the daemon may use.
     pub core_share: f64,
 }
 
 impl Machine {
-    /// Processors, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub fn power(&self) -> u32 {
         (self.cores * self.core_share * 1000.0).round() as u32
     }
@@ -66,23 +65,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// The balancer's question whether the daemon takes callers.
+    /// Address for the load balancer's readiness check.
     pub ready: SocketAddr,
 }
 
-/// The platform's store.
+/// Settings of the platform's store.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
     /// `ip:port`.
     pub address: String,
-    /// Shortest lease that it grants, in milliseconds.
+    /// Shortest lease that the store grants, in milliseconds.
     pub min_lease_ms: u64,
 }
 
-/// Times that the platform guarantees or requires, in milliseconds unless named otherwise.
+/// Times that the platform guarantees or requires, in milliseconds unless the name says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
@@ -96,20 +95,20 @@
     pub notice_ms: u64,
     pub harm_ms: u64,
     pub pace_ms: u64,
-    /// From the acknowledgement of a configuration until it is in force everywhere.
+    /// Time from the acknowledgement of a configuration until it is in force everywhere.
     pub config_in_force_ms: u64,
-    /// From the request to stop to the end of the process.
+    /// Time from the request to stop until the process must have ended.
     pub grace_s: f64,
 }
 
-/// What is logged.
+/// Settings of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
     pub level: LogLevel,
 }
 
-/// Least important lines that are written.
+/// Lowest level that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
@@ -125,24 +124,24 @@
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     pub fn parse(text: &str) -> Result<Self> {
         let settings: Self = toml::from_str(text).map_err(|e| Error::Syntax(e.to_string()))?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    /// Port for other daemons.
+    /// Address for other daemons.
     pub fn peer_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports[0])
     }
 
-    /// Port for metrics.
+    /// Address for metrics.
     pub fn metrics_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.ports[0] + 1)
     }
 
-    /// Figures for the shards' decisions.
+    /// Settings for the shards.
     pub fn shard(&self) -> shard::Settings {
         let ms = Duration::from_millis;
         let bounds = &self.bounds;
@@ -160,7 +159,7 @@
         }
     }
 
-    fn check(&self) -> Result<()> {
+    fn validate(&self) -> Result<()> {
         let [first, last] = self.ports;
         if last <= first {
             return Err(Error::NoPort { first, last, what: "metrics" });
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -1,11 +1,11 @@
-//! The operators' question how a daemon is doing, over HTTP.
+//! The status endpoint for operators, over HTTP.
 
 use super::control::{Control, GetStatus};
 use crate::api::{ApiError, ErrorKind, PREFIX};
 use actix::Addr;
 use actix_web::{HttpResponse, web};
 
-/// Answers `GET /v1/status` from control.
+/// Serves `GET /v1/status` with the status from control.
 pub fn mount(control: Addr<Control>) -> impl Fn(&mut web::ServiceConfig) + Clone + Send {
     move |cfg| {
         cfg.app_data(web::Data::new(control.clone()))
@@ -17,7 +17,7 @@
     match control.send(GetStatus).await {
         Ok(status) => HttpResponse::Ok().json(status),
         Err(e) => {
-            let message = format!("the daemon stops ({e})");
+            let message = format!("the daemon is shutting down ({e})");
             let error = ApiError::new(ErrorKind::Unreachable, message, "ask another daemon");
             HttpResponse::ServiceUnavailable().json(error)
         }
