--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -1,7 +1,7 @@
-//! The duty that calls VMs, and the service that permits steps on them.
+//! The actor that calls VMs and the permit service.
 //!
-//! Calls to one VM run side by side: a look that waits for news must not hold up a start. Each
-//! call's answer, or what is known in its place, goes back to control.
+//! Calls to the same VM run concurrently, so that a poll that waits for news does not delay a
+//! start. The result of each call, or what is known if there is none, is sent back to control.
 
 use super::Platform;
 use super::control::{Control, Told};
@@ -13,7 +13,7 @@
 use actix::prelude::*;
 use std::sync::Arc;
 
-/// The duty.
+/// Actor for calls to VMs and the permit service.
 pub struct Orders<P: Platform> {
     vms: P::Vms,
     permits: P::Permits,
@@ -22,7 +22,7 @@
 }
 
 impl<P: Platform> Orders<P> {
-    /// A duty; made on its own thread.
+    /// Creates the actor. Must be called on the actor's thread.
     pub fn new(platform: &P, control: Addr<Control>, clock: Arc<dyn Clock>) -> Self {
         Self { vms: platform.vms(), permits: platform.permits(), control, clock }
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// An order of one owner of a shard.
+/// A call to a VM, ordered by a shard's owner.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Order {
@@ -51,14 +51,14 @@
     fn handle(&mut self, order: Order, _: &mut Self::Context) {
         let (vms, control, clock) = (self.vms.clone(), self.control.clone(), self.clock.clone());
         actix::spawn(async move {
-            if let Some(event) = carry_out(&vms, order.action, &*clock).await {
+            if let Some(event) = call_vm(&vms, order.action, &*clock).await {
                 control.do_send(Told { shard: order.shard, fence: order.fence, event });
             }
         });
     }
 }
 
-/// Asks the service that permits steps, from this daemon.
+/// Asks the permit service from this daemon.
 #[derive(Message)]
 #[rtype(result = "permit::Result<PermitResp>")]
 pub struct AskHere(pub PermitReq);
@@ -72,7 +72,7 @@
     }
 }
 
-async fn carry_out(vms: &impl VmPort, action: Action, clock: &dyn Clock) -> Option<Event> {
+async fn call_vm(vms: &impl VmPort, action: Action, clock: &dyn Clock) -> Option<Event> {
     match action {
         Action::Look { vm, req } => {
             let sent = clock.now();
