--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: its duties on their threads, from start to planned stop.
+//! Starts the daemon's actors on their threads, and stops them.
 
 use super::calls::Calls;
 use super::control::{ACTIONS, Connect, Control, Drain, GiveUp, OwnsAny, Rings};
@@ -23,22 +23,21 @@
 use std::time::{Duration, SystemTime};
 use tokio::sync::{oneshot, watch};
 
-/// Result of starting.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A daemon that can't start.
+/// An error that prevents the daemon from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("can't listen on {addr} for other daemons ({source}); free the port or widen `ports`")]
     Listen { addr: SocketAddr, source: io::Error },
-    #[error("can't serve other daemons ({source}); raise the limit of open files")]
+    #[error("can't accept connections from other daemons ({source}); raise the open file limit")]
     Serve { source: io::Error },
-    #[error("a duty ended while it started; see the log")]
+    #[error("an actor stopped during startup; see the log")]
     Ended,
 }
 
-/// Leases of registrations: three renewals may be lost.
-const MIN_LEASE: Duration = Duration::from_secs(4);
+/// Shortest lease of a registration: three renewals may be lost.
+const MIN_REGISTRATION_TTL: Duration = Duration::from_secs(4);
 
 /// A running daemon.
 pub struct Daemon<P: Platform> {
@@ -54,7 +53,7 @@
 }
 
 impl<P: Platform> Daemon<P> {
-    /// Starts every duty; called within a system.
+    /// Starts all actors. Must be called within an actix system.
     pub async fn start(
         platform: P,
         settings: &Settings,
@@ -72,18 +71,27 @@
 
         let control = {
             let (me, clock, journal) = (me.clone(), clock.clone(), journal.clone());
-            let (figures, directory) = (settings.shard(), directory.clone());
-            let in_force = Duration::from_millis(settings.bounds.config_in_force_ms);
+            let (shard_settings, directory) = (settings.shard(), directory.clone());
+            let config_in_force = Duration::from_millis(settings.bounds.config_in_force_ms);
             Control::start_in_arbiter(&arbiters[0].handle(), move |_| {
-                Control::new(me, figures, in_force, clock, journal, publish, directory)
+                Control::new(
+                    me,
+                    shard_settings,
+                    config_in_force,
+                    clock,
+                    journal,
+                    publish,
+                    directory,
+                )
             })
         };
         let records = {
-            let ttl = MIN_LEASE.max(Duration::from_millis(settings.store.min_lease_ms));
+            let lease_ttl =
+                MIN_REGISTRATION_TTL.max(Duration::from_millis(settings.store.min_lease_ms));
             let (me, platform) = (me.clone(), platform.clone());
             let (control, clock) = (control.clone().recipient(), clock.clone());
             Records::start_in_arbiter(&arbiters[1].handle(), move |_| {
-                Records::new(me, platform, ttl, control, clock)
+                Records::new(me, platform, lease_ttl, control, clock)
             })
         };
         let upkeep = {
@@ -121,7 +129,7 @@
         Ok(Self { id, control, links, records, view, directory, clock, journal, arbiters })
     }
 
-    /// A way to make callers' calls, for one thread.
+    /// Creates the API for callers' calls. Each thread needs its own.
     pub fn calls(&self) -> Calls {
         Calls::new(
             self.view.clone(),
@@ -133,41 +141,42 @@
         )
     }
 
-    /// Mounts what operators ask this daemon.
+    /// Returns the configuration of the HTTP endpoints for operators.
     pub fn operators(&self) -> impl Fn(&mut web::ServiceConfig) + Clone + Send + use<P> {
         status::mount(self.control.clone())
     }
 
-    /// What control published last.
+    /// Subscribes to the view that control publishes.
     pub fn view(&self) -> watch::Receiver<Arc<View>> {
         self.view.clone()
     }
 
-    /// Begins a planned stop, and waits until every shard has been given away, at most this long.
+    /// Starts a planned stop, and waits up to `limit` until every shard is handed over.
     pub async fn drain(&self, limit: Duration) {
         let shards = usize::from(self.control.send(OwnsAny).await.unwrap_or(false));
         self.journal.write(Note::DaemonStopping { daemon: self.id.clone(), shards });
         self.control.do_send(Drain);
-        self.wait_for_shards(limit).await;
+        self.wait_until_no_shards(limit).await;
     }
 
-    /// Gives up the shards that nobody has taken, and waits until that is done, at most this long.
-    pub async fn give_up(&self, limit: Duration) {
+    /// Releases the shards that no other daemon has taken, and waits up to `limit` until that is
+    /// done.
+    pub async fn release_shards(&self, limit: Duration) {
         self.control.do_send(GiveUp);
-        self.wait_for_shards(limit).await;
+        self.wait_until_no_shards(limit).await;
     }
 
-    async fn wait_for_shards(&self, limit: Duration) {
+    async fn wait_until_no_shards(&self, limit: Duration) {
         let until = self.clock.now() + limit;
         while self.clock.now() < until {
             if !self.control.send(OwnsAny).await.unwrap_or(false) {
                 return;
             }
-            tokio::time::sleep(DRAIN_CHECK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Ends the duties.
+    /// Stops all actors.
     pub fn end(self, open_calls: usize) {
         self.records.do_send(Leave);
         self.journal.write(Note::DaemonStopped { daemon: self.id.clone(), open_calls });
@@ -178,8 +187,8 @@
     }
 }
 
-/// Between two looks at whether shards are left.
-const DRAIN_CHECK: Duration = Duration::from_millis(20);
+/// Interval between checks for remaining shards.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 async fn start_links(
     arbiter: &Arbiter,
@@ -195,7 +204,7 @@
     let (served, control) = (links.clone(), control.clone());
     arbiter.spawn(async move {
         let served = links::serve(listener, served, control, asker).await;
-        // The starter waits for this.
+        // `start_links` is waiting for this result, so the receiver exists.
         let _ = tx.send(served);
     });
     let served = rx.await.map_err(|_| Error::Ended)?;
--- a/src/jobs/stop.rs
+++ b/src/jobs/stop.rs
@@ -1,4 +1,5 @@
-//! The planned stop: shards are given away, the balancer hears of it, callers get their answers.
+//! Planned stop: hands over the shards, waits until the load balancer has noticed, and answers the
+//! remaining calls.
 
 use super::Platform;
 use super::calls::Calls;
@@ -9,46 +10,49 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Time for giving the shards away at a planned stop.
-const HAND_OVER: Duration = Duration::from_millis(1500);
+/// Time to hand over the shards.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// From the request to stop until no new connections come: the balancer asks once a second and
-/// stops after two misses.
-const BALANCER: Duration = Duration::from_millis(3200);
+/// Time from the request to stop until no new connections arrive: the load balancer checks
+/// readiness once a second and stops sending after two failed checks.
+const BALANCER_DELAY: Duration = Duration::from_millis(3200);
 
-/// After that, for the calls that wait: longer would keep the daemon's successor from starting.
-const LAST_CALLS: Duration = Duration::from_secs(1);
+/// Time after that for the remaining calls; a longer wait would delay the start of the daemon's
+/// successor.
+const LAST_CALLS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Kept back from the end for the answers' way to their callers.
-const ANSWER_TIME: Duration = Duration::from_millis(150);
+/// Part of the remaining time reserved for sending answers to the callers.
+const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 
-/// For what was decided on shards that nobody has taken to become durable; a commit takes 30 ms.
-const GIVE_UP: Duration = Duration::from_millis(200);
+/// Time for the last decisions on shards that no daemon has taken to become durable; a commit takes
+/// 30 ms.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a daemon answers with.
+/// The HTTP servers of a daemon, and its open calls.
 pub struct Servers {
     pub callers: ServerHandle,
     pub ready: ServerHandle,
     pub calls: Calls,
-    /// Calls without an answer yet.
+    /// Calls that have not been answered yet.
     pub open: Arc<AtomicUsize>,
 }
 
 impl Servers {
-    /// Ends a daemon, within this time at the latest.
+    /// Stops a daemon within `grace`.
     pub async fn stop<P: Platform>(self, daemon: Daemon<P>, clock: &dyn Clock, grace: Duration) {
-        let ends = clock.now() + grace.min(BALANCER + LAST_CALLS);
-        // A call may wait for longer than is left: it was cut off, and its caller knew nothing.
-        self.calls.end_by(ends.saturating_sub(ANSWER_TIME));
-        let drained = daemon.drain(HAND_OVER.min(grace / 2));
-        tokio::join!(drained, tokio::time::sleep(BALANCER.min(grace * 2 / 3)));
-        // Returns as soon as the last call is answered; idle connections are closed at once.
-        let answered = self.callers.stop(true);
-        let left = ends.saturating_sub(clock.now());
-        // What is left then is a request that wasn't read whole.
-        let _ = tokio::time::timeout(left, answered).await;
+        let deadline = clock.now() + grace.min(BALANCER_DELAY + LAST_CALLS_TIMEOUT);
+        // A call may have a deadline after the end of the daemon. Without this limit it would be
+        // cut off, and its caller would not learn its outcome.
+        self.calls.end_by(deadline.saturating_sub(ANSWER_MARGIN));
+        let drain = daemon.drain(HANDOVER_TIMEOUT.min(grace / 2));
+        tokio::join!(drain, tokio::time::sleep(BALANCER_DELAY.min(grace * 2 / 3)));
+        // Completes when the last call is answered; idle connections are closed immediately.
+        let callers_stopped = self.callers.stop(true);
+        let left = deadline.saturating_sub(clock.now());
+        // Only requests that have not been fully received can remain after the timeout.
+        let _ = tokio::time::timeout(left, callers_stopped).await;
         self.ready.stop(false).await;
-        daemon.give_up(GIVE_UP).await;
+        daemon.release_shards(RELEASE_TIMEOUT).await;
         daemon.end(self.open.load(Ordering::Relaxed));
     }
 }
