--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -5,7 +5,7 @@
 use super::links::{self, Links};
 use super::machines::Machines;
 use super::orders::{AskHere, Orders};
-use super::records::{Leave, Records};
+use super::records::{Records, Shutdown};
 use super::settings::Settings;
 use super::view::{Directory, View};
 use super::{Platform, status};
@@ -178,7 +178,7 @@
 
     /// Stops all actors.
     pub fn end(self, open_calls: usize) {
-        self.records.do_send(Leave);
+        self.records.do_send(Shutdown);
         self.journal.write(Note::DaemonStopped { daemon: self.id.clone(), open_calls });
         self.journal.close(Duration::from_millis(200));
         for arbiter in &self.arbiters {
--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -1,11 +1,11 @@
-//! Following what others write in the store: the configuration, the VMs, the daemons and the plan.
+//! Followers of store entries that others write: the configuration, VMs, daemons, and the plan.
 
 pub mod fleet;
 pub mod operators;
 
 use super::Platform;
 use super::control::Stored;
-use super::records::{Watched, retry_pause};
+use super::records::{MonitoredStore, retry_delay};
 use crate::cluster::plan::PLAN_KEY;
 use crate::cluster::{Member, Plan};
 use crate::job::progress::{decode, encode};
@@ -20,81 +20,82 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Prefix of the daemons' registrations.
-const MEMBERS: &str = "daemon/";
+/// Key prefix of the daemons' registrations.
+const MEMBER_PREFIX: &str = "daemon/";
 
-/// Between two readings of the daemons' registrations.
-const MEMBERS_EVERY: Duration = Duration::from_millis(1000);
+/// Interval between reads of the daemons' registrations.
+const MEMBER_POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What the followers work with.
+/// State shared by the followers.
 #[derive(Clone)]
-pub struct Sources<P: Platform> {
+pub struct FollowContext<P: Platform> {
     pub platform: P,
-    pub store: Watched<P::Store>,
+    pub store: MonitoredStore<P::Store>,
     pub control: Recipient<Stored>,
-    /// Whether this daemon owns or claims a shard.
-    pub owning: Rc<Owning>,
+    /// Whether this daemon owns or is claiming a shard.
+    pub ownership: Rc<OwnershipSignal>,
 }
 
-/// How following changes ended.
+/// Result of a read of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Caught {
-    Up,
-    /// More is left than is worth reading: the range is shorter.
+enum ReadProgress {
+    CaughtUp,
+    /// The remaining changes are larger than the range itself, which is read again instead.
     Behind,
 }
 
-/// Whether a daemon owns or claims a shard, and the news that it has claimed one.
+/// Whether a daemon owns or is claiming a shard, and a signal for each completed claim.
 #[derive(Debug, Default)]
-pub struct Owning {
-    pub now: Cell<bool>,
-    /// Ends the wait until VMs are looked at again.
+pub struct OwnershipSignal {
+    pub owning: Cell<bool>,
+    /// Wakes the VM follower as soon as a shard has been claimed.
     pub claimed: Notify,
 }
 
-/// Readings that failed one after the other.
-struct Failures {
+/// Tracks consecutive failed reads.
+struct FailureStreak {
     what: Word,
     in_row: u32,
-    /// When the last reading ended well.
-    read: Duration,
+    /// Time of the last successful read.
+    last_success: Duration,
 }
 
-impl Failures {
+impl FailureStreak {
     fn new(what: Word, now: Duration) -> Self {
-        Self { what, in_row: 0, read: now }
+        Self { what, in_row: 0, last_success: now }
     }
 
-    fn read_at(&mut self, now: Duration) {
-        (self.in_row, self.read) = (0, now);
+    fn record_success(&mut self, now: Duration) {
+        (self.in_row, self.last_success) = (0, now);
     }
 
-    /// Counts a failure; gives a line for the log unless there were many lately.
-    fn add(&mut self, now: Duration, e: &Error) -> Option<Note> {
+    /// Counts a failure. Returns a log entry for the first, second, fourth failure in a row and so
+    /// on, which limits the log rate.
+    fn record_failure(&mut self, now: Duration, e: &Error) -> Option<Note> {
         self.in_row += 1;
         let (what, in_row) = (self.what, self.in_row);
-        let unread_ms = Ms(now.saturating_sub(self.read));
+        let unread_ms = Ms(now.saturating_sub(self.last_success));
         let reason = e.to_string();
         in_row.is_power_of_two().then_some(Note::FollowUnread { what, in_row, unread_ms, reason })
     }
 }
 
-impl<P: Platform> Sources<P> {
-    fn note_failure(&self, failures: &mut Failures, e: &Error) {
-        if let Some(note) = failures.add(self.store.clock().now(), e) {
+impl<P: Platform> FollowContext<P> {
+    fn report_failure(&self, failures: &mut FailureStreak, e: &Error) {
+        if let Some(note) = failures.record_failure(self.store.clock().now(), e) {
             self.control.do_send(Stored::Note(note));
         }
     }
 }
 
-/// Reads the plan, and adds racks that it lacks.
+/// Reads the plan, and adds the racks that it lacks.
 async fn extend_plan<P: Platform>(
-    from: &Sources<P>,
+    ctx: &FollowContext<P>,
     vms: &IndexMap<String, VmEntry>,
 ) -> Result<()> {
     let vms: Vec<VmEntry> = vms.values().cloned().collect();
     loop {
-        let item = from.store.call(|store| store.get(PLAN_KEY)).await?;
+        let item = ctx.store.call(|store| store.get(PLAN_KEY)).await?;
         let rev = item.as_ref().map_or(Rev::ABSENT, |item| item.rev);
         let plan: Plan = match item.map(|item| decode(&item.value)) {
             Some(Ok(plan)) => plan,
@@ -102,12 +103,12 @@
             Some(Err(e)) => {
                 let (entry, reason) = (PLAN_KEY.to_owned(), e.to_string());
                 let note = Note::EntryUnreadable { entry, rev: rev.0, reason };
-                from.control.do_send(Stored::Note(note));
+                ctx.control.do_send(Stored::Note(note));
                 return Ok(());
             }
         };
         let Some(extended) = plan.extended(&vms) else {
-            from.control.do_send(Stored::Plan(plan));
+            ctx.control.do_send(Stored::Plan(plan));
             return Ok(());
         };
         let txn = Txn {
@@ -119,67 +120,73 @@
             }],
             deletes: Vec::new(),
         };
-        match from.store.call(|store| store.commit(&txn)).await {
-            // Another daemon was quicker, or this one was: the next round tells.
+        match ctx.store.call(|store| store.commit(&txn)).await {
+            // Read the plan again to learn whether this commit or another daemon's took effect.
             Ok(_) | Err(Error::Conflict { .. } | Error::NoAnswer { .. }) => {}
             Err(e) => return Err(e),
         }
     }
 }
 
-/// Registers this daemon, and follows the others' registrations.
-pub async fn members<P: Platform>(from: Sources<P>, me: Member, ttl: Duration) {
+/// Registers this daemon, and follows the registrations of the others.
+pub async fn follow_members<P: Platform>(ctx: FollowContext<P>, me: Member, lease_ttl: Duration) {
     let mut lease = None;
-    let mut failures = Failures::new("daemons", from.store.clock().now());
+    let mut failures = FailureStreak::new("daemons", ctx.store.clock().now());
     loop {
-        if let Err(e) = follow_members(&from, &me, ttl, &mut lease, &mut failures).await {
-            from.note_failure(&mut failures, &e);
+        if let Err(e) = run_registration(&ctx, &me, lease_ttl, &mut lease, &mut failures).await {
+            ctx.report_failure(&mut failures, &e);
             if e == Error::LeaseEnded {
                 lease = None;
             }
-            tokio::time::sleep(retry_pause(&e)).await;
+            tokio::time::sleep(retry_delay(&e)).await;
         }
     }
 }
 
-async fn follow_members<P: Platform>(
-    from: &Sources<P>,
+async fn run_registration<P: Platform>(
+    ctx: &FollowContext<P>,
     me: &Member,
-    ttl: Duration,
+    lease_ttl: Duration,
     lease: &mut Option<LeaseId>,
-    failures: &mut Failures,
+    failures: &mut FailureStreak,
 ) -> Result<()> {
-    let store = &from.store;
-    let key = format!("{MEMBERS}{}", me.name);
-    let held = match *lease {
-        Some(held) => held,
-        None => *lease.insert(store.call(|store| store.grant(ttl)).await?),
+    let store = &ctx.store;
+    let key = format!("{MEMBER_PREFIX}{}", me.name);
+    let lease_id = match *lease {
+        Some(lease_id) => lease_id,
+        None => *lease.insert(store.call(|store| store.grant(lease_ttl)).await?),
     };
-    register(store, &key, me, held).await?;
+    register(store, &key, me, lease_id).await?;
     loop {
-        let (items, _) = read_all(store, MEMBERS, Freshness::Stale).await?;
+        let (items, _) = read_all(store, MEMBER_PREFIX, Freshness::Stale).await?;
         let members = items.iter().filter_map(|item| decode::<Member>(&item.value).ok()).collect();
-        from.control.do_send(Stored::Members(members));
-        failures.read_at(store.clock().now());
-        tokio::time::sleep(MEMBERS_EVERY).await;
-        store.call(|store| store.keep(held)).await?;
-        // Keys can vanish though their lease lives on.
+        ctx.control.do_send(Stored::Members(members));
+        failures.record_success(store.clock().now());
+        tokio::time::sleep(MEMBER_POLL_INTERVAL).await;
+        store.call(|store| store.keep(lease_id)).await?;
+        // Keys can vanish while their lease is still valid.
         if !items.iter().any(|item| item.key == key) {
-            register(store, &key, me, held).await?;
+            register(store, &key, me, lease_id).await?;
         }
     }
 }
 
-async fn register<S: Kv>(store: &Watched<S>, key: &str, me: &Member, lease: LeaseId) -> Result<()> {
+async fn register<S: Kv>(
+    store: &MonitoredStore<S>,
+    key: &str,
+    me: &Member,
+    lease: LeaseId,
+) -> Result<()> {
     let value = Bytes::from(encode(me));
     let put = Put { key: key.to_owned(), value, lease: Some(lease) };
     let txn = Txn { puts: vec![put], ..Txn::default() };
     store.call(|store| store.commit(&txn)).await.map(|_| ())
 }
 
-/// Reads every page of a range; gives the revision of the first, from which on a watch tells the rest.
+/// Reads every page of a range. Returns the revision of the first page; a watch from there reports
+/// all later changes.
 pub(super) async fn read_all<S: Kv>(
-    store: &Watched<S>,
+    store: &MonitoredStore<S>,
     prefix: &str,
     freshness: Freshness,
 ) -> Result<(Vec<Item>, Rev)> {
@@ -189,7 +196,8 @@
         let after = items.last().map(|item| item.key.clone());
         let after = after.as_deref();
         let page = store.call(|store| store.range(prefix, after, freshness)).await?;
-        // Pages are not a snapshot: what changed since the first is in the watch from there on.
+        // Pages are not a snapshot: the watch must start at the first one to include what changed
+        // between pages.
         let at = *at.get_or_insert(page.at);
         items.extend(page.items);
         if page.more == More::No {
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -1,18 +1,18 @@
-//! Following the VMs' announcements.
+//! Follower of the VM announcements.
 //!
-//! An owner reads what has changed several times a second. An answer of the store holds only so many
-//! changes, so that it reads on until nothing is left unread: otherwise its list grows older with each
-//! reading, though it was read a moment ago. A daemon that owns nothing reads the whole list now and
-//! then, which is shorter than all that has changed meanwhile. When it claims a shard it reads the list
-//! anew, since work must not be started on VMs that leave.
+//! A shard owner reads the changes several times a second. The store limits the number of changes
+//! in an answer, so the owner reads until no change is left; otherwise its list would fall further
+//! behind with each read although it was just refreshed. A daemon without shards periodically reads
+//! the whole list, which is smaller than all changes since the last read. It reads the list again
+//! when it claims a shard, since work must not be started on VMs that are leaving.
 
 #[cfg(test)]
 mod tests;
 
-use super::{Caught, Failures, Sources, extend_plan, read_all};
+use super::{FailureStreak, FollowContext, ReadProgress, extend_plan, read_all};
 use crate::cluster::StoreReach;
 use crate::jobs::control::Stored;
-use crate::jobs::records::{note_unreadable, retry_pause};
+use crate::jobs::records::{retry_delay, unreadable_note};
 use crate::jobs::{Platform, Unreadable};
 use crate::kv::{Change, Freshness, Item, Kv, Result, Rev, Watch};
 use crate::note::{Ms, Note};
@@ -23,109 +23,112 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two readings of the changes of VMs. VMs announce themselves every 1.5 s each, so that
-/// a watch which returns with each change would be called some thirty times a second.
-const FLEET_EVERY: Duration = Duration::from_millis(400);
+/// Interval between reads of VM changes. Each VM announces itself every 1.5 s, so a watch that
+/// returns on every change would be called some thirty times a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Between two readings of the list on a daemon that owns no shard.
-const IDLE_FLEET_EVERY: Duration = Duration::from_secs(3);
+/// Interval between reads of the list on a daemon that owns no shard.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time that a watch waits; the changes of the pause before it are there already.
-const WATCH_WAIT: Duration = Duration::from_millis(1);
+/// Timeout of a watch. Changes from the preceding interval are returned immediately.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Changes from which on an answer may have been cut: the platform's pages hold about 500 items, and
-/// 500 changes were the most counted.
-const MAY_BE_CUT: usize = 400;
+/// Number of changes from which an answer may be truncated. The platform's pages hold about 500
+/// items, and 500 changes were the most observed in an answer.
+const TRUNCATION_THRESHOLD: usize = 400;
 
-/// How long after its return the store may lack VMs that live.
-const ANNOUNCED_AGAIN: Duration = Duration::from_millis(2500);
+/// Time after an outage of the store during which it may lack VMs that are alive.
+const REANNOUNCE_WINDOW: Duration = Duration::from_millis(2500);
 
-/// Entries that are remembered as unreadable, so that each is logged once, however often it is written.
+/// Maximum number of keys remembered as unreadable. Each is logged once, however often it is
+/// written.
 const MAX_UNREADABLE: usize = 256;
 
-/// Follows the VMs.
-pub async fn follow<P: Platform>(from: Sources<P>) {
+/// Runs the follower.
+pub async fn follow<P: Platform>(ctx: FollowContext<P>) {
     let mut fleet = Fleet::default();
-    let mut failures = Failures::new("VMs", from.store.clock().now());
+    let mut failures = FailureStreak::new("VMs", ctx.store.clock().now());
     loop {
-        if let Err(e) = follow_list(&from, &mut fleet, &mut failures).await {
-            from.note_failure(&mut failures, &e);
-            from.tell_unread();
-            tokio::time::sleep(retry_pause(&e).max(FLEET_EVERY / 2)).await;
+        if let Err(e) = follow_list(&ctx, &mut fleet, &mut failures).await {
+            ctx.report_failure(&mut failures, &e);
+            ctx.publish_unread();
+            tokio::time::sleep(retry_delay(&e).max(POLL_INTERVAL / 2)).await;
         }
     }
 }
 
 async fn follow_list<P: Platform>(
-    from: &Sources<P>,
+    ctx: &FollowContext<P>,
     fleet: &mut Fleet,
-    failures: &mut Failures,
+    failures: &mut FailureStreak,
 ) -> Result<()> {
-    fleet.read(from, Freshness::Latest).await?;
+    fleet.read(ctx, Freshness::Latest).await?;
     loop {
-        failures.read_at(from.store.clock().now());
-        from.tell_fleet(fleet);
-        fleet.plan(from);
-        match wait_for_turn(from).await {
-            Turn::Changes => {
-                if fleet.catch_up(from).await? == Caught::Behind {
-                    fleet.read(from, Freshness::Latest).await?;
+        failures.record_success(ctx.store.clock().now());
+        ctx.publish_fleet(fleet);
+        fleet.update_plan(ctx);
+        match wait_for_next_read(ctx).await {
+            NextRead::Changes => {
+                if fleet.catch_up(ctx).await? == ReadProgress::Behind {
+                    fleet.read(ctx, Freshness::Latest).await?;
                 }
             }
-            Turn::List(freshness) => fleet.read(from, freshness).await?,
+            NextRead::FullList(freshness) => fleet.read(ctx, freshness).await?,
         }
     }
 }
 
-/// What is to be read next.
+/// The next read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Turn {
-    /// What has changed since the last reading.
+enum NextRead {
+    /// The changes since the last read.
     Changes,
-    List(Freshness),
+    FullList(Freshness),
 }
 
-/// Waits until the VMs are to be looked at again; at once when a shard was claimed.
-async fn wait_for_turn<P: Platform>(from: &Sources<P>) -> Turn {
+/// Waits until the next read is due; returns immediately when a shard has been claimed.
+async fn wait_for_next_read<P: Platform>(ctx: &FollowContext<P>) -> NextRead {
     let mut waited = Duration::ZERO;
     loop {
-        let claimed = tokio::time::timeout(FLEET_EVERY, from.owning.claimed.notified()).await;
-        waited += FLEET_EVERY;
-        match (claimed.is_ok(), from.owning.now.get()) {
-            (true, _) => return Turn::List(Freshness::Latest),
-            (false, true) if waited == FLEET_EVERY => return Turn::Changes,
-            // The changes of a longer pause are more than the list.
-            (false, true) => return Turn::List(Freshness::Latest),
-            (false, false) if waited >= IDLE_FLEET_EVERY => return Turn::List(Freshness::Stale),
+        let claimed = tokio::time::timeout(POLL_INTERVAL, ctx.ownership.claimed.notified()).await;
+        waited += POLL_INTERVAL;
+        match (claimed.is_ok(), ctx.ownership.owning.get()) {
+            (true, _) => return NextRead::FullList(Freshness::Latest),
+            (false, true) if waited == POLL_INTERVAL => return NextRead::Changes,
+            // After a longer pause the changes are larger than the list.
+            (false, true) => return NextRead::FullList(Freshness::Latest),
+            (false, false) if waited >= IDLE_POLL_INTERVAL => {
+                return NextRead::FullList(Freshness::Stale);
+            }
             (false, false) => {}
         }
     }
 }
 
-/// The VMs as announced.
+/// The announced VMs.
 #[derive(Debug, Default)]
 struct Fleet {
     vms: IndexMap<String, VmEntry>,
-    /// Revision up to which changes were read.
+    /// Changes up to this revision have been read.
     after: Rev,
-    /// When the list was asked for as it is; `None` if the read may have been old.
-    at: Option<Duration>,
-    planning: Rc<Cell<Planning>>,
-    /// Keys of entries that can't be read.
+    /// When the list was requested; `None` if the read may have returned stale data.
+    requested_at: Option<Duration>,
+    plan_update: Rc<Cell<PlanUpdate>>,
+    /// Keys of the entries that failed to decode.
     unreadable: IndexSet<String>,
 }
 
-/// Whether the plan has the racks of all VMs.
+/// Whether the plan includes the racks of all VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Planning {
+enum PlanUpdate {
     #[default]
-    Done,
-    /// There are VMs that weren't known.
-    Wanted,
-    UnderWay,
+    UpToDate,
+    /// New VMs have been announced.
+    Needed,
+    InProgress,
 }
 
-/// Whether an announcement is of a VM that wasn't known.
+/// Whether an announcement is from a new VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Novelty {
     New,
@@ -134,62 +137,67 @@
 
 impl Fleet {
     /// Reads the whole list.
-    async fn read<P: Platform>(&mut self, from: &Sources<P>, freshness: Freshness) -> Result<()> {
-        let asked = from.store.clock().now();
-        let prefix = from.platform.fleet_prefix();
-        let (items, after) = read_all(&from.store, prefix, freshness).await?;
-        (self.at, self.after) = ((freshness == Freshness::Latest).then_some(asked), after);
-        items.iter().for_each(|item| self.take_item(from, item));
+    async fn read<P: Platform>(
+        &mut self,
+        ctx: &FollowContext<P>,
+        freshness: Freshness,
+    ) -> Result<()> {
+        let asked = ctx.store.clock().now();
+        let prefix = ctx.platform.fleet_prefix();
+        let (items, after) = read_all(&ctx.store, prefix, freshness).await?;
+        (self.requested_at, self.after) =
+            ((freshness == Freshness::Latest).then_some(asked), after);
+        items.iter().for_each(|item| self.apply_item(ctx, item));
         let present: IndexSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         self.vms.retain(|key, _| present.contains(key.as_str()));
         self.unreadable.retain(|key| present.contains(key.as_str()));
         Ok(())
     }
 
-    /// Reads changes until none is left unread. An answer that is as long as they get may have been cut;
-    /// one that ends before a revision which the store had passed when it was asked was cut whatever its
-    /// length, or the store holds news back.
-    async fn catch_up<P: Platform>(&mut self, from: &Sources<P>) -> Result<Caught> {
+    /// Reads changes until none is left. An answer with many changes may have been truncated. An
+    /// answer that ends before a revision that the store had reached when it was asked is
+    /// incomplete whatever its length, unless the store delays notifications.
+    async fn catch_up<P: Platform>(&mut self, ctx: &FollowContext<P>) -> Result<ReadProgress> {
         let mut read = 0;
         loop {
-            let (newest, asked) = (from.store.reach().newest(), from.store.clock().now());
-            let watch = Watch::new(from.platform.fleet_prefix(), self.after, WATCH_WAIT);
-            let answer = from.store.call(|store| store.watch(&watch)).await?;
+            let (newest, asked) = (ctx.store.reach().newest(), ctx.store.clock().now());
+            let watch = Watch::new(ctx.platform.fleet_prefix(), self.after, WATCH_TIMEOUT);
+            let answer = ctx.store.call(|store| store.watch(&watch)).await?;
             self.after = self.after.max(answer.at);
             let changes = answer.changes.len();
-            answer.changes.into_iter().for_each(|change| self.take_change(from, change));
-            if self.after >= newest && changes < MAY_BE_CUT {
-                self.at = Some(asked);
-                return Ok(Caught::Up);
+            answer.changes.into_iter().for_each(|change| self.apply_change(ctx, change));
+            if self.after >= newest && changes < TRUNCATION_THRESHOLD {
+                self.requested_at = Some(asked);
+                return Ok(ReadProgress::CaughtUp);
             }
-            from.note_behind(self, changes, newest);
+            ctx.report_lag(self, changes, newest);
             read += changes;
             if changes == 0 || read > self.vms.len() {
-                return Ok(Caught::Behind);
+                return Ok(ReadProgress::Behind);
             }
         }
     }
 
-    fn take_change<P: Platform>(&mut self, from: &Sources<P>, change: Change) {
+    fn apply_change<P: Platform>(&mut self, ctx: &FollowContext<P>, change: Change) {
         match change {
-            Change::Put(item) => self.take_item(from, &item),
+            Change::Put(item) => self.apply_item(ctx, &item),
             Change::Deleted { key } => self.remove(&key),
         }
     }
 
-    fn take_item<P: Platform>(&mut self, from: &Sources<P>, item: &Item) {
-        let (novelty, note) = self.take(item, from.platform.read_vm(item));
+    fn apply_item<P: Platform>(&mut self, ctx: &FollowContext<P>, item: &Item) {
+        let (novelty, note) = self.apply(item, ctx.platform.read_vm(item));
         if novelty == Novelty::New {
-            self.planning.set(Planning::Wanted);
+            self.plan_update.set(PlanUpdate::Needed);
         }
         if let Some(note) = note {
-            from.control.do_send(Stored::Note(note));
+            ctx.control.do_send(Stored::Note(note));
         }
     }
 
-    /// Takes an announcement over. One that can't be read names no VM to use: work that runs there goes
-    /// on as long as the VM answers, and nothing new is placed.
-    fn take(
+    /// Applies an announcement. The VM of an entry that can't be decoded is removed: work already
+    /// running on it continues as long as the VM responds, but no new work is placed there.
+    fn apply(
         &mut self,
         item: &Item,
         read: std::result::Result<VmEntry, Unreadable>,
@@ -202,11 +210,11 @@
             }
             Err(e) => {
                 self.vms.shift_remove(&item.key);
-                let news = self.unreadable.insert(item.key.clone());
+                let is_new = self.unreadable.insert(item.key.clone());
                 if self.unreadable.len() > MAX_UNREADABLE {
                     self.unreadable.shift_remove_index(0);
                 }
-                (Novelty::Known, news.then(|| note_unreadable(item.rev.0, &e)))
+                (Novelty::Known, is_new.then(|| unreadable_note(item.rev.0, &e)))
             }
         }
     }
@@ -216,52 +224,57 @@
         self.unreadable.shift_remove(key);
     }
 
-    /// Reads the plan beside the lists, if it may lack a rack. Waited for, it kept the list from owners for
-    /// as long as it took, and for good where it failed: they bind and start nothing by an old list.
-    fn plan<P: Platform>(&self, from: &Sources<P>) {
-        if self.planning.get() != Planning::Wanted {
+    /// Starts reading the plan in the background if it may lack a rack. While the follower waited
+    /// for this read, owners received no list until it returned, and none at all if it failed.
+    /// Owners don't bind or start tasks while their list is out of date.
+    fn update_plan<P: Platform>(&self, ctx: &FollowContext<P>) {
+        if self.plan_update.get() != PlanUpdate::Needed {
             return;
         }
-        self.planning.set(Planning::UnderWay);
-        let (from, vms, planning) = (from.clone(), self.vms.clone(), self.planning.clone());
+        self.plan_update.set(PlanUpdate::InProgress);
+        let (ctx, vms, plan_update) = (ctx.clone(), self.vms.clone(), self.plan_update.clone());
         actix::spawn(async move {
-            match extend_plan(&from, &vms).await {
-                Ok(()) if planning.get() == Planning::UnderWay => planning.set(Planning::Done),
+            match extend_plan(&ctx, &vms).await {
+                Ok(()) if plan_update.get() == PlanUpdate::InProgress => {
+                    plan_update.set(PlanUpdate::UpToDate);
+                }
                 Ok(()) => {}
                 Err(e) => {
-                    planning.set(Planning::Wanted);
+                    plan_update.set(PlanUpdate::Needed);
                     let reason = e.to_string();
-                    from.control.do_send(Stored::Note(Note::PlanUnread { reason }));
+                    ctx.control.do_send(Stored::Note(Note::PlanUnread { reason }));
                 }
             }
         });
     }
 }
 
-impl<P: Platform> Sources<P> {
+impl<P: Platform> FollowContext<P> {
     fn announcements(&self) -> Announcements {
         let (now, reach) = (self.store.clock().now(), self.store.reach());
-        let back = now.saturating_sub(reach.regained());
-        let fresh = reach.regained() > Duration::ZERO && back < ANNOUNCED_AGAIN;
+        let since_regained = now.saturating_sub(reach.regained());
+        let recently_regained =
+            reach.regained() > Duration::ZERO && since_regained < REANNOUNCE_WINDOW;
         match reach.state(now) {
-            StoreReach::Reached if !fresh => Announcements::Complete,
+            StoreReach::Reached if !recently_regained => Announcements::Complete,
             _ => Announcements::Recovering,
         }
     }
 
-    fn tell_fleet(&self, fleet: &Fleet) {
+    fn publish_fleet(&self, fleet: &Fleet) {
         let announcements = self.announcements();
         let vms = fleet.vms.values().cloned().collect();
-        self.control.do_send(Stored::Fleet { vms, announcements, at: fleet.at });
+        self.control.do_send(Stored::Fleet { vms, announcements, at: fleet.requested_at });
     }
 
-    fn tell_unread(&self) {
+    fn publish_unread(&self) {
         let announcements = Announcements::Unread;
         self.control.do_send(Stored::Fleet { vms: Vec::new(), announcements, at: None });
     }
 
-    fn note_behind(&self, fleet: &Fleet, changes: usize, newest: Rev) {
-        let age_ms = Ms(self.store.clock().now().saturating_sub(fleet.at.unwrap_or_default()));
+    fn report_lag(&self, fleet: &Fleet, changes: usize, newest: Rev) {
+        let age_ms =
+            Ms(self.store.clock().now().saturating_sub(fleet.requested_at.unwrap_or_default()));
         let (read_rev, newest_rev) = (fleet.after.0, newest.0);
         let note = Note::FleetBehind { changes, read_rev, newest_rev, age_ms };
         self.control.do_send(Stored::Note(note));
--- a/src/jobs/follow/fleet/tests.rs
+++ b/src/jobs/follow/fleet/tests.rs
@@ -25,31 +25,31 @@
 }
 
 fn unreadable(key: &str) -> Unreadable {
-    Unreadable { key: key.to_owned(), reason: "no text".to_owned() }
+    Unreadable { key: key.to_owned(), reason: "not UTF-8".to_owned() }
 }
 
-// Another writer puts an entry where a VM was announced, again and again. The VM is not to be used, the
-// others stay, and operators find one line in the log, not one a second. When the VM announces itself
-// again it is used like a new one.
+// Another writer repeatedly overwrites a VM's announcement with an entry that can't be decoded.
+// That VM must not be used, the others stay, and the fault is logged once rather than on every
+// write. When the VM announces itself again, it is treated as new.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_vm_and_the_others_hold() {
+fn an_unreadable_entry_removes_only_its_own_vm() {
     let mut fleet = Fleet::default();
-    assert_eq!(fleet.take(&item("vm/a"), Ok(vm("a"))).0, Novelty::New);
-    assert_eq!(fleet.take(&item("vm/b"), Ok(vm("b"))).0, Novelty::New);
+    assert_eq!(fleet.apply(&item("vm/a"), Ok(vm("a"))).0, Novelty::New);
+    assert_eq!(fleet.apply(&item("vm/b"), Ok(vm("b"))).0, Novelty::New);
     let lines: Vec<bool> =
-        (0..5).map(|_| fleet.take(&item("vm/a"), Err(unreadable("vm/a"))).1.is_some()).collect();
+        (0..5).map(|_| fleet.apply(&item("vm/a"), Err(unreadable("vm/a"))).1.is_some()).collect();
     assert_eq!(lines, [true, false, false, false, false]);
     assert_eq!(fleet.vms.keys().collect::<Vec<_>>(), ["vm/b"]);
-    assert_eq!(fleet.take(&item("vm/a"), Ok(vm("a"))).0, Novelty::New);
+    assert_eq!(fleet.apply(&item("vm/a"), Ok(vm("a"))).0, Novelty::New);
 }
 
-// What is remembered of unreadable entries is bounded, however many are written.
+// Guards against unbounded memory use when many unreadable entries are written.
 #[test]
-fn what_is_remembered_of_unreadable_entries_is_bounded() {
+fn remembered_unreadable_keys_are_bounded() {
     let mut fleet = Fleet::default();
     for number in 0..2 * MAX_UNREADABLE {
         let key = format!("vm/{number}");
-        fleet.take(&item(&key), Err(unreadable(&key)));
+        fleet.apply(&item(&key), Err(unreadable(&key)));
     }
     assert_eq!(fleet.unreadable.len(), MAX_UNREADABLE);
 }
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -1,11 +1,12 @@
-//! The duty that lists machines, orders their upkeep, and keeps the waves' records.
+//! The actor that lists machines, orders their maintenance, and stores the records of maintenance
+//! waves.
 //!
-//! What it does is decided in control, by [`upkeep::duty`](crate::upkeep::duty); each call's answer
-//! goes back there.
+//! Control decides what to do, in [`upkeep::duty`](crate::upkeep::duty); the result of each call is
+//! sent back to it.
 
 use super::Platform;
 use super::control::{Control, Upkept};
-use super::records::Watched;
+use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
 use crate::kv::{self, Condition, Kv, Put, Rev, Txn};
@@ -16,20 +17,20 @@
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// The duty.
+/// Actor for machine maintenance.
 pub struct Machines<P: Platform> {
     platform: P,
     machines: P::Machines,
-    store: Watched<P::Store>,
+    store: MonitoredStore<P::Store>,
     control: Addr<Control>,
     clock: Arc<dyn Clock>,
 }
 
 impl<P: Platform> Machines<P> {
-    /// A duty; made on its own thread.
+    /// Creates the actor. Must be called on the actor's thread.
     pub fn new(platform: P, control: Addr<Control>, clock: Arc<dyn Clock>) -> Self {
         let (machines, store) = (platform.machines(), platform.store());
-        let store = Watched::new(store, clock.clone());
+        let store = MonitoredStore::new(store, clock.clone());
         Self { platform, machines, store, control, clock }
     }
 }
@@ -42,7 +43,7 @@
     }
 }
 
-/// Something to do for a wave.
+/// Carries out an action for a maintenance wave.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Upkeep(pub Action);
@@ -64,12 +65,12 @@
                     let result = machines.upkeep(&req).await;
                     Event::Called { wave: req.wave, machine: req.machine, result }
                 }
-                Action::Read { wave } => read(&store, wave).await,
+                Action::Read { wave } => read_record(&store, wave).await,
                 Action::Write { wave, rev, record, state } => {
                     let status = platform.wave_state(wave, state);
-                    write(&store, wave, rev, record, status).await
+                    write_record(&store, wave, rev, record, status).await
                 }
-                // Control's own.
+                // Handled by control itself.
                 Action::Vacate { .. } | Action::Note(_) => return,
             };
             control.do_send(Upkept(event));
@@ -77,7 +78,7 @@
     }
 }
 
-async fn read<S: Kv>(store: &Watched<S>, wave: u64) -> Event {
+async fn read_record<S: Kv>(store: &MonitoredStore<S>, wave: u64) -> Event {
     let key = Record::key(wave);
     match store.call(|store| store.get(&key)).await {
         Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
@@ -89,8 +90,8 @@
     }
 }
 
-async fn write<S: Kv>(
-    store: &Watched<S>,
+async fn write_record<S: Kv>(
+    store: &MonitoredStore<S>,
     wave: u64,
     rev: Rev,
     record: Record,
@@ -106,7 +107,7 @@
     let written: kv::Result<Rev> = store.call(|store| store.commit(&txn)).await;
     match written {
         Ok(rev) => Event::Recorded { wave, rev, record },
-        // Whether it took effect is read back before anything else is decided.
+        // The write may have taken effect; the record is read back before the next decision.
         Err(_) => Event::NotRecorded { wave },
     }
 }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -1,12 +1,12 @@
-//! The duty that reads and writes the store.
+//! The actor that reads and writes the store.
 //!
-//! Commits of one shard follow each other; those of different shards, claims, and what is followed
-//! run side by side. A commit whose answer was lost is sent again as it was: it rests on the head
-//! that it replaces, so that it takes effect once at the most, however often and late it arrives.
+//! The commits of one shard run in sequence; commits of different shards, claims, and followers run
+//! concurrently. A commit whose answer was lost is sent again unchanged: it is conditional on the
+//! head that it replaces, so it takes effect at most once, however often and late it arrives.
 
-use super::claim::{self, Held};
+use super::claim::{self, ShardWriter};
 use super::control::Stored;
-use super::follow::{self, Owning, Sources};
+use super::follow::{self, FollowContext, OwnershipSignal};
 use super::{Platform, Unreadable};
 use crate::clock::Clock;
 use crate::cluster::{Member, Replaced, StoreReach};
@@ -23,18 +23,20 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Commits that wait for one shard; control sends one at a time.
-const SHARD_RING: usize = 16;
+/// Capacity of a shard's commit queue; control sends one commit at a time.
+const SHARD_QUEUE_CAPACITY: usize = 16;
 
-/// Silence of the store, with calls failing, after which it counts as away.
-const AWAY_AFTER: Duration = Duration::from_millis(500);
+/// Time without an answer after which the store counts as unreachable, if at least two calls have
+/// failed since.
+const FAILING_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Silence after which it counts as away in any case; calls are made every 400 ms at least.
-const SILENT_AFTER: Duration = Duration::from_millis(1500);
+/// Time without an answer after which the store counts as unreachable even if no call has failed;
+/// calls are made at least every 400 ms.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// When the store last answered this daemon.
+/// Tracks whether the store answers this daemon.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     answered: Cell<Option<Duration>>,
     failures: Cell<u32>,
     reason: RefCell<String>,
@@ -42,9 +44,9 @@
     newest: Cell<Rev>,
 }
 
-impl Reach {
-    /// Notes how a call ended.
-    pub fn note<T: Revised>(&self, now: Duration, result: &Result<T>) {
+impl Reachability {
+    /// Records the result of a call.
+    pub fn record<T: Revised>(&self, now: Duration, result: &Result<T>) {
         if let Ok(answer) = result {
             self.newest.set(self.newest.get().max(answer.revision()));
         }
@@ -63,11 +65,12 @@
         }
     }
 
-    /// Whether the store answers.
+    /// Whether the store is reachable.
     pub fn state(&self, now: Duration) -> StoreReach {
         let Some(answered) = self.answered.get() else { return StoreReach::Away };
         let silent = now.saturating_sub(answered);
-        let away = (self.failures.get() >= 2 && silent >= AWAY_AFTER) || silent >= SILENT_AFTER;
+        let away =
+            (self.failures.get() >= 2 && silent >= FAILING_TIMEOUT) || silent >= SILENCE_TIMEOUT;
         if away { StoreReach::Away } else { StoreReach::Reached }
     }
 
@@ -76,80 +79,79 @@
         self.answered.get().map_or(now, |at| now.saturating_sub(at))
     }
 
-    /// Newest revision of the store that any answer told of.
+    /// Newest store revision reported by any answer.
     pub fn newest(&self) -> Rev {
         self.newest.get()
     }
 
-    /// When the store came back, if it was away.
+    /// When the store last became reachable; zero before the first answer.
     pub fn regained(&self) -> Duration {
         self.regained.get()
     }
 
-    /// Why the last call failed.
+    /// Error of the last call that failed because of an outage.
     pub fn reason(&self) -> String {
         self.reason.borrow().clone()
     }
 }
 
-/// A client of the store that notes whether it answers.
+/// A store client that records whether the store answers.
 #[derive(Clone)]
-pub struct Watched<S> {
+pub struct MonitoredStore<S> {
     store: S,
-    reach: Rc<Reach>,
+    reach: Rc<Reachability>,
     clock: Arc<dyn Clock>,
 }
 
-impl<S: Kv> Watched<S> {
-    /// A client that hasn't called yet.
+impl<S: Kv> MonitoredStore<S> {
+    /// Wraps a client that has made no calls yet.
     pub fn new(store: S, clock: Arc<dyn Clock>) -> Self {
         Self { store, reach: Rc::default(), clock }
     }
 
-    /// Makes a call and notes how it ended.
+    /// Makes a call and records its result.
     pub async fn call<'a, T, F>(&'a self, call: impl FnOnce(&'a S) -> F) -> Result<T>
     where
         T: Revised,
         F: Future<Output = Result<T>> + 'a,
     {
         let result = call(&self.store).await;
-        self.reach.note(self.clock.now(), &result);
+        self.reach.record(self.clock.now(), &result);
         result
     }
 
-    /// The clock.
     pub fn clock(&self) -> &dyn Clock {
         &*self.clock
     }
 
-    /// Whether the store answers.
-    pub fn reach(&self) -> &Reach {
+    /// What is known of the store's reachability.
+    pub fn reach(&self) -> &Reachability {
         &self.reach
     }
 }
 
-/// The duty.
+/// Actor for access to the store.
 pub struct Records<P: Platform> {
     me: Member,
     platform: P,
-    store: Watched<P::Store>,
+    store: MonitoredStore<P::Store>,
     control: Recipient<Stored>,
-    shards: IndexMap<String, mpsc::Sender<Job>>,
-    /// Claims under way.
+    shards: IndexMap<String, mpsc::Sender<CommitRequest>>,
+    /// Claims in progress.
     claims: u32,
-    told: StoreReach,
-    owning: Rc<Owning>,
+    reported_reach: StoreReach,
+    ownership: Rc<OwnershipSignal>,
     lease_ttl: Duration,
 }
 
-/// A commit to make.
-struct Job {
+/// A queued commit.
+struct CommitRequest {
     seq: u64,
     txn: Txn,
 }
 
 impl<P: Platform> Records<P> {
-    /// A duty that has read nothing yet; made on its own thread.
+    /// Creates the actor. Must be called on the actor's thread.
     pub fn new(
         me: Member,
         platform: P,
@@ -157,7 +159,7 @@
         control: Recipient<Stored>,
         clock: Arc<dyn Clock>,
     ) -> Self {
-        let store = Watched::new(platform.store(), clock);
+        let store = MonitoredStore::new(platform.store(), clock);
         Self {
             me,
             platform,
@@ -165,55 +167,59 @@
             control,
             shards: IndexMap::new(),
             claims: 0,
-            told: StoreReach::Away,
-            owning: Rc::default(),
+            reported_reach: StoreReach::Away,
+            ownership: Rc::default(),
             lease_ttl,
         }
     }
 
-    fn watch_reach(&mut self) {
+    fn report_reach(&mut self) {
         let now = self.store.clock.now();
         let reach = self.store.reach.state(now);
-        if reach != self.told {
-            self.told = reach;
+        if reach != self.reported_reach {
+            self.reported_reach = reach;
             let (silent, reason) = (self.store.reach.silent(now), self.store.reach.reason());
             self.control.do_send(Stored::Reach { reach, silent, reason });
         }
     }
 
-    /// Derived from the claims and shards that are here. Told from outside, word that no shard was left
-    /// overtook a claim, and the owner went on reading the VMs as rarely as a daemon without shards:
-    /// it started tasks on VMs that had left.
-    fn note_owning(&self) {
-        self.owning.now.set(self.claims > 0 || !self.shards.is_empty());
+    /// Derives the ownership flag from the claims and shards held here. When it was set by messages
+    /// from outside, a message that no shard was left could overtake a claim; the owner then read
+    /// the VMs as rarely as a daemon without shards, and started tasks on VMs that had left.
+    fn update_ownership(&self) {
+        self.ownership.owning.set(self.claims > 0 || !self.shards.is_empty());
     }
 
-    fn sources(&self) -> Sources<P> {
-        Sources {
+    fn follow_context(&self) -> FollowContext<P> {
+        FollowContext {
             platform: self.platform.clone(),
             store: self.store.clone(),
             control: self.control.clone(),
-            owning: self.owning.clone(),
+            ownership: self.ownership.clone(),
         }
     }
 }
 
-/// Between two checks of whether the store answers.
-const REACH_CHECK: Duration = Duration::from_millis(100);
+/// Interval between checks of whether the store is reachable.
+const REACH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl<P: Platform> Actor for Records<P> {
     type Context = Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
         cx.set_mailbox_capacity(RING_CAPACITY);
-        cx.run_interval(REACH_CHECK, |this, _| this.watch_reach());
-        actix::spawn(follow::operators::follow(self.sources()));
-        actix::spawn(follow::fleet::follow(self.sources()));
-        actix::spawn(follow::members(self.sources(), self.me.clone(), self.lease_ttl));
+        cx.run_interval(REACH_CHECK_INTERVAL, |this, _| this.report_reach());
+        actix::spawn(follow::operators::follow(self.follow_context()));
+        actix::spawn(follow::fleet::follow(self.follow_context()));
+        actix::spawn(follow::follow_members(
+            self.follow_context(),
+            self.me.clone(),
+            self.lease_ttl,
+        ));
     }
 }
 
-/// Claims a shard and reads what the store has of it.
+/// Claims a shard and reads its state from the store.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Claim {
@@ -228,49 +234,49 @@
     fn handle(&mut self, msg: Claim, cx: &mut Self::Context) {
         let (store, me, control) = (self.store.clone(), self.me.id.clone(), self.control.clone());
         self.claims += 1;
-        self.note_owning();
+        self.update_ownership();
         let (shard, previous, replaces) = (msg.shard.clone(), msg.previous, msg.replaces);
         let claimed = async move { claim::claim(&store, &me, &shard, previous, &replaces).await };
         cx.spawn(claimed.into_actor(self).map(move |claimed, this, _| {
             this.claims -= 1;
             match claimed {
-                Ok((held, recovered)) => {
-                    this.write_shard(&msg.shard, held);
+                Ok((writer, recovered)) => {
+                    this.start_writer(&msg.shard, writer);
                     control.do_send(Stored::Claimed(Box::new(recovered)));
-                    this.owning.claimed.notify_one();
+                    this.ownership.claimed.notify_one();
                 }
                 Err(failed) => {
                     let (shard, head) = (msg.shard, failed.head);
                     control.do_send(Stored::ClaimFailed { shard, head, reason: failed.reason });
                 }
             }
-            this.note_owning();
+            this.update_ownership();
         }));
     }
 }
 
 impl<P: Platform> Records<P> {
-    fn write_shard(&mut self, shard: &str, held: Held) {
-        let (tx, rx) = mpsc::channel(SHARD_RING);
+    fn start_writer(&mut self, shard: &str, writer: ShardWriter) {
+        let (tx, rx) = mpsc::channel(SHARD_QUEUE_CAPACITY);
         self.shards.insert(shard.to_owned(), tx);
         let (store, control, name) = (self.store.clone(), self.control.clone(), shard.to_owned());
-        actix::spawn(write(store, control, name, held, rx));
+        actix::spawn(write_commits(store, control, name, writer, rx));
     }
 }
 
-/// Makes a shard's commits, one after the other, until the shard is lost.
-async fn write<S: Kv>(
-    store: Watched<S>,
+/// Writes a shard's commits in sequence, until the shard is lost.
+async fn write_commits<S: Kv>(
+    store: MonitoredStore<S>,
     control: Recipient<Stored>,
     shard: String,
-    mut held: Held,
-    mut rx: mpsc::Receiver<Job>,
+    mut writer: ShardWriter,
+    mut rx: mpsc::Receiver<CommitRequest>,
 ) {
-    let fence = held.fence();
-    while let Some(job) = rx.recv().await {
-        let result = held.commit(&store, job.seq, job.txn).await;
+    let fence = writer.fence();
+    while let Some(request) = rx.recv().await {
+        let result = writer.commit(&store, request.seq, request.txn).await;
         let lost = matches!(result, crate::shard::CommitResult::Superseded(_));
-        let (shard, seq) = (shard.clone(), job.seq);
+        let (shard, seq) = (shard.clone(), request.seq);
         control.do_send(Stored::Committed { shard, fence, seq, result });
         if lost {
             return;
@@ -278,7 +284,7 @@
     }
 }
 
-/// Makes a shard's changes durable.
+/// Commits changes to a shard.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Commit {
@@ -292,14 +298,14 @@
 
     fn handle(&mut self, msg: Commit, _: &mut Self::Context) {
         if let Some(tx) = self.shards.get(&msg.shard) {
-            // Control has one commit under way at a time; a loop that has ended has lost the shard
-            // and said so.
-            let _ = tx.try_send(Job { seq: msg.seq, txn: msg.txn });
+            // Control sends one commit at a time, so the queue has room. If the writer task has
+            // ended, it has already reported that the shard is lost.
+            let _ = tx.try_send(CommitRequest { seq: msg.seq, txn: msg.txn });
         }
     }
 }
 
-/// The shard isn't owned here any more.
+/// Removes a shard that is no longer owned here.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Forget {
@@ -311,7 +317,7 @@
 
     fn handle(&mut self, msg: Forget, _: &mut Self::Context) {
         self.shards.shift_remove(&msg.shard);
-        self.note_owning();
+        self.update_ownership();
     }
 }
 
@@ -333,7 +339,8 @@
     }
 }
 
-/// Asks whether a shard is still owned here; told as a commit that was superseded if not.
+/// Asks the store whether `owner` still owns a shard. Control handles a loss like a superseded
+/// commit.
 #[derive(Message)]
 #[rtype(result = "Confirmation")]
 pub struct Confirm {
@@ -341,7 +348,7 @@
     pub owner: DaemonId,
 }
 
-/// Whether a shard is still owned.
+/// Answer to [`Confirm`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, MessageResponse)]
 pub enum Confirmation {
     Owned,
@@ -369,11 +376,11 @@
 #[rtype(result = "Found")]
 pub struct FindJob(pub JobId);
 
-/// Where a job is.
+/// Answer to [`FindJob`].
 #[derive(Clone, Debug, PartialEq, Eq, MessageResponse)]
 pub enum Found {
     Shard(String),
-    /// No such job was accepted, or it was forgotten.
+    /// The job was never accepted, or its record was deleted.
     Nowhere,
     Unknown(String),
 }
@@ -397,28 +404,28 @@
     }
 }
 
-/// The daemon ends: its registration goes.
+/// Stops the actor because the daemon ends; its registration expires with its lease.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Leave;
+pub struct Shutdown;
 
-impl<P: Platform> Handler<Leave> for Records<P> {
+impl<P: Platform> Handler<Shutdown> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, _: Leave, cx: &mut Self::Context) {
+    fn handle(&mut self, _: Shutdown, cx: &mut Self::Context) {
         cx.stop();
     }
 }
 
-/// Logs an item that can't be read.
-pub fn note_unreadable(rev: u64, e: &Unreadable) -> crate::note::Note {
+/// Log entry for a store entry that can't be decoded.
+pub fn unreadable_note(rev: u64, e: &Unreadable) -> crate::note::Note {
     crate::note::Note::EntryUnreadable { entry: e.key.clone(), rev, reason: e.reason.clone() }
 }
 
-/// Whether a failed call may be made again at once.
-pub fn retry_pause(error: &Error) -> Duration {
+/// Delay before a failed call is repeated.
+pub fn retry_delay(error: &Error) -> Duration {
     match error {
-        // The answer may be on its way; the call is sent again as it was.
+        // The call may have taken effect with its answer lost; it is repeated soon, unchanged.
         Error::NoAnswer { .. } => Duration::from_millis(20),
         _ => Duration::from_millis(80),
     }
