--- a/tests/followers/fleet.rs
+++ b/tests/followers/fleet.rs
@@ -1,124 +1,134 @@
-//! What control is told of the VMs, on a store that holds only so many changes in an answer.
+//! Fleet updates sent to control, with a store that limits the number of changes in an answer.
 
-use crate::world::{CALL, Seen, claim_of};
+use crate::harness::{Harness, LATENCY, unowned_claim};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use waxwingstall::jobs::records::Forget;
 use waxwingstall_standin::txns::ANSWER_CHANGES;
 
-/// Time from a VM's announcement until owners know of it. Nothing may be started on a VM 2 s after it
-/// said that it leaves, and half of that is left to the start itself.
-const HEARD_WITHIN: Duration = Duration::from_secs(1);
+/// Maximum time from a VM's announcement until owners know of it. Nothing may be started on a VM
+/// later than 2 s after it announced that it is leaving; half of that is reserved for the start
+/// itself.
+const MAX_NOTICE_TIME: Duration = Duration::from_secs(1);
 
-// Tasks are started on VMs that said seconds before that they leave, and lasting tasks stand still for
-// ten seconds after their VM went: their owner heard of neither. As daemons start, this one claims two
-// shards, gives the first away and owns the second a moment later. Word that it owned no more, said
-// before the second claim was known, left it reading the VMs every 3 s like a daemon that owns nothing.
-// That it did so was told by the pauses that it logged between two readings.
+// Guards against an owner that learns too late of leaving VMs, so that tasks are started on VMs
+// which announced seconds before that they are leaving, and lasting tasks stand still for ten
+// seconds after their VM left. At startup the daemon claims two shards, hands over the first and
+// owns the second shortly after. A message that it owned no shard, sent before the second claim was
+// known, left it reading the VMs every 3 s like a daemon without shards. The fault was found from
+// the logged intervals between reads.
 #[actix_rt::test]
 async fn an_owner_that_gave_another_shard_away_hears_of_vms_in_time() {
-    let mut seen = Seen::start(30);
-    seen.run(30, Duration::from_secs(1)).await;
-    seen.claim("kacyiru.0").await;
-    seen.run(30, Duration::from_millis(100)).await;
-    seen.claim("kacyiru.1").await;
+    let mut harness = Harness::start(30);
+    harness.advance(30, Duration::from_secs(1)).await;
+    harness.claim("kacyiru.0").await;
+    harness.advance(30, Duration::from_millis(100)).await;
+    harness.claim("kacyiru.1").await;
     let forget = Forget { shard: "kacyiru.0".to_owned() };
-    seen.records.send(forget).await.expect("the duty runs");
-    seen.run(30, Duration::from_secs(10)).await;
+    harness.records.send(forget).await.expect("the actor is running");
+    harness.advance(30, Duration::from_secs(10)).await;
     for number in 0..5 {
-        seen.announce(number, "leaving");
-        tokio::time::sleep(HEARD_WITHIN).await;
-        assert!(seen.knows_leaving(number), "VM {number} left, and its owner knows nothing");
+        harness.announce(number, "leaving");
+        tokio::time::sleep(MAX_NOTICE_TIME).await;
+        assert!(
+            harness.reports_leaving(number),
+            "VM {number} is leaving, and its owner has not been told"
+        );
     }
 }
 
-// The same symptom on deployments of hundreds of VMs. More changes come between two readings than an
-// answer of the store holds: what was left over was read the next time, by then more was left over, and
-// the list that decides what is started where grew older and older, though it was read a moment ago.
-// That answers are cut was told by their changes, 500 each, and by the revision that they end at.
+// Guards against the same failure on deployments with hundreds of VMs. More changes arrive between
+// two reads than one answer of the store holds. The remainder was left for the next read, by which
+// time even more remained, so the list used for placement fell further and further behind although
+// it was just refreshed. Truncated answers were recognized by their size, 500 changes each, and by
+// the revision at which they ended.
 #[actix_rt::test]
 async fn an_owner_reads_on_until_nothing_is_left_unread() {
-    let mut seen = Seen::start(2 * ANSWER_CHANGES);
-    seen.claim("kacyiru.0").await;
-    seen.run(30, Duration::from_secs(2)).await;
+    let mut harness = Harness::start(2 * ANSWER_CHANGES);
+    harness.claim("kacyiru.0").await;
+    harness.advance(30, Duration::from_secs(2)).await;
     for _ in 0..5 {
-        (0..2 * ANSWER_CHANGES).for_each(|number| seen.announce(number, "ready"));
+        (0..2 * ANSWER_CHANGES).for_each(|number| harness.announce(number, "ready"));
     }
-    seen.announce(7, "leaving");
-    tokio::time::sleep(HEARD_WITHIN).await;
-    assert!(seen.knows_leaving(7), "five answers' worth of changes came before it");
+    harness.announce(7, "leaving");
+    tokio::time::sleep(MAX_NOTICE_TIME).await;
+    assert!(harness.reports_leaving(7), "not read in time after five answers' worth of changes");
 }
 
-// A daemon that owned nothing is given a shard. It has read the VMs now and then, and never all that was
-// new, so that its next answer was old as well, up to the 20 s that the store keeps; what it is told
-// first as an owner must be as things are.
+// Guards against a new owner that starts with an outdated list. A daemon without shards reads the
+// VMs only periodically and never catches up with all changes, so its next answer could be stale as
+// well, by up to the 20 s that the store keeps. Its first update as an owner must be current.
 #[actix_rt::test]
 async fn a_new_owner_is_told_of_the_vms_as_they_are() {
-    let mut seen = Seen::start(400);
-    seen.run(400, Duration::from_secs(15)).await;
-    seen.announce(3, "leaving");
-    tokio::time::sleep(CALL).await;
-    let before = seen.last_told();
-    seen.claim("kacyiru.0").await;
-    while seen.last_told() == before {
-        tokio::time::sleep(CALL).await;
+    let mut harness = Harness::start(400);
+    harness.advance(400, Duration::from_secs(15)).await;
+    harness.announce(3, "leaving");
+    tokio::time::sleep(LATENCY).await;
+    let before = harness.last_update_at();
+    harness.claim("kacyiru.0").await;
+    while harness.last_update_at() == before {
+        tokio::time::sleep(LATENCY).await;
     }
-    assert!(seen.knows_leaving(3), "it said that it leaves before the shard was claimed");
+    assert!(
+        harness.reports_leaving(3),
+        "the VM announced that it is leaving before the shard was claimed"
+    );
 }
 
-/// Age of the list up to which a shard's owner places and starts work by it.
+/// Maximum age of the list by which a shard's owner places and starts work.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1300);
 
-/// Time that the store takes for a call while it is slow: 90 times the usual.
-const SLOW_CALL: Duration = Duration::from_millis(360);
+/// Latency of a call while the store is slow: 90 times the normal value.
+const SLOW_LATENCY: Duration = Duration::from_millis(360);
 
-// Nothing is placed for half of the time while the store is slow and VMs are replaced: as soon as a list
-// names a new VM, the plan is read before anybody is told of the list, and so the one that owners have is
-// older than they may go by.
+// Guards against placement stopping half of the time while the store is slow and VMs are replaced.
+// Whenever a list contained a new VM, the plan was read before the list was passed on, so the list
+// that owners had was older than the allowed age.
 #[actix_rt::test]
 async fn an_owners_list_stays_recent_while_the_store_is_slow_and_vms_come() {
-    let mut seen = Seen::start_with(30, SLOW_CALL);
-    seen.claim("kacyiru.0").await;
-    seen.run(30, Duration::from_secs(4)).await;
-    seen.told.borrow_mut().clear();
+    let mut harness = Harness::start_with_latency(30, SLOW_LATENCY);
+    harness.claim("kacyiru.0").await;
+    harness.advance(30, Duration::from_secs(4)).await;
+    harness.updates.borrow_mut().clear();
     for number in 30..40 {
-        seen.announce(number, "ready");
-        seen.run(30, Duration::from_millis(1000)).await;
+        harness.announce(number, "ready");
+        harness.advance(30, Duration::from_millis(1000)).await;
     }
-    let oldest = seen.oldest_list();
+    let oldest = harness.max_list_age();
     assert!(oldest <= MAX_LIST_AGE, "{oldest:?}");
 }
 
-// Nothing at all is placed, though the list of VMs is read several times a second: a VM has come, and the
-// store turns away what concerns the plan. The list that was read is thrown away with the failed call.
+// Guards against placement stopping completely although the list of VMs is read several times a
+// second: a new VM has appeared, and the store refuses calls for the plan. The list was discarded
+// together with the failed call.
 #[actix_rt::test]
 async fn a_list_that_was_read_is_told_of_though_the_plan_is_not_read() {
-    let mut seen = Seen::start(30);
-    seen.claim("kacyiru.0").await;
-    seen.run(30, Duration::from_secs(2)).await;
-    seen.no_plan.store(true, Ordering::Relaxed);
-    seen.announce(30, "ready");
-    seen.run(30, Duration::from_secs(1)).await;
-    seen.announce(7, "leaving");
-    tokio::time::sleep(HEARD_WITHIN).await;
-    assert!(seen.knows_leaving(7), "its announcement was read and not passed on");
+    let mut harness = Harness::start(30);
+    harness.claim("kacyiru.0").await;
+    harness.advance(30, Duration::from_secs(2)).await;
+    harness.refuse_plan.store(true, Ordering::Relaxed);
+    harness.announce(30, "ready");
+    harness.advance(30, Duration::from_secs(1)).await;
+    harness.announce(7, "leaving");
+    tokio::time::sleep(MAX_NOTICE_TIME).await;
+    assert!(harness.reports_leaving(7), "its announcement was read but not passed on");
 }
 
-// Jobs are refused since a shard changes hands twice within a moment. Two daemons find it without an owner and
-// decide to claim it; the second one's claim starts as the first one's has just taken effect, before there is
-// any word of it. It read the new owner from the store and replaced it, though it had decided to replace
-// nobody, rather than fail.
+// Guards against jobs being refused because a shard changes hands twice in quick succession. Two
+// daemons find it without an owner and decide to claim it; the claim of the second starts when that
+// of the first has just taken effect, before this is known. It read the new owner from the store
+// and replaced it, although it was decided when there was no owner, instead of failing.
 #[actix_rt::test]
-async fn a_claim_replaces_nobody_but_the_owner_that_it_was_decided_against() {
-    let seen = Seen::start(1);
-    let other = seen.join("two");
+async fn a_claim_fails_if_another_owner_took_the_shard_after_the_decision() {
+    let harness = Harness::start(1);
+    let other = harness.start_other("two");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let claim = || claim_of("kacyiru.0");
-    seen.records.send(claim()).await.expect("the duty runs");
-    tokio::time::sleep(3 * CALL).await;
-    other.send(claim()).await.expect("the duty runs");
+    let claim = || unowned_claim("kacyiru.0");
+    harness.records.send(claim()).await.expect("the actor is running");
+    tokio::time::sleep(3 * LATENCY).await;
+    other.send(claim()).await.expect("the actor is running");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let mut claims = seen.claims.borrow().clone();
+    let mut claims = harness.claims.borrow().clone();
     claims.sort_unstable();
     assert_eq!(claims, [("one", true), ("two", false)]);
 }
--- a/tests/followers/world.rs
+++ b/tests/followers/harness.rs
@@ -1,4 +1,5 @@
-//! The duty of records on a store that takes time, with a listener in control's place; time is virtual.
+//! Test harness: the records actor with a store that has latency, and a fake control; time is
+//! virtual.
 
 use actix::prelude::*;
 use bytes::Bytes;
@@ -30,10 +31,10 @@
 use waxwingstall_standin::troubled::Troubled;
 use waxwingstall_standin::txns::TxnTable;
 
-/// Time that the store takes for a call.
-pub const CALL: Duration = Duration::from_millis(4);
+/// Latency of a store call.
+pub const LATENCY: Duration = Duration::from_millis(4);
 
-/// The runtime's time, which tests let pass.
+/// Clock that follows the runtime's paused time.
 struct VirtualClock {
     start: Instant,
 }
@@ -48,28 +49,31 @@
     }
 }
 
-/// The store, which takes time.
+/// A store with latency and, optionally, limited bandwidth.
 #[derive(Clone)]
 pub struct SlowStore {
     store: FakeStore,
-    /// Time that it takes for a call.
-    call: Duration,
-    /// Bytes of its answers that come in in a second, if that is bounded.
-    link: Option<u32>,
-    /// Whether it turns away calls about the plan.
-    no_plan: Arc<AtomicBool>,
+    /// Latency of a call.
+    latency: Duration,
+    /// Bandwidth of its answers, if limited.
+    bytes_per_second: Option<u32>,
+    /// Whether it refuses calls for the plan.
+    refuse_plan: Arc<AtomicBool>,
 }
 
 impl SlowStore {
-    /// Lets values come in.
-    async fn carry(&self, bytes: usize) {
-        if let Some(link) = self.link {
-            tokio::time::sleep(Duration::from_secs_f64(wire(bytes) as f64 / f64::from(link))).await;
+    /// Waits for the transfer of values.
+    async fn transfer(&self, bytes: usize) {
+        if let Some(bytes_per_second) = self.bytes_per_second {
+            tokio::time::sleep(Duration::from_secs_f64(
+                base64_len(bytes) as f64 / f64::from(bytes_per_second),
+            ))
+            .await;
         }
     }
 
-    fn allows(&self, key: &str) -> kv::Result<()> {
-        if key == PLAN_KEY && self.no_plan.load(Ordering::Relaxed) {
+    fn check_allowed(&self, key: &str) -> kv::Result<()> {
+        if key == PLAN_KEY && self.refuse_plan.load(Ordering::Relaxed) {
             return Err(kv::Error::Refused { reason: "too many calls".to_owned() });
         }
         Ok(())
@@ -78,130 +82,130 @@
 
 impl Kv for SlowStore {
     async fn get(&self, key: &str) -> kv::Result<Option<Item>> {
-        tokio::time::sleep(self.call).await;
-        self.allows(key)?;
+        tokio::time::sleep(self.latency).await;
+        self.check_allowed(key)?;
         self.store.get(key).await
     }
 
     async fn range(&self, prefix: &str, after: Option<&str>, of: Freshness) -> kv::Result<Page> {
-        tokio::time::sleep(self.call).await;
+        tokio::time::sleep(self.latency).await;
         let page = self.store.range(prefix, after, of).await?;
-        self.carry(page.items.iter().map(|item| item.value.len()).sum()).await;
+        self.transfer(page.items.iter().map(|item| item.value.len()).sum()).await;
         Ok(page)
     }
 
     async fn watch(&self, watch: &Watch) -> kv::Result<Changes> {
-        tokio::time::sleep(self.call).await;
+        tokio::time::sleep(self.latency).await;
         let until = Instant::now() + watch.wait;
         loop {
             let changes = self.store.watch(watch).await?;
             if !changes.changes.is_empty() || Instant::now() >= until {
-                let size = changes.changes.iter().map(size).sum();
-                if wire(size) > watch.most_bytes {
-                    return Err(kv::Error::TooLarge { reason: format!("{size} bytes") });
+                let value_len = changes.changes.iter().map(value_len).sum();
+                if base64_len(value_len) > watch.most_bytes {
+                    return Err(kv::Error::TooLarge { reason: format!("{value_len} bytes") });
                 }
-                self.carry(size).await;
+                self.transfer(value_len).await;
                 return Ok(changes);
             }
-            tokio::time::sleep(self.call).await;
+            tokio::time::sleep(self.latency).await;
         }
     }
 
     async fn commit(&self, txn: &Txn) -> kv::Result<Rev> {
-        tokio::time::sleep(self.call).await;
+        tokio::time::sleep(self.latency).await;
         self.store.commit(txn).await
     }
 
     async fn grant(&self, ttl: Duration) -> kv::Result<LeaseId> {
-        tokio::time::sleep(self.call).await;
+        tokio::time::sleep(self.latency).await;
         self.store.grant(ttl).await
     }
 
     async fn keep(&self, lease: LeaseId) -> kv::Result<()> {
-        tokio::time::sleep(self.call).await;
+        tokio::time::sleep(self.latency).await;
         self.store.keep(lease).await
     }
 
     async fn end(&self, lease: LeaseId) -> kv::Result<()> {
-        tokio::time::sleep(self.call).await;
+        tokio::time::sleep(self.latency).await;
         self.store.end(lease).await
     }
 }
 
-/// Size of values as they are sent, in base64.
-fn wire(bytes: usize) -> usize {
+/// Size of values in base64, as they are sent.
+fn base64_len(bytes: usize) -> usize {
     bytes.div_ceil(3) * 4
 }
 
-fn size(change: &Change) -> usize {
+fn value_len(change: &Change) -> usize {
     match change {
         Change::Put(item) => item.value.len(),
         Change::Deleted { .. } => 0,
     }
 }
 
-/// VMs, permits and machines: these tests call none.
+/// Client for VMs, permits and machines, whose calls all fail; these tests make none.
 #[derive(Clone)]
-pub struct Nobody;
+pub struct UnreachableService;
 
-impl VmPort for Nobody {
+impl VmPort for UnreachableService {
     async fn look(&self, _: &VmAddr, _: LookReq) -> vm::Result<LookResp> {
-        Err(vm::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
     async fn start(&self, _: &VmAddr, _: StartReq) -> vm::Result<VmTime> {
-        Err(vm::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
     async fn stop(&self, _: &VmAddr, _: RunReq) -> vm::Result<VmTime> {
-        Err(vm::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
     async fn pace(&self, _: &VmAddr, _: PaceReq) -> vm::Result<VmTime> {
-        Err(vm::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
 
-impl PermitPort for Nobody {
+impl PermitPort for UnreachableService {
     async fn ask(&self, _: &PermitReq) -> permit::Result<PermitResp> {
-        Err(permit::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(permit::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
 
-impl MachinePort for Nobody {
+impl MachinePort for UnreachableService {
     async fn list(&self) -> upkeep::Result<Vec<Machine>> {
-        Err(upkeep::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(upkeep::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
     async fn upkeep(&self, _: &UpkeepReq) -> upkeep::Result<()> {
-        Err(upkeep::Error::NotSent { reason: "nobody is there".to_owned() })
+        Err(upkeep::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
 
-/// A platform of which only the store is there.
+/// A platform on which only the store can be reached.
 #[derive(Clone)]
-pub struct StorePlatform(SlowStore);
+pub struct TestPlatform(SlowStore);
 
-impl Platform for StorePlatform {
+impl Platform for TestPlatform {
     type Store = SlowStore;
-    type Vms = Nobody;
-    type Permits = Nobody;
-    type Machines = Nobody;
+    type Vms = UnreachableService;
+    type Permits = UnreachableService;
+    type Machines = UnreachableService;
 
     fn store(&self) -> SlowStore {
         self.0.clone()
     }
 
-    fn vms(&self) -> Nobody {
-        Nobody
+    fn vms(&self) -> UnreachableService {
+        UnreachableService
     }
 
-    fn permits(&self) -> Nobody {
-        Nobody
+    fn permits(&self) -> UnreachableService {
+        UnreachableService
     }
 
-    fn machines(&self) -> Nobody {
-        Nobody
+    fn machines(&self) -> UnreachableService {
+        UnreachableService
     }
 
     fn fleet_prefix(&self) -> &str {
@@ -245,50 +249,50 @@
     }
 }
 
-/// Lists as they were told of.
-type Told = Rc<RefCell<Vec<ToldList>>>;
+/// Fleet updates received by control.
+type FleetUpdates = Rc<RefCell<Vec<FleetUpdate>>>;
 
-/// Claims as they ended, by the daemon's name and whether it became the owner.
+/// Finished claims: the daemon's name, and whether it became the owner.
 type Claims = Rc<RefCell<Vec<(&'static str, bool)>>>;
 
-pub struct ToldList {
+pub struct FleetUpdate {
     pub at: Duration,
-    /// When it was asked for, as was said.
+    /// When the list was requested, as reported.
     pub asked: Option<Duration>,
     pub leaving: Vec<String>,
 }
 
-/// The configuration as it was told of.
+/// Last configuration received by control.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ToldConfig {
+pub struct ConfigUpdate {
     pub version: u64,
-    /// Until when it is said to have been the newest.
+    /// Time up to which it is confirmed as the newest.
     pub confirmed: Duration,
 }
 
-/// Takes control's place.
-struct Listener {
+/// Stands in for control, and records its messages.
+struct FakeControl {
     name: &'static str,
     clock: Arc<dyn Clock>,
-    told: Told,
+    updates: FleetUpdates,
     claims: Claims,
-    config: Rc<Cell<ToldConfig>>,
+    config: Rc<Cell<ConfigUpdate>>,
 }
 
-impl Actor for Listener {
+impl Actor for FakeControl {
     type Context = Context<Self>;
 }
 
-impl Listener {
-    /// Records that tell this listener.
-    fn with_records(self, store: SlowStore) -> Addr<Records<StorePlatform>> {
+impl FakeControl {
+    /// Starts a records actor that reports to this control.
+    fn start_records(self, store: SlowStore) -> Addr<Records<TestPlatform>> {
         let (me, clock) = (member(self.name), self.clock.clone());
-        let (platform, ttl) = (StorePlatform(store), Duration::from_secs(4));
+        let (platform, ttl) = (TestPlatform(store), Duration::from_secs(4));
         Records::new(me, platform, ttl, self.start().recipient(), clock).start()
     }
 }
 
-impl Handler<Stored> for Listener {
+impl Handler<Stored> for FakeControl {
     type Result = ();
 
     fn handle(&mut self, msg: Stored, _: &mut Self::Context) {
@@ -297,10 +301,10 @@
             Stored::ClaimFailed { .. } => self.claims.borrow_mut().push((self.name, false)),
             Stored::Queues(read) => {
                 let version = read.queues.version;
-                self.config.set(ToldConfig { version, ..self.config.get() });
+                self.config.set(ConfigUpdate { version, ..self.config.get() });
             }
             Stored::ConfigConfirmed { at } => {
-                self.config.set(ToldConfig { confirmed: *at, ..self.config.get() });
+                self.config.set(ConfigUpdate { confirmed: *at, ..self.config.get() });
             }
             _ => {}
         }
@@ -311,65 +315,67 @@
         let leaves = |vm: &&VmEntry| matches!(vm.state, VmState::Leaving { .. });
         let leaving = vms.iter().filter(leaves).map(|vm| vm.id.to_string()).collect();
         let at = self.clock.now();
-        self.told.borrow_mut().push(ToldList { at, asked, leaving });
+        self.updates.borrow_mut().push(FleetUpdate { at, asked, leaving });
     }
 }
 
-/// A daemon's records, and what they tell.
-pub struct Seen {
+/// A records actor with its store, and the messages that it sent.
+pub struct Harness {
     pub clock: Arc<dyn Clock>,
     pub table: Arc<Troubled<TxnTable>>,
-    pub records: Addr<Records<StorePlatform>>,
-    pub told: Told,
+    pub records: Addr<Records<TestPlatform>>,
+    pub updates: FleetUpdates,
     pub claims: Claims,
-    pub config: Rc<Cell<ToldConfig>>,
+    pub config: Rc<Cell<ConfigUpdate>>,
     pub store: SlowStore,
-    pub no_plan: Arc<AtomicBool>,
+    pub refuse_plan: Arc<AtomicBool>,
     pub seq: u64,
 }
 
-impl Seen {
-    /// Records of a daemon that owns nothing, and this many VMs.
+impl Harness {
+    /// Starts a daemon that owns nothing, with this many VMs.
     pub fn start(vms: usize) -> Self {
-        Self::start_with(vms, CALL)
+        Self::start_with_latency(vms, LATENCY)
     }
 
-    /// The same on a store that takes this time for a call.
-    pub fn start_with(vms: usize, call: Duration) -> Self {
-        Self::start_over(vms, call, None)
+    /// Same, with this store latency.
+    pub fn start_with_latency(vms: usize, latency: Duration) -> Self {
+        Self::start_with_link(vms, latency, None)
     }
 
-    /// The same over a link that carries so many bytes a second.
-    pub fn start_over(vms: usize, call: Duration, link: Option<u32>) -> Self {
+    /// Same, with limited bandwidth in bytes per second.
+    pub fn start_with_link(vms: usize, latency: Duration, bytes_per_second: Option<u32>) -> Self {
         tokio::time::pause();
         let clock: Arc<dyn Clock> = Arc::new(VirtualClock { start: Instant::now() });
         let table = Arc::new(Troubled::new(TxnTable::new()));
-        let no_plan: Arc<AtomicBool> = Arc::default();
+        let refuse_plan: Arc<AtomicBool> = Arc::default();
         let store = FakeStore { table: table.clone(), clock: clock.clone() };
-        let store = SlowStore { store, call, link, no_plan: no_plan.clone() };
-        let (told, claims): (Told, Claims) = Default::default();
-        let config: Rc<Cell<ToldConfig>> = Rc::default();
-        let listener = Listener {
+        let store =
+            SlowStore { store, latency, bytes_per_second, refuse_plan: refuse_plan.clone() };
+        let (updates, claims): (FleetUpdates, Claims) = Default::default();
+        let config: Rc<Cell<ConfigUpdate>> = Rc::default();
+        let control = FakeControl {
             name: "one",
             clock: clock.clone(),
-            told: told.clone(),
+            updates: updates.clone(),
             claims: claims.clone(),
             config: config.clone(),
         };
-        let records = listener.with_records(store.clone());
-        let mut seen = Self { clock, table, records, told, claims, config, store, no_plan, seq: 0 };
-        (0..vms).for_each(|number| seen.announce(number, "ready"));
-        seen
+        let records = control.start_records(store.clone());
+        let mut harness =
+            Self { clock, table, records, updates, claims, config, store, refuse_plan, seq: 0 };
+        (0..vms).for_each(|number| harness.announce(number, "ready"));
+        harness
     }
 
-    /// Writes a version of the configuration of so many bytes.
+    /// Writes a version of the configuration of this many bytes.
     pub fn configure(&self, version: u64, bytes: usize) {
         let mut text = version.to_string();
         text.extend(std::iter::repeat_n(' ', bytes.saturating_sub(text.len())));
         self.write_config(text);
     }
 
-    /// Writes a configuration that no daemon can read.
+    /// Writes a configuration that can't be decoded.
     pub fn configure_unreadable(&self) {
         self.write_config("no version".to_owned());
     }
@@ -378,7 +384,7 @@
         let value = Bytes::from(text);
         let put = Put { key: "op/config".to_owned(), value, lease: None };
         let txn = Txn { puts: vec![put], ..Txn::default() };
-        self.table.table().commit(&txn).expect("the table takes it");
+        self.table.table().commit(&txn).expect("the commit succeeds");
     }
 
     pub fn announce(&mut self, number: usize, state: &str) {
@@ -389,19 +395,19 @@
             lease: None,
         };
         let txn = Txn { puts: vec![put], ..Txn::default() };
-        self.table.table().commit(&txn).expect("the table takes it");
+        self.table.table().commit(&txn).expect("the commit succeeds");
     }
 
-    /// Records of another daemon.
-    pub fn join(&self, name: &'static str) -> Addr<Records<StorePlatform>> {
+    /// Starts the records actor of another daemon.
+    pub fn start_other(&self, name: &'static str) -> Addr<Records<TestPlatform>> {
         let (clock, claims) = (self.clock.clone(), self.claims.clone());
-        let (told, config) = Default::default();
-        let listener = Listener { name, clock, told, claims, config };
-        listener.with_records(self.store.clone())
+        let (updates, config) = Default::default();
+        let control = FakeControl { name, clock, updates, claims, config };
+        control.start_records(self.store.clone())
     }
 
-    /// Lets time pass in which each of `vms` VMs announces itself every 1.5 s.
-    pub async fn run(&mut self, vms: usize, time: Duration) {
+    /// Advances time while each of `vms` VMs announces itself every 1.5 s.
+    pub async fn advance(&mut self, vms: usize, time: Duration) {
         let gap = Duration::from_millis(1500) / u32::try_from(vms).expect("a few hundred VMs");
         let until = self.clock.now() + time;
         let mut next = 0;
@@ -413,28 +419,28 @@
     }
 
     pub async fn claim(&self, shard: &str) {
-        let claim = claim_of(shard);
-        self.records.send(claim).await.expect("the duty runs");
+        let claim = unowned_claim(shard);
+        self.records.send(claim).await.expect("the actor is running");
     }
 
-    /// Whether the last list that was told of names the VM as leaving.
-    pub fn knows_leaving(&self, number: usize) -> bool {
-        let told = self.told.borrow();
-        told.last().is_some_and(|list| list.leaving.contains(&vm_key(number)))
+    /// Whether the last update lists the VM as leaving.
+    pub fn reports_leaving(&self, number: usize) -> bool {
+        let updates = self.updates.borrow();
+        updates.last().is_some_and(|list| list.leaving.contains(&vm_key(number)))
     }
 
-    /// Longest time for which a list was the newest that was told of, from when it was asked for.
-    pub fn oldest_list(&self) -> Duration {
-        let told = self.told.borrow();
-        let ages = told
+    /// Maximum age of a list when it was superseded, counted from its request.
+    pub fn max_list_age(&self) -> Duration {
+        let updates = self.updates.borrow();
+        let ages = updates
             .windows(2)
             .map(|lists| lists[1].at.saturating_sub(lists[0].asked.unwrap_or_default()));
         ages.max().unwrap_or_default()
     }
 
-    /// Time of the last list.
-    pub fn last_told(&self) -> Duration {
-        self.told.borrow().last().map_or(Duration::ZERO, |list| list.at)
+    /// Time of the last update.
+    pub fn last_update_at(&self) -> Duration {
+        self.updates.borrow().last().map_or(Duration::ZERO, |list| list.at)
     }
 }
 
@@ -442,8 +448,8 @@
     format!("vm/{number:04}")
 }
 
-/// A claim of a shard that is known to have had no owner.
-pub fn claim_of(shard: &str) -> Claim {
+/// A claim of a shard that is known to have no owner.
+pub fn unowned_claim(shard: &str) -> Claim {
     let (previous, replaces) = (Previous::Ended, Replaced::default());
     Claim { shard: shard.to_owned(), previous, replaces }
 }
--- a/tests/followers/main.rs
+++ b/tests/followers/main.rs
@@ -1,5 +1,5 @@
-//! What the duty of records tells control of what it follows in the store.
+//! Tests of the store followers: what the records actor reports to control.
 
 mod fleet;
+mod harness;
 mod operators;
-mod world;
--- a/tests/followers/operators.rs
+++ b/tests/followers/operators.rs
@@ -1,69 +1,76 @@
-//! What control is told of the configuration, over links that are slow for its size.
+//! Configuration updates sent to control, over links that are slow for the size of the
+//! configuration.
 
-use crate::world::{CALL, Seen};
+use crate::harness::{Harness, LATENCY};
 use std::time::Duration;
 
-/// 10 Mbit/s, in bytes a second.
-const LINK: u32 = 1_250_000;
+/// 10 Mbit/s.
+const BYTES_PER_SECOND: u32 = 1_250_000;
 
-/// 4,200 queues; a second for each version.
-const LARGE: usize = 920_000;
+/// Size of a configuration with 4,200 queues; its transfer takes about a second.
+const CONFIG_BYTES: usize = 920_000;
 
-/// Time for a version to come in over the link.
-const ONE_VERSION: Duration = Duration::from_millis(982);
+/// Time to transfer one version.
+const TRANSFER_TIME: Duration = Duration::from_millis(982);
 
-/// Between two versions.
-const GAP: Duration = Duration::from_millis(330);
+/// Interval between two versions.
+const WRITE_INTERVAL: Duration = Duration::from_millis(330);
 
-/// Two readings: a version may be written as one has just begun.
-const MOST_BEHIND: Duration = Duration::from_millis(2 * 982 + 150);
+/// Two reads: a version may be written when a read has just begun.
+const MAX_LAG: Duration = Duration::from_millis(2 * 982 + 150);
 
-// Guards against a daemon that reads each of many versions in turn and falls ever further behind the newest.
+// Guards against a daemon that reads each of many versions in turn and falls further and further
+// behind the newest.
 #[actix_rt::test]
-async fn versions_that_follow_each_other_closely_are_in_force_in_time() {
-    let seen = Seen::start_over(0, CALL, Some(LINK));
-    seen.configure(1, LARGE);
-    tokio::time::sleep(2 * ONE_VERSION).await;
+async fn versions_in_rapid_succession_are_in_force_in_time() {
+    let harness = Harness::start_with_link(0, LATENCY, Some(BYTES_PER_SECOND));
+    harness.configure(1, CONFIG_BYTES);
+    tokio::time::sleep(2 * TRANSFER_TIME).await;
     for version in 2..60 {
-        seen.configure(version, LARGE);
-        tokio::time::sleep(GAP).await;
-        let behind = GAP * u32::try_from(version - seen.config.get().version).expect("a few");
-        assert!(behind <= MOST_BEHIND + GAP, "version {version}, {behind:?} behind");
+        harness.configure(version, CONFIG_BYTES);
+        tokio::time::sleep(WRITE_INTERVAL).await;
+        let lag =
+            WRITE_INTERVAL * u32::try_from(version - harness.config.get().version).expect("a few");
+        assert!(lag <= MAX_LAG + WRITE_INTERVAL, "version {version}, {lag:?} behind");
     }
-    tokio::time::sleep(MOST_BEHIND).await;
-    assert_eq!(seen.config.get().version, 59);
+    tokio::time::sleep(MAX_LAG).await;
+    assert_eq!(harness.config.get().version, 59);
 }
 
-// Guards against a version that counts as confirmed for the time in which it came in, though newer ones were written.
+// Guards against a version that counts as confirmed for the time of its transfer, although newer
+// ones were written.
 #[actix_rt::test]
-async fn a_version_is_confirmed_for_the_time_of_asking_only() {
-    let seen = Seen::start_over(0, CALL, Some(LINK));
-    seen.configure(1, LARGE);
+async fn a_version_is_confirmed_only_up_to_the_request() {
+    let harness = Harness::start_with_link(0, LATENCY, Some(BYTES_PER_SECOND));
+    harness.configure(1, CONFIG_BYTES);
     let mut newest_written = Duration::ZERO;
     for version in 2..12 {
-        tokio::time::sleep(GAP).await;
-        newest_written = seen.clock.now();
-        seen.configure(version, LARGE);
-        let told = seen.config.get();
-        assert!(told.version + 1 == version || told.confirmed <= newest_written, "{told:?}");
+        tokio::time::sleep(WRITE_INTERVAL).await;
+        newest_written = harness.clock.now();
+        harness.configure(version, CONFIG_BYTES);
+        let update = harness.config.get();
+        assert!(update.version + 1 == version || update.confirmed <= newest_written, "{update:?}");
     }
-    tokio::time::sleep(MOST_BEHIND).await;
-    assert!(seen.config.get().confirmed > newest_written, "nothing is written any more");
+    tokio::time::sleep(MAX_LAG).await;
+    assert!(
+        harness.config.get().confirmed > newest_written,
+        "the newest version is not confirmed after the last write"
+    );
 }
 
-// Guards against an unreadable configuration that leaves the one before it confirmed.
+// Guards against an unreadable configuration that leaves the previous one confirmed.
 #[actix_rt::test]
-async fn a_configuration_that_cannot_be_read_confirms_nothing() {
-    let seen = Seen::start(0);
-    seen.configure(1, 1);
+async fn an_unreadable_configuration_is_not_confirmed() {
+    let harness = Harness::start(0);
+    harness.configure(1, 1);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let before = seen.config.get();
+    let before = harness.config.get();
     assert_eq!(before.version, 1);
-    seen.configure_unreadable();
+    harness.configure_unreadable();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let after = seen.config.get();
+    let after = harness.config.get();
     assert!(after.version == 1 && after.confirmed <= before.confirmed + Duration::from_secs(1));
-    seen.configure(3, 1);
+    harness.configure(3, 1);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(seen.config.get().version, 3);
+    assert_eq!(harness.config.get().version, 3);
 }
