--- a/src/shard/settings.rs
+++ b/src/shard/settings.rs
@@ -1,32 +1,33 @@
-//! Figures that a shard decides with.
+//! Parameters of a shard's decisions.
 //!
-//! What the platform fixes comes from the daemon's settings; the rest are constants here, each
-//! with its ground.
+//! Values defined by the platform come from the daemon's settings. The others are constants, each
+//! with its rationale.
 
 use std::time::Duration;
 
-/// Figures of the platform.
+/// Parameters of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Longest time that a VM lets its work run on without another look.
+    /// Longest time for which a VM keeps its tasks running without another poll.
     pub max_keep: Duration,
     /// Longest time that a VM takes to stop a run.
     pub stop_timeout: Duration,
-    /// Time after which members of a group that lack others give up.
+    /// Time after which members of a group give up waiting for missing members.
     pub group_timeout: Duration,
-    /// How many times as long a task takes away from its data.
+    /// Slowdown factor of a task that runs away from its data.
     pub remote_factor: f64,
-    /// Work between two checkpoints.
+    /// Amount of work between two checkpoints.
     pub checkpoint_every: Duration,
-    /// Time that resuming from a checkpoint takes.
+    /// Time needed to resume from a checkpoint.
     pub restore: Duration,
-    /// How long a finished job's state is shown.
+    /// How long a finished job's state remains visible.
     pub show_for: Duration,
-    /// How long a task of a step with a disturbance budget counts as away, until it is at work.
+    /// How long a task of a step with a disruption budget counts as unavailable before it is
+    /// running again.
     pub notice: Duration,
-    /// Time over its tail target after which a task that serves counts as harmed.
+    /// Time over the tail target after which a serving task counts as harmed.
     pub harm: Duration,
-    /// Time from a pace order to its effect.
+    /// Delay between a pace order and its effect.
     pub pace_delay: Duration,
 }
 
@@ -47,47 +48,48 @@
     }
 }
 
-/// Least time between two commits. A commit takes 4 to 6 ms; waiting 20 ms gathers about half a
-/// dozen changes at 130 starts a second on three shards, and costs a start 10 ms on average.
+/// Minimum time between two commits. A commit takes 4 to 6 ms. Waiting 20 ms batches about half a
+/// dozen changes at 130 starts per second on three shards, and delays a start by 10 ms on average.
 pub const COMMIT_GAP: Duration = Duration::from_millis(20);
 
-/// Age of an unanswered commit from which on new jobs are refused: the store is away, and callers
-/// are better served elsewhere or later than by waiting.
+/// Age of an unanswered commit after which new jobs are rejected: the store is unavailable, and
+/// callers are better off going elsewhere or retrying later than waiting.
 pub const STALLED_COMMIT: Duration = Duration::from_millis(600);
 
-/// How long a look may wait for an end on a VM where something runs. Gauges cover half a second,
-/// so that looking less often than twice a second would miss some.
+/// How long a poll may wait for a run to end on a VM with running tasks. Gauges cover half a
+/// second, so polling less than twice per second would miss some.
 pub const BUSY_LOOK: Duration = Duration::from_millis(400);
 
-/// The same on an idle VM; also how soon a silent VM is noticed.
+/// How long a poll may wait on an idle VM; also determines how soon an unresponsive VM is noticed.
 pub const IDLE_LOOK: Duration = Duration::from_millis(800);
 
-/// Pause after a failed look; several fit into the second that it takes to count as silent.
+/// Delay after a failed poll; several fit into the second after which a VM counts as silent.
 pub const LOOK_RETRY: Duration = Duration::from_millis(150);
 
-/// Pause before looking again while ends wait to be durable: the VM would repeat them at once.
+/// Delay before the next poll while ended runs aren't durable yet, since the VM would repeat them
+/// immediately.
 pub const UNFORGOTTEN_LOOK: Duration = Duration::from_millis(300);
 
-/// Time without an answer after which a VM is silent: nothing is placed there, and its work is no
-/// longer extended, so that the time of its surely having ended doesn't move on.
+/// Time without a response after which a VM counts as silent. Nothing is placed on it and its tasks
+/// are no longer extended, so that the time by which they must have ended stays fixed.
 pub const SILENT_AFTER: Duration = Duration::from_millis(1200);
 
-/// How much slower a VM's clock may run.
+/// Maximum relative error by which a VM's clock may run slow.
 pub const CLOCK_DRIFT: f64 = 0.02;
 
-/// Added to the time at which a silent VM's work has surely ended, for the time that the order
-/// itself took to get there.
+/// Margin added to the time by which a silent VM's tasks must have ended, for the delivery time of
+/// the last extension.
 pub const LAPSE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Time that an owner which lost the shard without knowing it may still extend work: the longest
-/// outage of the store that work survives.
+/// How long an owner that has unknowingly lost the shard may continue to extend tasks; equals the
+/// longest store outage that running tasks survive.
 pub const BLIND_EXTENSION: Duration = Duration::from_secs(12);
 
-/// Pause before an unanswered start is sent again.
+/// Delay before an unanswered start order is sent again.
 pub const START_RETRY: Duration = Duration::from_millis(60);
 
-/// Sends of one start before the VM is given up for it.
+/// Maximum number of times a start order is sent before another VM is tried.
 pub const START_TRIES: u32 = 4;
 
-/// Pause before an unanswered stop is sent again.
+/// Delay before an unanswered stop order is sent again.
 pub const STOP_RETRY: Duration = Duration::from_millis(120);
