--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -1,9 +1,10 @@
-//! Which job goes first.
+//! Order in which jobs are scheduled.
 //!
-//! By priority; then lasting tasks before others; then jobs that can still be in time before those
-//! that can't, and the latter before those that are of no use any more. In a burst this keeps most
-//! jobs in time and makes a few late, where the order of arrival, or of least time left, makes
-//! nearly all of them late. Within each group the shortest goes first.
+//! Jobs are ordered by priority. Within a priority, jobs with lasting tasks come first, then jobs
+//! that can still be in time, then late ones, then those whose results are no longer useful. In a
+//! burst this keeps most jobs in time at the expense of a few, whereas ordering by arrival or by
+//! least remaining time makes nearly all of them late. Within each group, the shortest job comes
+//! first.
 
 use super::Shard;
 use super::job_run::{JobRun, Occurrence};
@@ -13,39 +14,39 @@
 /// A job with tasks that can start.
 pub(super) struct Candidate {
     pub id: JobId,
-    /// Its tasks that can start.
+    /// The tasks that can start.
     pub tasks: Vec<TaskRef>,
     priority: u32,
     life: Urgency,
-    prospect: Prospect,
-    /// Orders those of one prospect, the lowest first.
+    timeliness: Timeliness,
+    /// Order among jobs of the same timeliness, lowest first.
     rank: f64,
 }
 
-/// Which tasks go first within a priority.
+/// Order of jobs within a priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Lasting tasks: each moment of one that isn't at work is lost, and they are few.
+    /// Lasting tasks come first: they are few, and any time without one running is lost.
     Lasting,
     Finite,
 }
 
-/// What can still become of a job.
+/// Whether a job can still be finished in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Prospect {
-    /// It can be done within its aim.
+enum Timeliness {
+    /// The job can finish within its aim.
     InTime,
-    /// It will be late, and is still of use.
+    /// The job will be late but still useful.
     Late,
-    /// It is past the time in which it was of use; it is done all the same.
+    /// The result will come too late to be useful; the job is run nevertheless.
     Overdue,
 }
 
-/// Times its aim after which a finished job is of no use to its caller any more.
-const OF_USE: f64 = 3.0;
+/// Multiple of its aim after which a finished job is no longer useful to its caller.
+const USEFUL_AIM_FACTOR: f64 = 3.0;
 
 impl Shard {
-    /// Jobs with tasks that can start, the most urgent first.
+    /// Returns the jobs with tasks that can start, most urgent first.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
         let open = self.jobs.values().filter(|job| !job.is_final());
         let mut candidates: Vec<Candidate> =
@@ -54,7 +55,7 @@
             a.priority
                 .cmp(&b.priority)
                 .then(a.life.cmp(&b.life))
-                .then(a.prospect.cmp(&b.prospect))
+                .then(a.timeliness.cmp(&b.timeliness))
                 .then(a.rank.total_cmp(&b.rank))
                 .then(a.id.cmp(&b.id))
         });
@@ -65,36 +66,36 @@
         if tasks.is_empty() {
             return None;
         }
-        let (prospect, rank) = self.prospect(job);
+        let (timeliness, rank) = self.timeliness(job);
         Some(Candidate {
             id: job.id(),
             tasks,
             priority: self.queue(job).map_or(u32::MAX, |queue| queue.priority),
             life: urgency(job),
-            prospect,
+            timeliness,
             rank,
         })
     }
 
-    fn prospect(&self, job: &JobRun) -> (Prospect, f64) {
+    fn timeliness(&self, job: &JobRun) -> (Timeliness, f64) {
         let spent = self.now.steady.saturating_sub(job.since).as_secs_f64();
         let aim = self.aim(job).as_secs_f64();
-        let left = chain_left(job).as_secs_f64();
+        let left = remaining_critical_path(job).as_secs_f64();
         let slack = aim - spent - left;
         if slack >= 0.0 {
-            (Prospect::InTime, left)
-        } else if OF_USE * aim - spent - left >= 0.0 {
-            (Prospect::Late, left)
+            (Timeliness::InTime, left)
+        } else if USEFUL_AIM_FACTOR * aim - spent - left >= 0.0 {
+            (Timeliness::Late, left)
         } else {
-            (Prospect::Overdue, spent)
+            (Timeliness::Overdue, spent)
         }
     }
 
-    /// Time from a job's acceptance by which it should be done.
+    /// Returns the time after a job's acceptance by which it should be finished.
     pub(super) fn aim(&self, job: &JobRun) -> Duration {
         let (stretch, latency) =
             self.queue(job).map_or((2.0, Duration::ZERO), |q| (q.stretch, q.latency));
-        chain(job).mul_f64(stretch.max(0.0)) + latency
+        critical_path(job).mul_f64(stretch.max(0.0)) + latency
     }
 }
 
@@ -103,7 +104,7 @@
     if lasting { Urgency::Lasting } else { Urgency::Finite }
 }
 
-/// Tasks that can start.
+/// Returns the tasks that can start.
 pub(super) fn waiting(job: &JobRun) -> Vec<TaskRef> {
     let mut waiting = Vec::new();
     for occurrence in &job.open {
@@ -121,8 +122,8 @@
     waiting
 }
 
-/// The longest chain of a job's estimates.
-pub(super) fn chain(job: &JobRun) -> Duration {
+/// Returns the length of the critical path of a job's estimates.
+pub(super) fn critical_path(job: &JobRun) -> Duration {
     let mut until: Vec<Duration> = Vec::with_capacity(job.job.steps.len());
     for step in &job.job.steps {
         let before = step.after.iter().filter_map(|after| until.get(usize::from(*after)).copied());
@@ -132,8 +133,8 @@
     until.into_iter().max().unwrap_or_default()
 }
 
-/// The longest chain of what is left of a job's estimates.
-fn chain_left(job: &JobRun) -> Duration {
+/// Returns the length of the critical path of the steps that haven't succeeded yet.
+fn remaining_critical_path(job: &JobRun) -> Duration {
     let left = |occurrence: &Occurrence| {
         let mut until: Vec<Duration> = Vec::with_capacity(job.job.steps.len());
         for (step, run) in job.job.steps.iter().zip(&occurrence.steps) {
--- a/src/shard/waiting.rs
+++ b/src/shard/waiting.rs
@@ -1,4 +1,5 @@
-//! What the log tells of tasks that wait for room: whether there is some here, elsewhere, or nowhere.
+//! Log reports of tasks that wait for room, and whether there is room in this shard, elsewhere or
+//! nowhere.
 
 use super::Shard;
 use super::order::waiting;
@@ -9,7 +10,7 @@
 use crate::units::Resources;
 use std::time::Duration;
 
-/// Tasks of one kind that wait, and where a VM has room for them.
+/// Waiting tasks of one kind, with the number that fit somewhere.
 #[derive(Default)]
 struct Tally {
     tasks: usize,
@@ -17,13 +18,13 @@
     fit_here: usize,
     fit_elsewhere: usize,
     fit_later: usize,
-    least_wanted: Option<u32>,
+    min_milli_cores: Option<u32>,
     least_mib: Option<u32>,
-    most_wanted: u32,
+    max_milli_cores: u32,
 }
 
 impl Shard {
-    /// Notes the lasting tasks that wait for room.
+    /// Logs the lasting tasks that wait for room.
     pub(super) fn report_waiting(&mut self) {
         let rooms: Vec<Room> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
         let tally = self.tally_lasting(&rooms);
@@ -43,8 +44,8 @@
             fit_here: tally.fit_here,
             fit_elsewhere: tally.fit_elsewhere,
             fit_later: tally.fit_later,
-            least_milli_cores: tally.least_wanted.unwrap_or(0),
-            most_milli_cores: tally.most_wanted,
+            least_milli_cores: tally.min_milli_cores.unwrap_or(0),
+            most_milli_cores: tally.max_milli_cores,
             least_mib: tally.least_mib.unwrap_or(0),
             largest_free_milli_cores: free.milli_cores.0,
             largest_free_mib: free.memory_mib.0,
@@ -61,14 +62,14 @@
                 let Some(step) = job.step(task) else { continue };
                 if step.life == Life::Lasting && step.share == Share::Reserved {
                     let since = job.task(task).and_then(|task| task.away_since);
-                    self.count(task, step, since, rooms, &mut tally);
+                    self.add_to_tally(task, step, since, rooms, &mut tally);
                 }
             }
         }
         tally
     }
 
-    fn count(
+    fn add_to_tally(
         &self,
         task: TaskRef,
         step: &Step,
@@ -79,11 +80,11 @@
         let waited = since.map_or(Duration::ZERO, |at| self.now.steady.saturating_sub(at));
         tally.tasks += 1;
         tally.oldest = tally.oldest.max(waited);
-        let least = tally.least_wanted.unwrap_or(u32::MAX);
-        tally.least_wanted = Some(least.min(step.size.milli_cores.0));
+        let least = tally.min_milli_cores.unwrap_or(u32::MAX);
+        tally.min_milli_cores = Some(least.min(step.size.milli_cores.0));
         let least = tally.least_mib.unwrap_or(u32::MAX);
         tally.least_mib = Some(least.min(step.size.memory_mib.0));
-        tally.most_wanted = tally.most_wanted.max(step.size.milli_cores.0);
+        tally.max_milli_cores = tally.max_milli_cores.max(step.size.milli_cores.0);
         let here = |room: &Room| {
             !room.is_kept && room.takes(step, task.of_step()) && self.has_label(&room.vm, step)
         };
@@ -99,7 +100,7 @@
     }
 }
 
-/// What leftover work takes on a VM.
+/// Returns the resources reserved by leftover work on a VM.
 fn leftover_on(vm: &Vm) -> Resources {
     let runs = vm.runs.values().filter(|run| run.share == Share::Leftover);
     runs.fold(Resources::ZERO, |sum, run| sum.saturating_add(&run.reserved))
