--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -1,8 +1,9 @@
-//! Moving leftover work away from where it is slowed down for long.
+//! Moves leftover work off VMs where it has been slowed down for long.
 //!
-//! A VM whose serving tasks' load rises has no harmless speed left for some of the work beside them,
-//! which then stands there for seconds, while it would do no harm on other VMs. Work that can be
-//! resumed is stopped and placed again, if there is such a VM and enough is left to be done.
+//! When the load of a VM's serving tasks rises, some of the leftover work next to them can't run at
+//! any speed without harm. It would stand still for seconds although other VMs have room for it.
+//! Work that can be resumed is stopped and placed again, if such a VM exists and enough work
+//! remains.
 
 #[cfg(test)]
 mod tests;
@@ -15,20 +16,21 @@
 use crate::job::{Life, Resume, Share, Step};
 use std::time::Duration;
 
-/// Pace up to which a run counts as slowed down, of 100.
+/// Pace in percent at or below which a run counts as slowed down.
 pub const SLOW_PACE: u8 = 40;
 
-/// Time after which a slowed run is moved; a shorter dip is over before the run is elsewhere.
-const SLOWED_FOR: Duration = Duration::from_millis(900);
+/// Time after which a slowed run is moved; a shorter slowdown ends before the run has restarted
+/// elsewhere.
+const MOVE_AFTER: Duration = Duration::from_millis(900);
 
-/// Least work that must be left: stopping, binding and restoring take about 1 s.
-const WORTH_MOVING: Duration = Duration::from_millis(1200);
+/// Minimum remaining work of a moved run, since stopping, binding and restoring take about 1 s.
+const MIN_REMAINING_WORK: Duration = Duration::from_millis(1200);
 
-/// Runs that are moved in one pass; more would crowd the same VMs.
+/// Maximum number of runs moved in one pass; moving more would overload the same target VMs.
 const MAX_MOVED: usize = 3;
 
 impl Shard {
-    /// Stops slowed runs that have a better place.
+    /// Stops slowed runs for which a better VM is available.
     pub(super) fn move_slowed(&mut self, slowed: Vec<(VmId, RunKey)>, pass: &mut Pass) {
         let mut moved = 0;
         for (vm, key) in slowed {
@@ -51,18 +53,18 @@
             let Some(room) = pass.rooms.iter_mut().find(is_better) else { continue };
             room.take(&step, image, key.task.of_step(), &self.effects);
             moved += 1;
-            self.stop_run(&vm, key, "it is slowed down, and wouldn't be elsewhere");
+            self.stop_run(&vm, key, "run is slowed down; another VM can run it faster");
         }
     }
 
-    /// Runs that stand or are slow for long, and can be resumed elsewhere.
+    /// Returns the runs that have been stopped or slow for long and can be resumed elsewhere.
     pub(super) fn slowed(&self) -> Vec<(VmId, RunKey)> {
         let now = self.now.steady;
         let mut slowed = Vec::new();
         for vm in self.vms.values().filter(|vm| vm.is_heard(now)) {
             for (key, run) in &vm.runs {
                 let step = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task));
-                if step.is_some_and(|step| may_move(step, run, now)) {
+                if step.is_some_and(|step| can_move(step, run, now)) {
                     slowed.push((vm.id.clone(), *key));
                 }
             }
@@ -71,13 +73,13 @@
     }
 }
 
-fn may_move(step: &Step, run: &Run, now: Duration) -> bool {
-    let long = run.slowed.is_some_and(|since| now.saturating_sub(since) >= SLOWED_FOR);
+fn can_move(step: &Step, run: &Run, now: Duration) -> bool {
+    let long = run.slowed.is_some_and(|since| now.saturating_sub(since) >= MOVE_AFTER);
     let left = step.estimate.mul_f64(f64::from(100 - run.percent.min(100)) / 100.0);
     long && run.is_running()
         && step.share == Share::Leftover
         && step.life == Life::Finite
         && step.resume == Resume::FromCheckpoint
         && !step.members.as_one()
-        && left >= WORTH_MOVING
+        && left >= MIN_REMAINING_WORK
 }
--- a/src/shard/moving/tests.rs
+++ b/src/shard/moving/tests.rs
@@ -1,4 +1,4 @@
-use super::{SLOWED_FOR, may_move};
+use super::{MOVE_AFTER, can_move};
 use crate::job::{Resume, Share, Step};
 use crate::shard::vm_run::{Run, Stage};
 use crate::units::Resources;
@@ -22,14 +22,15 @@
     run
 }
 
-// A run has stood for a second with most of its work before it, and can be resumed: it may move. One
-// that is nearly done, that stands only since a moment ago, or that would begin again, stays.
+// A resumable run that has been slowed down for long, with most of its work remaining, may move.
+// One that is nearly done, that was slowed down only a moment ago or that would restart from the
+// beginning must stay.
 #[test]
-fn only_long_and_resumable_work_moves() {
+fn only_long_slowed_resumable_runs_move() {
     let step = leftover();
-    assert!(may_move(&step, &run(SLOWED_FOR, 20), NOW));
-    assert!(!may_move(&step, &run(SLOWED_FOR, 70), NOW), "little is left");
-    assert!(!may_move(&step, &run(SLOWED_FOR / 2, 20), NOW), "it may be over in a moment");
+    assert!(can_move(&step, &run(MOVE_AFTER, 20), NOW));
+    assert!(!can_move(&step, &run(MOVE_AFTER, 70), NOW), "little is left");
+    assert!(!can_move(&step, &run(MOVE_AFTER / 2, 20), NOW), "it may be over in a moment");
     let from_start = Step { resume: Resume::FromStart, ..leftover() };
-    assert!(!may_move(&from_start, &run(SLOWED_FOR, 20), NOW), "its work would be lost");
+    assert!(!can_move(&from_start, &run(MOVE_AFTER, 20), NOW), "its work would be lost");
 }
