--- a/src/shard/health.rs
+++ b/src/shard/health.rs
@@ -1,113 +1,114 @@
-//! Which VMs are sick, by what became of the work there.
+//! Detection of faulty VMs from the results of their runs.
 //!
-//! A VM that fails whatever it starts still announces itself as well, and takes work faster than
-//! any other since nothing stays on it. Results tell: when a VM fails several tasks within
-//! seconds and ends few well, it gets no work for a while, and then one task at a time until one
-//! ends well. A task that fails by its own fault fails elsewhere too, so that blame is taken back
-//! from a VM when the task fails on another one.
+//! A VM on which every task fails still announces itself as healthy, and since its runs end quickly
+//! it attracts more work than any other. The results reveal it: a VM on which several tasks fail
+//! within seconds and few succeed gets no work for a while, and then one task at a time until one
+//! succeeds. A task that is itself at fault also fails on other VMs, so its failure on one VM is
+//! disregarded once it has failed on another.
 
 use crate::job::TaskRef;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Results that are weighed; older ones say nothing of the present.
+/// Period in which results are counted; older results say nothing about the VM's current state.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Failures in the window that make a VM suspect. With the highest share of faulty runs seen in
-/// the users' sheets (0.03), two among a VM's dozen runs in five seconds happen to one VM in
-/// twenty; the rule below asks for a share as well.
-const MIN_FAILED: usize = 2;
+/// Failures within the window that make a VM unreliable. At the highest share of faulty runs in the
+/// users' sheets (0.03), one VM in twenty has two among its dozen runs in five seconds, so the rule
+/// also requires a share of failures.
+const MIN_FAILURES: usize = 2;
 
-/// First pause of a sick VM. Troubles last for 4 to 7 s.
-const FIRST_REST: Duration = Duration::from_millis(1500);
+/// First quarantine of a faulty VM. Faults last 4 to 7 s.
+const INITIAL_QUARANTINE: Duration = Duration::from_millis(1500);
 
-/// Longest pause.
-const MAX_REST: Duration = Duration::from_secs(6);
+/// Longest quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(6);
 
-/// What is known of a VM's health.
+/// Recent results and quarantine state of a VM.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    results: VecDeque<Outcome>,
+    results: VecDeque<TaskResult>,
     state: State,
-    rests: u32,
+    quarantines: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Outcome {
+struct TaskResult {
     at: Duration,
     task: TaskRef,
-    well: bool,
+    succeeded: bool,
 }
 
 /// Whether a VM gets work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
     #[default]
-    Well,
-    /// No work until then.
-    Resting { until: Duration },
-    /// One task at a time, until one ends well.
-    Trial,
+    Healthy,
+    /// Gets no work until then.
+    Quarantined { until: Duration },
+    /// Gets one task at a time until one succeeds.
+    Probation,
 }
 
 impl Health {
-    /// The state now.
+    /// Returns the current state.
     pub fn state(&self, now: Duration) -> State {
         match self.state {
-            State::Resting { until } if now >= until => State::Trial,
+            State::Quarantined { until } if now >= until => State::Probation,
             state => state,
         }
     }
 
-    /// A run there ended well.
+    /// Records a successful run.
     pub fn succeeded(&mut self, task: TaskRef, now: Duration) {
-        self.push(Outcome { at: now, task, well: true });
-        if self.state(now) == State::Trial {
-            self.state = State::Well;
-            self.rests = 0;
+        self.push(TaskResult { at: now, task, succeeded: true });
+        if self.state(now) == State::Probation {
+            self.state = State::Healthy;
+            self.quarantines = 0;
             self.results.clear();
         }
     }
 
-    /// A run or a start failed there; true if the VM is held for sick from now on.
+    /// Records a failed run or start, and returns whether it puts the VM into quarantine.
     pub fn failed(&mut self, task: TaskRef, now: Duration) -> bool {
-        self.push(Outcome { at: now, task, well: false });
+        self.push(TaskResult { at: now, task, succeeded: false });
         match self.state(now) {
-            State::Resting { .. } => false,
-            State::Trial => self.rest(now),
-            State::Well => self.is_suspect(now) && self.rest(now),
+            State::Quarantined { .. } => false,
+            State::Probation => self.quarantine(now),
+            State::Healthy => self.is_unreliable(now) && self.quarantine(now),
         }
     }
 
-    /// The same task failed on another VM as well: it is to blame, and not this one.
+    /// Disregards the failure of a task that failed on another VM as well, since the task is at
+    /// fault and not this VM.
     pub fn excuse(&mut self, task: TaskRef) {
-        self.results.retain(|r| r.well || r.task != task);
+        self.results.retain(|r| r.succeeded || r.task != task);
     }
 
-    /// Failed results in the window, and all results.
+    /// Returns the number of failed results and of all results within the window.
     pub fn recent(&self, now: Duration) -> (usize, usize) {
-        let in_window = |r: &&Outcome| now.saturating_sub(r.at) < WINDOW;
+        let in_window = |r: &&TaskResult| now.saturating_sub(r.at) < WINDOW;
         let all = self.results.iter().filter(in_window).count();
-        let failed = self.results.iter().filter(in_window).filter(|r| !r.well).count();
+        let failed = self.results.iter().filter(in_window).filter(|r| !r.succeeded).count();
         (failed, all)
     }
 
-    fn push(&mut self, outcome: Outcome) {
-        self.results.push_back(outcome);
-        while self.results.front().is_some_and(|r| outcome.at.saturating_sub(r.at) >= WINDOW) {
+    fn push(&mut self, result: TaskResult) {
+        self.results.push_back(result);
+        while self.results.front().is_some_and(|r| result.at.saturating_sub(r.at) >= WINDOW) {
             self.results.pop_front();
         }
     }
 
-    fn is_suspect(&self, now: Duration) -> bool {
+    fn is_unreliable(&self, now: Duration) -> bool {
         let (failed, all) = self.recent(now);
-        failed >= MIN_FAILED && 2 * failed >= all
+        failed >= MIN_FAILURES && 2 * failed >= all
     }
 
-    fn rest(&mut self, now: Duration) -> bool {
-        let rest = (FIRST_REST * (1 << self.rests.min(4))).min(MAX_REST);
-        self.rests += 1;
-        self.state = State::Resting { until: now + rest };
+    fn quarantine(&mut self, now: Duration) -> bool {
+        let quarantine = (INITIAL_QUARANTINE * (1 << self.quarantines.min(4))).min(MAX_QUARANTINE);
+        self.quarantines += 1;
+        self.state = State::Quarantined { until: now + quarantine };
         true
     }
 }
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -144,9 +144,9 @@
             return None;
         }
         let trial = match vm.health.state(now) {
-            State::Well => Trial::No,
-            State::Trial if vm.runs.values().all(super::vm_run::Run::is_running) => Trial::Yes,
-            State::Trial | State::Resting { .. } => return None,
+            State::Healthy => Trial::No,
+            State::Probation if vm.runs.values().all(super::vm_run::Run::is_running) => Trial::Yes,
+            State::Probation | State::Quarantined { .. } => return None,
         };
         let mut used = 0.0;
         let mut leftover_demand = 0.0;
