--- a/src/shard/interference.rs
+++ b/src/shard/interference.rs
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::own_load::{HIGHEST_READ, OwnLoad};
+use super::own_load::{MAX_MEASURED_LOAD, OwnLoad};
 use crate::job::Image;
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
@@ -184,9 +184,9 @@
             .map(|(pair, _, share)| self.amount(pair.leftover, pair.serving) * share)
             .sum();
         let doubt: f64 = amounts.iter().map(|(_, a, share)| a.variance * share * share).sum();
-        let read = load.read(tail);
-        let error = read - (load.expected() + added);
-        if read >= HIGHEST_READ && error < 0.0 {
+        let read = load.load_from_tail(tail);
+        let error = read - (load.expected_reading() + added);
+        if read >= MAX_MEASURED_LOAD && error < 0.0 {
             return;
         }
         let variance = READING_DEVIATION.powi(2) + load.variance() + doubt;
--- a/src/shard/own_load.rs
+++ b/src/shard/own_load.rs
@@ -1,139 +1,142 @@
-//! The load that serving tasks have of their own, followed and foreseen.
+//! Estimates and forecasts the own load of serving tasks.
 //!
-//! The tasks of a step serve the same users, so that their loads swing together: fitted one by
-//! one, the tasks of a step agree in phase within 0.2 of a radian and differ from other steps'.
-//! Their tails are therefore read as those of one load, by a filter that follows its level and its
-//! slope. A dozen tails a second make it sure to 0.03; foreseeing half a second, which orders
-//! need to take effect, adds about as much.
+//! The tasks of a step serve the same users, so their loads change together: fitted individually,
+//! the tasks of a step agree in phase within 0.2 radians and differ from those of other steps.
+//! Their tails are therefore treated as readings of a single load by a filter that tracks its level
+//! and slope. A dozen tails a second reduce the error to 0.03. Forecasting half a second ahead, the
+//! time that orders need to take effect, adds about as much.
 
 use std::time::Duration;
 
-/// Usual load, and how far it strays.
-const LEVEL: f64 = 0.44;
-const LEVEL_DEVIATION: f64 = 0.16;
+/// Initial load and its standard deviation.
+const INITIAL_LOAD: f64 = 0.44;
+const INITIAL_LOAD_DEVIATION: f64 = 0.16;
 
-/// How fast a load usually moves: it swings by 0.2 either way within 10 to 14 s.
+/// Standard deviation of the slope: a load changes by 0.2 in either direction within 10 to 14 s.
 const SLOPE_DEVIATION: f64 = 0.12;
 
-/// How fast the slope itself changes, for a second's worth of time.
+/// Standard deviation of the change in slope over one second.
 const SLOPE_DRIFT: f64 = 0.07;
 
-/// A tail is of the last half second, on average a quarter old.
-const READING_AGE: f64 = 0.25;
+/// Mean age of a tail in seconds: it covers the last half second.
+const MEAN_TAIL_AGE: f64 = 0.25;
 
-/// Without a tail for this long, nothing is known any more.
-const FORGOTTEN: f64 = 4.0;
+/// Time in seconds without a tail after which the estimate is discarded.
+const EXPIRY_SECONDS: f64 = 4.0;
 
-/// Highest and lowest load that is believed.
-const HIGHEST: f64 = 0.95;
-const LOWEST: f64 = 0.02;
+/// Limits of the estimated load.
+const MAX_LOAD: f64 = 0.95;
+const MIN_LOAD: f64 = 0.02;
 
-/// Part of its target that a tail has without any load, until a lower one was seen. Both users set
-/// targets 4.5 times as high.
+/// Tail without any load as a share of the target, until a lower tail has been measured. Both users
+/// set targets 4.5 times as high as that tail.
 const BASE_SHARE: f64 = 1.0 / 4.5;
 
-/// Part of the least tail seen that the tail without load is taken for, if that is less. Tails are
-/// rough figures: one that reads too low must not make every load look higher than it is.
-const LEAST_TAIL: f64 = 0.9;
+/// Factor applied to the lowest tail measured when it lowers the estimate of the tail without load.
+/// Tails are coarse: one that is measured too low must not make every load appear higher than it
+/// is.
+const MIN_TAIL_FACTOR: f64 = 0.9;
 
-/// Highest load that a tail tells apart; beyond it a tail is cut off by its callers' patience.
-pub const HIGHEST_READ: f64 = 0.97;
+/// Highest load that a tail can distinguish; above it the tail is cut off by its callers' timeouts.
+pub const MAX_MEASURED_LOAD: f64 = 0.97;
 
-/// Load of the serving tasks of one step.
+/// Estimated load of the serving tasks of one step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OwnLoad {
     level: f64,
-    /// Change a second.
+    /// Change per second.
     slope: f64,
-    /// Mean squares of the errors: of the level, of both together, of the slope.
-    doubt: [f64; 3],
+    /// Error covariance: variance of the level, covariance of level and slope, variance of the
+    /// slope.
+    covariance: [f64; 3],
     at: Duration,
-    /// Tail without any load, in seconds.
+    /// Tail latency without any load, in seconds.
     base: f64,
     target: f64,
 }
 
 impl OwnLoad {
-    /// The load of tasks that have told nothing yet.
+    /// Returns the initial estimate for tasks that have reported nothing yet.
     pub fn new(target: Duration, now: Duration) -> Self {
         let target = target.as_secs_f64();
         Self {
-            level: LEVEL,
+            level: INITIAL_LOAD,
             slope: 0.0,
-            doubt: [LEVEL_DEVIATION.powi(2), 0.0, SLOPE_DEVIATION.powi(2)],
+            covariance: [INITIAL_LOAD_DEVIATION.powi(2), 0.0, SLOPE_DEVIATION.powi(2)],
             at: now,
             base: target * BASE_SHARE,
             target,
         }
     }
 
-    /// The load that is foreseen for `ahead` from now.
-    pub fn foreseen(&self, now: Duration, ahead: Duration) -> f64 {
+    /// Returns the load expected `ahead` of now.
+    pub fn forecast(&self, now: Duration, ahead: Duration) -> f64 {
         let age = now.saturating_sub(self.at) + ahead;
-        (self.level + self.slope * age.as_secs_f64()).clamp(LOWEST, HIGHEST)
+        (self.level + self.slope * age.as_secs_f64()).clamp(MIN_LOAD, MAX_LOAD)
     }
 
-    /// The whole load at which a tail is this share of the target.
-    pub fn load_for(&self, share: f64) -> f64 {
+    /// Returns the total load at which the tail is `share` of the target.
+    pub fn load_at_target_share(&self, share: f64) -> f64 {
         1.0 - self.base / (share * self.target)
     }
 
-    /// The whole load that a tail tells of.
-    pub fn read(&self, tail: Duration) -> f64 {
+    /// Returns the total load that corresponds to a tail.
+    pub fn load_from_tail(&self, tail: Duration) -> f64 {
         let tail = tail.as_secs_f64().max(self.base);
-        (1.0 - self.base / tail).min(HIGHEST_READ)
+        (1.0 - self.base / tail).min(MAX_MEASURED_LOAD)
     }
 
-    /// Moves on to the present.
+    /// Advances the estimate to the present.
     pub fn advance(&mut self, now: Duration) {
         let age = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
-        if age > FORGOTTEN {
+        if age > EXPIRY_SECONDS {
             let known = Self::new(Duration::from_secs_f64(self.target), now);
             *self = Self { base: self.base, ..known };
             return;
         }
-        self.level = (self.level + self.slope * age).clamp(LOWEST, HIGHEST);
-        let [level, both, slope] = self.doubt;
+        self.level = (self.level + self.slope * age).clamp(MIN_LOAD, MAX_LOAD);
+        let [level, cross, slope] = self.covariance;
         let drift = SLOPE_DRIFT.powi(2);
-        self.doubt = [
-            level + 2.0 * age * both + age * age * slope + drift * age.powi(3) / 3.0,
-            both + age * slope + drift * age * age / 2.0,
+        self.covariance = [
+            level + 2.0 * age * cross + age * age * slope + drift * age.powi(3) / 3.0,
+            cross + age * slope + drift * age * age / 2.0,
             (slope + drift * age).min(SLOPE_DEVIATION.powi(2)),
         ];
     }
 
-    /// The load that a tail that comes now would tell of, without what others add.
-    pub fn expected(&self) -> f64 {
-        self.level - READING_AGE * self.slope
+    /// Returns the own load expected in a reading that arrives now, without the load added by
+    /// neighbours.
+    pub fn expected_reading(&self) -> f64 {
+        self.level - MEAN_TAIL_AGE * self.slope
     }
 
-    /// Mean square of the error of [`OwnLoad::expected`].
+    /// Returns the variance of [`OwnLoad::expected_reading`].
     pub fn variance(&self) -> f64 {
-        let [level, both, slope] = self.doubt;
-        level - 2.0 * READING_AGE * both + READING_AGE * READING_AGE * slope
+        let [level, cross, slope] = self.covariance;
+        level - 2.0 * MEAN_TAIL_AGE * cross + MEAN_TAIL_AGE * MEAN_TAIL_AGE * slope
     }
 
-    /// Corrects the load by its part of a reading's error, whose mean square is `variance`.
+    /// Corrects the estimate by its part of a reading's error, whose variance is `variance`.
     pub fn correct(&mut self, error: f64, variance: f64) {
-        let [level, both, slope] = self.doubt;
-        let on_level = level - READING_AGE * both;
-        let on_slope = both - READING_AGE * slope;
+        let [level, cross, slope] = self.covariance;
+        let on_level = level - MEAN_TAIL_AGE * cross;
+        let on_slope = cross - MEAN_TAIL_AGE * slope;
         let (gain_level, gain_slope) = (on_level / variance, on_slope / variance);
-        self.level = (self.level + gain_level * error).clamp(LOWEST, HIGHEST);
+        self.level = (self.level + gain_level * error).clamp(MIN_LOAD, MAX_LOAD);
         self.slope += gain_slope * error;
-        self.doubt = [
+        self.covariance = [
             level - gain_level * on_level,
-            both - gain_level * on_slope,
+            cross - gain_level * on_slope,
             slope - gain_slope * on_slope,
         ];
     }
 
-    /// Notes a tail, which may be lower than any before.
+    /// Lowers the estimated tail without load if this tail is lower than all before.
     pub fn note_tail(&mut self, tail: Duration) {
         let seconds = tail.as_secs_f64();
         if seconds > 0.0 {
-            let base = seconds * LEAST_TAIL;
+            let base = seconds * MIN_TAIL_FACTOR;
             self.base = self.base.min(base).max(self.target / 50.0);
         }
     }
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -114,8 +114,8 @@
             Some(Served {
                 task: key.task,
                 image: self.image(key.task),
-                own: load.foreseen(now, FORESIGHT) + SWING_MARGIN,
-                bound: load.load_for(TARGET_SHARE),
+                own: load.forecast(now, FORESIGHT) + SWING_MARGIN,
+                bound: load.load_at_target_share(TARGET_SHARE),
                 over: serving.over_since.map_or(Duration::ZERO, |at| now.saturating_sub(at)),
                 tail_ms: run.gauge,
                 target_ms: u32::try_from(target.as_millis()).unwrap_or(u32::MAX),
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -118,8 +118,8 @@
                 let load =
                     self.jobs.get(&key.task.job).and_then(|job| job.step_run(key.task)?.load);
                 let slack = load.map_or(USUAL_BOUND - EXPECTED_LOAD, |load| {
-                    let foreseen = load.foreseen(self.now.steady, FORESIGHT).max(LEAST_EXPECTED);
-                    load.load_for(super::interference::TARGET_SHARE) - foreseen
+                    let foreseen = load.forecast(self.now.steady, FORESIGHT).max(LEAST_EXPECTED);
+                    load.load_at_target_share(super::interference::TARGET_SHARE) - foreseen
                 });
                 room.served.push(Served { image, slack });
             } else if run.share == Share::Leftover {
