--- a/src/shard.rs
+++ b/src/shard.rs
@@ -150,7 +150,7 @@
             Event::Submit { ticket, job, urge } => self.submit(ticket, job, urge),
             Event::Cancel { ticket, job } => self.cancel(ticket, job),
             Event::Show { ticket, job } => self.show(ticket, job),
-            Event::Learned { from, learned } => self.effects.hear(&from, &learned),
+            Event::Learned { from, learned } => self.effects.merge(&from, &learned),
             Event::Neighbours(neighbours) => self.loans.know(neighbours),
             Event::Vacate(order) => self.vacate(order),
             Event::Askers(askers) => self.set_askers(askers),
--- a/src/shard/interference.rs
+++ b/src/shard/interference.rs
@@ -1,17 +1,17 @@
-//! How much leftover work slows serving tasks down, learned from their tails.
+//! Model of how much leftover work slows down serving tasks, learned from their tail latencies.
 //!
-//! A serving task's tail grows with its load as a queue's does: `tail = base / (1 - load)`. Its
-//! load is its own, which swings within seconds, plus what each leftover task beside it adds: an
-//! amount for the pair of images, times the share of the VM's processors that the leftover task
-//! uses. Fitted to 40,000 tails on two sites this leaves 0.05 to 0.065 of load unexplained; the
-//! amounts fall into two groups, about 0.2 and about 2, so that which image is beside which
-//! decides nearly everything.
+//! A serving task's tail latency grows with its load as in a queue: `tail = base / (1 - load)`. The
+//! load is the task's own, which changes within seconds, plus a contribution from each leftover
+//! task next to it: an amount specific to the pair of images, multiplied by the share of the VM's
+//! processors that the leftover task uses. Fitted to 40,000 tails from two sites, this leaves 0.05
+//! to 0.065 of load unexplained. The amounts fall into two groups, about 0.2 and about 2, so the
+//! combination of images decides nearly everything.
 //!
-//! Each tail corrects the task's own load and the amounts of the pairs beside it, each by its part
-//! of the doubt (a Kalman filter that neglects covariances between the pairs). What shards learn by
-//! themselves is told to all and put together by its doubt: replayed over the tails of two calm
-//! days, three or four shards together tell heavy pairs from light ones within 2 to 5 s, with an
-//! error of 0.12 after 20 s; one shard alone has 0.2 to 0.3.
+//! Each tail updates the task's own load and the amounts of the neighbouring pairs, each in
+//! proportion to its variance (a Kalman filter that neglects covariances between pairs). Shards
+//! share their local estimates, which are combined weighted by inverse variance. Replayed over the
+//! tails of two calm days, three or four shards together tell heavy pairs from light ones within 2
+//! to 5 s, with an error of 0.12 after 20 s; a single shard has 0.2 to 0.3.
 
 #[cfg(test)]
 mod tests;
@@ -22,81 +22,83 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Amount and doubt of a pair that was never seen. Most pairs are light; a first guess of 0.8
-/// kept work off VMs where it would have done no harm.
-const PAIR: f64 = 0.4;
-const PAIR_DEVIATION: f64 = 0.8;
+/// Initial amount and deviation of a pair that was never observed. Most pairs are light; an initial
+/// amount of 0.8 kept work off VMs where it would have done no harm.
+const INITIAL_AMOUNT: f64 = 0.4;
+const INITIAL_AMOUNT_DEVIATION: f64 = 0.8;
 
-/// How far a known pair may have changed after a second.
-const PAIR_DRIFT: f64 = 0.02;
+/// Deviation by which a known amount may have changed after one second.
+const AMOUNT_DRIFT: f64 = 0.02;
 
-/// Unexplained part of a load as read from a tail.
+/// Standard deviation of the unexplained part of a load derived from a tail.
 const READING_DEVIATION: f64 = 0.06;
 
-/// Time that a tail covers; two within it tell the same.
-const READ_EVERY: Duration = Duration::from_millis(350);
+/// Minimum time between two independent readings. Tails reported closer together cover the same
+/// measurement window.
+const READING_INTERVAL: Duration = Duration::from_millis(350);
 
-/// Least doubt of an amount that counts; what is learned within seconds isn't surer.
+/// Minimum variance of an amount. Estimates learned within seconds aren't more certain than this.
 const MIN_VARIANCE: f64 = 0.0025;
 
-/// Part of the target that tails are kept under. Of 0.85 to 1.1, 0.95 and below cost leftover work
-/// more than serving tasks gained (means of eight calm days: 0.765 and 0.660 at 0.95, 0.748 and 0.696
-/// at 1.0, 0.779 and 0.686 at 1.1, all within 0.03 of each other).
+/// Share of the target below which tails are kept. Of 0.85 to 1.1, values of 0.95 and below cost
+/// leftover work more than serving tasks gained (means of eight calm days: 0.765 and 0.660 at 0.95,
+/// 0.748 and 0.696 at 1.0, 0.779 and 0.686 at 1.1, all within 0.03 of each other).
 pub const TARGET_SHARE: f64 = 1.0;
 
-/// Deviation of a serving task's load half a second ahead from what is foreseen.
-const DEVIATION: f64 = 0.05;
+/// Standard deviation of a serving task's load half a second ahead from its forecast.
+const FORECAST_DEVIATION: f64 = 0.05;
 
-/// Chance that a load which is foreseen so much over its bound will be over it: the logistic curve
-/// nearest to the normal distribution's.
+/// Returns the probability that a load forecast to exceed its bound by `excess` will be above the
+/// bound, using the logistic approximation of the normal distribution.
 pub fn chance_over(excess: f64) -> f64 {
-    /// Makes the two curves' deviations the same.
+    /// Scale at which the logistic curve approximates the normal distribution best.
     const LOGISTIC: f64 = 1.702;
-    1.0 / (1.0 + (-LOGISTIC * excess / DEVIATION).exp())
+    1.0 / (1.0 + (-LOGISTIC * excess / FORECAST_DEVIATION).exp())
 }
 
-/// An amount that is not known exactly.
+/// An estimated amount.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Estimate {
     pub mean: f64,
-    /// Mean square of the error.
+    /// Mean squared error.
     pub variance: f64,
 }
 
-/// Images told apart; the rest count as one. Pairs are kept for each two of them.
+/// Maximum number of images told apart; all others count as one. An entry is kept for each pair of
+/// images.
 const MAX_IMAGES: usize = 256;
 
-/// An image's number in [`Effects`].
+/// Index of an image in [`Effects`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageIx(u16);
 
-/// What is known of the pairs of images.
+/// Estimated interference between pairs of images.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
     images: IndexSet<Image>,
-    /// Learned here.
-    own: IndexMap<PairIx, Known>,
-    /// Learned by other shards, or by an earlier owner of this one.
-    heard: IndexMap<String, IndexMap<PairIx, Estimate>>,
-    /// Both together, by leftover and serving image.
-    all: Vec<Vec<Option<f32>>>,
+    /// Estimates learned by this shard.
+    local: IndexMap<PairIx, LearnedAmount>,
+    /// Estimates from other shards, or from an earlier owner of this one.
+    from_shards: IndexMap<String, IndexMap<PairIx, Estimate>>,
+    /// Local and received estimates combined, indexed by leftover image, then serving image.
+    combined: Vec<Vec<Option<f32>>>,
 }
 
-/// A leftover image beside a serving one.
+/// A leftover image next to a serving image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PairIx {
     leftover: ImageIx,
     serving: ImageIx,
 }
 
-/// The names of a leftover image and of a serving one beside it.
+/// Names of a leftover image and of a serving image next to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Pair {
     pub leftover: Image,
     pub serving: Image,
 }
 
-/// A pair's amount, as told to other shards.
+/// A pair's estimated amount as sent to other shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
     pub pair: Pair,
@@ -104,43 +106,43 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Known {
+struct LearnedAmount {
     amount: Estimate,
     at: Duration,
 }
 
-/// What is known of one serving task.
+/// Tail latency state of one serving task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Serving {
-    /// When a tail was last learned from.
-    read: Option<Duration>,
-    /// Since when its tail is over the target.
+    /// Time of the last tail that was used as a reading.
+    last_reading: Option<Duration>,
+    /// Time since which the tail has been over the target.
     pub over_since: Option<Duration>,
-    last: Last,
+    last: LastTail,
 }
 
-/// What the last tail of a serving task told, if it was over its target before.
+/// The last tail of a serving task that is counted as over its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Last {
+enum LastTail {
     #[default]
     Over,
-    /// Under the target by little; the tail.
+    /// Slightly below the target, with this tail.
     JustUnder(Duration),
 }
 
-/// Part of its target below which one tail alone shows that a task isn't over it any more.
-const CLEARLY_UNDER: f64 = 0.85;
+/// Share of the target at or below which a single tail ends the time over the target.
+const CLEARLY_UNDER_SHARE: f64 = 0.85;
 
-/// A leftover task beside a serving one.
+/// A leftover task next to a serving task.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Beside {
+pub struct LeftoverNeighbour {
     pub image: ImageIx,
-    /// Share of the VM's processors that it uses, 0 to 1.
+    /// Share of the VM's processors that the task uses, from 0 to 1.
     pub share: f64,
 }
 
 impl Effects {
-    /// The number of an image.
+    /// Returns the index of an image, adding the image if necessary.
     pub fn number(&mut self, image: &Image) -> ImageIx {
         if let Some(known) = self.images.get_index_of(image) {
             return ImageIx(u16::try_from(known).unwrap_or(u16::MAX));
@@ -151,34 +153,35 @@
         ImageIx(u16::try_from(self.images.len() - 1).unwrap_or(u16::MAX))
     }
 
-    /// Load that a leftover image adds to a serving one for each whole VM's worth of processors.
+    /// Returns the load that a leftover image adds to a serving image if it uses all of a VM's
+    /// processors.
     pub fn amount(&self, leftover: ImageIx, serving: ImageIx) -> f64 {
-        let known = self.all.get(usize::from(leftover.0));
+        let known = self.combined.get(usize::from(leftover.0));
         let known = known.and_then(|row| row.get(usize::from(serving.0)).copied().flatten());
-        known.map_or(PAIR, f64::from)
+        known.map_or(INITIAL_AMOUNT, f64::from)
     }
 
-    /// Images of leftover work that were seen beside a serving task.
+    /// Returns the images of leftover work that have been observed next to a serving task.
     pub fn leftover_images(&self) -> impl Iterator<Item = (ImageIx, &Image)> {
         self.images.iter().enumerate().filter_map(|(number, image)| {
-            let seen = self.all.get(number)?.iter().any(Option::is_some);
+            let seen = self.combined.get(number)?.iter().any(Option::is_some);
             let number = ImageIx(u16::try_from(number).ok()?);
             seen.then_some((number, image))
         })
     }
 
-    /// Corrects what is known by one tail.
+    /// Updates the estimates with one tail.
     pub fn learn(
         &mut self,
         load: &mut OwnLoad,
         image: ImageIx,
         tail: Duration,
-        beside: &[Beside],
+        beside: &[LeftoverNeighbour],
         now: Duration,
     ) {
         load.note_tail(tail);
         load.advance(now);
-        let amounts = self.beside(image, beside, now);
+        let amounts = self.pairs_beside(image, beside, now);
         let added: f64 = amounts
             .iter()
             .map(|(pair, _, share)| self.amount(pair.leftover, pair.serving) * share)
@@ -194,16 +197,17 @@
         for (pair, mut amount, share) in amounts {
             amount.correct(share, error, variance);
             amount.mean = amount.mean.max(0.0);
-            self.own.insert(pair, Known { amount, at: now });
+            self.local.insert(pair, LearnedAmount { amount, at: now });
             self.combine(pair);
         }
     }
 
-    /// The pairs beside a serving image, with what is known of each and the share that it has.
-    fn beside(
+    /// Returns the pairs of a serving image and its neighbours, with the local estimate and total
+    /// share of each.
+    fn pairs_beside(
         &self,
         serving: ImageIx,
-        beside: &[Beside],
+        beside: &[LeftoverNeighbour],
         now: Duration,
     ) -> Vec<(PairIx, Estimate, f64)> {
         let mut amounts: Vec<(PairIx, Estimate, f64)> = Vec::with_capacity(beside.len());
@@ -211,66 +215,68 @@
             let pair = PairIx { leftover: other.image, serving };
             match amounts.iter_mut().find(|(known, _, _)| *known == pair) {
                 Some((_, _, share)) => *share += other.share,
-                None => amounts.push((pair, self.drifted(pair, now), other.share)),
+                None => amounts.push((pair, self.local_estimate(pair, now), other.share)),
             }
         }
         amounts
     }
 
-    /// Takes over what a shard has learned by itself.
-    pub fn hear(&mut self, from: &str, learned: &[Learned]) {
+    /// Merges the estimates that another shard has learned locally.
+    pub fn merge(&mut self, from: &str, learned: &[Learned]) {
         for other in learned {
             let leftover = self.number(&other.pair.leftover);
             let pair = PairIx { leftover, serving: self.number(&other.pair.serving) };
-            self.heard.entry(from.to_owned()).or_default().insert(pair, other.amount);
+            self.from_shards.entry(from.to_owned()).or_default().insert(pair, other.amount);
             self.combine(pair);
         }
     }
 
-    /// Puts together what is known of a pair: each amount counts by what it adds to a first guess.
+    /// Combines all estimates of a pair, weighted by the information that each adds to the initial
+    /// one.
     fn combine(&mut self, pair: PairIx) {
-        let first = 1.0 / PAIR_DEVIATION.powi(2);
-        let own = self.own.get(&pair).map(|known| known.amount);
-        let heard = self.heard.values().filter_map(|from| from.get(&pair).copied());
-        let (mut weight, mut sum) = (first, first * PAIR);
+        let first = 1.0 / INITIAL_AMOUNT_DEVIATION.powi(2);
+        let own = self.local.get(&pair).map(|known| known.amount);
+        let heard = self.from_shards.values().filter_map(|from| from.get(&pair).copied());
+        let (mut weight, mut sum) = (first, first * INITIAL_AMOUNT);
         for amount in own.into_iter().chain(heard) {
             let certainty = 1.0 / amount.variance.max(MIN_VARIANCE);
             let added = (certainty - first).max(0.0);
-            // The amount has the first guess in it; what is left was learned.
-            sum += certainty * amount.mean - first * PAIR;
+            // Each estimate includes the initial one; subtracting it leaves what was learned.
+            sum += certainty * amount.mean - first * INITIAL_AMOUNT;
             weight += added;
         }
         let (row, column) = (usize::from(pair.leftover.0), usize::from(pair.serving.0));
-        if self.all.len() <= row {
-            self.all.resize(row + 1, Vec::new());
+        if self.combined.len() <= row {
+            self.combined.resize(row + 1, Vec::new());
         }
-        if self.all[row].len() <= column {
-            self.all[row].resize(column + 1, None);
+        if self.combined[row].len() <= column {
+            self.combined[row].resize(column + 1, None);
         }
-        self.all[row][column] = Some((sum / weight).max(0.0) as f32);
+        self.combined[row][column] = Some((sum / weight).max(0.0) as f32);
     }
 
-    /// What to tell other shards.
+    /// Returns the local estimates, to be sent to other shards.
     pub fn learned(&self) -> Vec<Learned> {
         let name = |number: ImageIx| self.images.get_index(usize::from(number.0)).cloned();
-        let learned = |(pair, known): (&PairIx, &Known)| {
+        let learned = |(pair, known): (&PairIx, &LearnedAmount)| {
             let pair = Pair { leftover: name(pair.leftover)?, serving: name(pair.serving)? };
             Some(Learned { pair, amount: known.amount })
         };
-        self.own.iter().filter_map(learned).collect()
+        self.local.iter().filter_map(learned).collect()
     }
 
-    fn drifted(&self, pair: PairIx, now: Duration) -> Estimate {
-        let unseen = Estimate { mean: PAIR, variance: PAIR_DEVIATION.powi(2) };
-        let Some(known) = self.own.get(&pair) else { return unseen };
+    fn local_estimate(&self, pair: PairIx, now: Duration) -> Estimate {
+        let unseen = Estimate { mean: INITIAL_AMOUNT, variance: INITIAL_AMOUNT_DEVIATION.powi(2) };
+        let Some(known) = self.local.get(&pair) else { return unseen };
         let age = now.saturating_sub(known.at).as_secs_f64();
-        let variance = known.amount.variance + PAIR_DRIFT.powi(2) * age;
+        let variance = known.amount.variance + AMOUNT_DRIFT.powi(2) * age;
         Estimate { variance: variance.min(unseen.variance), ..known.amount }
     }
 }
 
 impl Estimate {
-    /// Corrects an amount that went into a reading with `weight`, by its part of the error.
+    /// Corrects an amount that contributed to a reading with `weight`, given the reading's error
+    /// and variance.
     fn correct(&mut self, weight: f64, error: f64, variance: f64) {
         let gain = self.variance * weight / variance;
         self.mean += gain * error;
@@ -279,45 +285,47 @@
 }
 
 impl Serving {
-    /// Notes a tail; true if there is something to learn from it.
+    /// Records a tail and returns whether it is a new reading to learn from.
     pub fn note_tail(&mut self, tail: Duration, target: Duration, now: Duration) -> bool {
-        let fresh = self.read.is_none_or(|at| now.saturating_sub(at) >= READ_EVERY);
+        let fresh = self.last_reading.is_none_or(|at| now.saturating_sub(at) >= READING_INTERVAL);
         if fresh {
-            self.read = Some(now);
+            self.last_reading = Some(now);
         }
-        self.note_over(tail, target, now, fresh);
+        self.update_over_since(tail, target, now, fresh);
         fresh
     }
 
-    /// Whether its tail has been over the target for so long.
+    /// Returns whether the tail has been over the target for at least `time`.
     pub fn is_over_for(&self, time: Duration, now: Duration) -> bool {
         self.over_since.is_some_and(|since| now.saturating_sub(since) >= time)
     }
 
-    /// Follows how long the task is over its target.
+    /// Updates the time since which the task has been over its target.
     ///
-    /// Tails are rough figures in whole milliseconds. A task a tenth over its target tells one just
-    /// under it every few readings; when each of these began the count anew, a task was over for
-    /// four seconds on end before everything beside it had stopped. So one tail just under the target,
-    /// or at it, doesn't end the count; two in a row do, or one that is clearly under it. A VM measures
-    /// about every 200 ms and may answer ten times as often, so that it tells one measurement again: the
-    /// same figure within the time that a tail covers counts once.
-    fn note_over(&mut self, tail: Duration, target: Duration, now: Duration, fresh: bool) {
+    /// Tails are coarse values in whole milliseconds, and a task a tenth over its target reports
+    /// one slightly below it every few readings. Restarting the time for each of these left a task
+    /// over its target for four seconds before all its neighbours were stopped. A single tail at or
+    /// slightly below the target therefore doesn't end the time; two in a row do, as does one
+    /// clearly below it.
+    ///
+    /// A VM measures about every 200 ms but may respond ten times as often and repeat a
+    /// measurement. The same value within the measurement window counts once.
+    fn update_over_since(&mut self, tail: Duration, target: Duration, now: Duration, fresh: bool) {
         if tail >= target {
             self.over_since.get_or_insert(now);
-            self.last = Last::Over;
-        } else if tail <= target.mul_f64(CLEARLY_UNDER) {
+            self.last = LastTail::Over;
+        } else if tail <= target.mul_f64(CLEARLY_UNDER_SHARE) {
             self.over_since = None;
         } else {
-            self.note_just_under(tail, fresh);
+            self.record_just_under(tail, fresh);
         }
     }
 
-    fn note_just_under(&mut self, tail: Duration, fresh: bool) {
+    fn record_just_under(&mut self, tail: Duration, fresh: bool) {
         match self.last {
-            Last::Over if fresh => self.last = Last::JustUnder(tail),
-            Last::JustUnder(before) if fresh || tail != before => self.over_since = None,
-            Last::Over | Last::JustUnder(_) => {}
+            LastTail::Over if fresh => self.last = LastTail::JustUnder(tail),
+            LastTail::JustUnder(before) if fresh || tail != before => self.over_since = None,
+            LastTail::Over | LastTail::JustUnder(_) => {}
         }
     }
 }
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -3,7 +3,7 @@
 use super::Shard;
 use super::event::Action;
 use super::finish::End;
-use super::interference::Beside;
+use super::interference::LeftoverNeighbour;
 use super::own_load::OwnLoad;
 use super::settings::{LOOK_RETRY, SILENT_AFTER, UNFORGOTTEN_LOOK};
 use super::vm_run::{Looking, Run, RunKey, Silent, Stage, Unanswered, Vm};
@@ -126,12 +126,12 @@
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return };
         let size = f64::from(vm.entry.size.milli_cores.0).max(1.0);
-        let beside: Vec<Beside> = running
+        let beside: Vec<LeftoverNeighbour> = running
             .iter()
             .filter_map(|row| {
                 let run = vm.runs.get(&RunKey { task: row.task, run: row.run })?;
                 let share = f64::from(row.milli_cores()) / size;
-                let beside = || Beside { image: self.image(row.task), share };
+                let beside = || LeftoverNeighbour { image: self.image(row.task), share };
                 (run.share == Share::Leftover).then(beside)
             })
             .collect();
--- a/src/shard/relief/tests.rs
+++ b/src/shard/relief/tests.rs
@@ -21,7 +21,7 @@
         pair: Pair { leftover: Image::new(leftover), serving: Image::new("serving") },
         amount: Estimate { mean, variance: 0.0025 },
     };
-    effects.hear("other", &[learned("heavy", HEAVY), learned("light", LIGHT)]);
+    effects.merge("other", &[learned("heavy", HEAVY), learned("light", LIGHT)]);
     let mut number = |name| effects.number(&Image::new(name));
     let (heavy, light, serving) = (number("heavy"), number("light"), number("serving"));
     Known { effects, heavy, light, serving }
--- a/src/shard/room/tests.rs
+++ b/src/shard/room/tests.rs
@@ -23,7 +23,7 @@
     let mut effects = Effects::default();
     let pair = Pair { leftover: Image::new("leftover"), serving: Image::new("serving") };
     let amount = Estimate { mean: amount, variance: 0.0025 };
-    effects.hear("other", &[Learned { pair, amount }]);
+    effects.merge("other", &[Learned { pair, amount }]);
     let [image, serving]: [ImageIx; 2] =
         ["leftover", "serving"].map(|name| effects.number(&Image::new(name)));
     let (rack, service) = (RackId::new("r0"), ServiceName::new("desk"));
