--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -118,7 +118,7 @@
         if complete {
             self.find_absent(id, sent, &seen);
         }
-        self.relieve(id);
+        self.adjust_paces(id);
     }
 
     /// Learns from the tails of the serving tasks on a VM.
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -1,9 +1,9 @@
-//! Slowing leftover work down where a serving task's tail would go over its target.
+//! Slows down leftover work where it would push a serving task's tail latency over its target.
 //!
-//! For each VM it is worked out how fast each leftover task may work so that the serving tasks beside
-//! it lose less than the work is worth ([`paces`]). A task that is over its target for a while,
-//! whatever the estimates say, has everything beside it stopped from working until it recovers:
-//! estimates may be wrong, a tail isn't.
+//! For each VM, [`paces`] computes how fast each leftover task may run so that the loss to the
+//! serving tasks stays below the value of the work. When a task has been over its target for a
+//! while, all its neighbours are stopped until it recovers, regardless of the estimates: estimates
+//! may be wrong, measured tails aren't.
 
 mod paces;
 #[cfg(test)]
@@ -19,42 +19,42 @@
 use crate::vm::PaceReq;
 use std::time::Duration;
 
-/// Time over the target after which the heaviest neighbours stop working.
-const OVER_LONG: Duration = Duration::from_millis(1600);
+/// Time over the target after which heavy neighbours are stopped.
+const STOP_HEAVY_AFTER: Duration = Duration::from_millis(1600);
 
-/// Time over the target after which every neighbour does, and nothing else begins beside the task.
-/// Until that is noticed and has taken effect another second goes by, of the four that count as harm.
-pub(super) const OVER_TOO_LONG: Duration = Duration::from_millis(2200);
+/// Time over the target after which all neighbours are stopped and no work is started next to the
+/// task. Detection and taking effect need another second of the four that count as harm.
+pub(super) const STOP_ALL_AFTER: Duration = Duration::from_millis(2200);
 
-/// Amount from which on a pair counts as heavy; between the two groups that amounts fall into.
+/// Amount from which a pair counts as heavy; lies between the two groups of measured amounts.
 const HEAVY: f64 = 0.6;
 
-/// Least change of a pace that is worth an order.
-const PACE_STEP: u8 = 8;
+/// Smallest pace change in percent for which an order is sent.
+const MIN_PACE_CHANGE: u8 = 8;
 
-/// Most that a pace rises at a time: an own load that was read too low is noticed by the next look
-/// before its neighbours work at full speed again.
-const PACE_RISE: u8 = 34;
+/// Largest pace increase in percent per order, so that an own load that was estimated too low is
+/// noticed at the next poll before the neighbours run at full speed again.
+const MAX_PACE_INCREASE: u8 = 34;
 
-/// Time from a look to the middle of the half second that its orders rule.
-const FORESIGHT: Duration = Duration::from_millis(350);
+/// Time from a poll to the middle of the half second for which its orders apply.
+const FORECAST_HORIZON: Duration = Duration::from_millis(350);
 
-/// Load that is kept back for what isn't foreseen.
-const SWING_MARGIN: f64 = 0.02;
+/// Load reserved for changes that the forecast misses.
+const LOAD_MARGIN: f64 = 0.02;
 
-/// A leftover task that may be slowed.
+/// A leftover task that may be slowed down.
 struct Neighbour {
     key: RunKey,
     image: ImageIx,
-    /// Share of the VM's processors that it uses at full speed.
+    /// Share of the VM's processors that the task uses at full speed.
     full: f64,
     pace: u8,
-    wanted: f64,
+    target_pace: f64,
 }
 
 /// A serving task that may be harmed.
 #[derive(Clone)]
-struct Served {
+struct ServingTask {
     task: TaskRef,
     image: ImageIx,
     own: f64,
@@ -65,20 +65,20 @@
 }
 
 impl Shard {
-    /// Sets the pace of the leftover work on a VM.
-    pub(super) fn relieve(&mut self, id: &crate::ids::VmId) {
+    /// Adjusts the paces of the leftover work on a VM.
+    pub(super) fn adjust_paces(&mut self, id: &crate::ids::VmId) {
         let Some(vm) = self.vms.get(id) else { return };
         let mut neighbours = self.neighbours(vm);
         if neighbours.is_empty() {
             return;
         }
-        let served = self.served(vm);
+        let served = self.serving_tasks(vm);
         for neighbour in &mut neighbours {
-            neighbour.wanted = 1.0;
+            neighbour.target_pace = 1.0;
         }
-        let worst = paces::choose(&mut neighbours, &served, &self.effects);
+        let worst = paces::choose_paces(&mut neighbours, &served, &self.effects);
         for neighbour in &neighbours {
-            self.order_pace(id, neighbour, worst.map(|index| &served[index]));
+            self.send_pace(id, neighbour, worst.map(|index| &served[index]));
         }
     }
 
@@ -90,7 +90,7 @@
         running
             .map(|(key, run)| {
                 let demand = f64::from(run.milli_cores);
-                // A slowed task's use says nothing of what it would use at full speed.
+                // The usage of a slowed task doesn't tell what it would use at full speed.
                 let used = f64::from(run.gauge);
                 let full = if run.pace == 100 && used > 0.0 { used.min(demand) } else { demand };
                 Neighbour {
@@ -98,23 +98,23 @@
                     image: self.image(key.task),
                     full: full / size,
                     pace: run.pace,
-                    wanted: 1.0,
+                    target_pace: 1.0,
                 }
             })
             .collect()
     }
 
-    fn served(&self, vm: &Vm) -> Vec<Served> {
+    fn serving_tasks(&self, vm: &Vm) -> Vec<ServingTask> {
         let now = self.now.steady;
         let served = |(key, run): (&RunKey, &super::vm_run::Run)| {
             let job = self.jobs.get(&key.task.job)?;
             let target = job.step(key.task)?.tail_target?;
             let load = job.step_run(key.task)?.load?;
             let serving = &run.serving;
-            Some(Served {
+            Some(ServingTask {
                 task: key.task,
                 image: self.image(key.task),
-                own: load.forecast(now, FORESIGHT) + SWING_MARGIN,
+                own: load.forecast(now, FORECAST_HORIZON) + LOAD_MARGIN,
                 bound: load.load_at_target_share(TARGET_SHARE),
                 over: serving.over_since.map_or(Duration::ZERO, |at| now.saturating_sub(at)),
                 tail_ms: run.gauge,
@@ -124,29 +124,34 @@
         vm.runs.iter().filter_map(served).collect()
     }
 
-    /// The image of a task.
+    /// Returns the index of a task's image.
     pub(super) fn image(&self, task: TaskRef) -> ImageIx {
         self.jobs.get(&task.job).map_or_else(ImageIx::default, |job| job.image(task))
     }
 
-    /// The images of a job's steps; tasks without one behave like their queue's.
+    /// Returns the image indexes of a job's steps. Steps without an image use the queue's name as
+    /// one, since they behave like other work of their queue.
     pub(super) fn images_of(&mut self, job: &Job) -> Vec<ImageIx> {
         let queue = Image::new(job.queue.as_str());
         let images = job.steps.iter().map(|step| step.image.as_ref().unwrap_or(&queue));
         images.map(|image| self.effects.number(image)).collect()
     }
 
-    fn order_pace(
+    fn send_pace(
         &mut self,
         id: &crate::ids::VmId,
         neighbour: &Neighbour,
-        victim: Option<&Served>,
+        victim: Option<&ServingTask>,
     ) {
-        let wanted = (neighbour.wanted * 100.0).round().clamp(0.0, 100.0) as u8;
+        let target_pace = (neighbour.target_pace * 100.0).round().clamp(0.0, 100.0) as u8;
         let before = neighbour.pace;
         let known = before <= 100;
-        let percent = if known { wanted.min(before.saturating_add(PACE_RISE)) } else { wanted };
-        let small = known && percent.abs_diff(before) < PACE_STEP;
+        let percent = if known {
+            target_pace.min(before.saturating_add(MAX_PACE_INCREASE))
+        } else {
+            target_pace
+        };
+        let small = known && percent.abs_diff(before) < MIN_PACE_CHANGE;
         let reaches_end = percent != before && (percent == 100 || percent == 0);
         if small && !reaches_end {
             return;
--- a/src/shard/relief/paces.rs
+++ b/src/shard/relief/paces.rs
@@ -1,63 +1,66 @@
-//! The paces of the leftover work on one VM that cost its callers least.
+//! Selects the paces of the leftover work on one VM that minimize the total loss.
 //!
-//! What a serving task's load will be in half a second is known to about 0.05. Pacing its neighbours
-//! so that the mean stays at its bound leaves it over every other time: on days of usual load, half
-//! of all time over a target was foreseen to be under it by less than 0.06. So each serving task
-//! counts by its chance of going over, and each neighbour by the work that it is held back from.
-//! Who adds much is then kept well below a bound, and who adds little works on beside a task that is
-//! near it.
+//! A serving task's load half a second ahead is known to about 0.05. Pacing its neighbours so that
+//! the mean load stays at the bound leaves it over the bound half of the time: on days of usual
+//! load, half of all time over a target had been forecast to be below it by less than 0.06. Each
+//! serving task is therefore weighted by its probability of exceeding its target, and each
+//! neighbour by the work that it loses. A neighbour that adds much load is kept well below the
+//! bound, and one that adds little keeps running next to a task that is near it.
 
-use super::{HEAVY, Neighbour, OVER_LONG, OVER_TOO_LONG, Served};
+use super::{HEAVY, Neighbour, STOP_ALL_AFTER, STOP_HEAVY_AFTER, ServingTask};
 use crate::shard::interference::{Effects, chance_over};
 
-/// Neighbours that stand still for as much loss as one serving task over its target. Operators count
-/// a serving task over its target four times, and pay 0.65 as much for a second of its work as for
-/// one of a leftover task, which makes 2.6; but leftover work that is held back also holds up what
-/// waits behind it. Mean worth of 18 days on each of three sites at 0.3: 0.620, 0.563, 0.505; at 0.5:
-/// 0.625, 0.561, 0.493; at 1.1: 0.605, 0.529, 0.467; at 2.6: 0.547, 0.473, 0.405.
-const OVER_COST: f64 = 0.5;
+/// Cost of one serving task over its target, in stopped neighbours. Operators count a serving task
+/// over its target four times and pay 0.65 as much for a second of its work as for one of a
+/// leftover task, which gives 2.6; but slowing leftover work also delays the work queued behind it.
+/// Mean score of 18 days on each of three sites at 0.3: 0.620, 0.563, 0.505; at 0.5: 0.625, 0.561,
+/// 0.493; at 1.1: 0.605, 0.529, 0.467; at 2.6: 0.547, 0.473, 0.405.
+const OVER_TARGET_COST: f64 = 0.5;
 
-/// Steps in which paces are tried, as a share of full speed.
-const STEP: f64 = 0.1;
+/// Granularity of the paces tried, as a share of full speed.
+const PACE_INCREMENT: f64 = 0.1;
 
-/// Rounds over all neighbours; paces settle within two or three.
+/// Maximum number of rounds over all neighbours; paces converge within two or three.
 const MAX_ROUNDS: usize = 4;
 
-/// Least gain that is worth another pace.
-const LEAST_GAIN: f64 = 1e-3;
+/// Minimum gain for which a pace is changed.
+const MIN_GAIN: f64 = 1e-3;
 
-/// Sets the wanted paces so that what is lost is least; gives the worst-off serving task for whom
-/// something is slowed. What was stopped for a task that is over its target stays so.
-pub(super) fn choose(
+/// Sets the target paces that minimize the loss and returns the serving task with the highest
+/// excess load, if any neighbour is slowed. Neighbours stopped for a task that is over its target
+/// stay stopped.
+pub(super) fn choose_paces(
     neighbours: &mut [Neighbour],
-    served: &[Served],
+    served: &[ServingTask],
     effects: &Effects,
 ) -> Option<usize> {
     for served in served {
-        stop_beside(neighbours, served, effects);
+        stop_neighbours(neighbours, served, effects);
     }
-    let most: Vec<f64> = neighbours.iter().map(|n| n.wanted).collect();
-    let plan = Plan::new(neighbours, served, effects);
-    let (fast, slow) =
-        (plan.settle(most.clone(), &most), plan.settle(vec![0.0; most.len()], &most));
-    let best = if plan.cost(&slow, &most) < plan.cost(&fast, &most) { slow } else { fast };
-    let worst = plan.worst(&vec![1.0; most.len()]);
-    for (neighbour, wanted) in neighbours.iter_mut().zip(best) {
-        neighbour.wanted = wanted;
+    let limits: Vec<f64> = neighbours.iter().map(|n| n.target_pace).collect();
+    let model = PaceModel::new(neighbours, served, effects);
+    let (fast, slow) = (
+        model.coordinate_descent(limits.clone(), &limits),
+        model.coordinate_descent(vec![0.0; limits.len()], &limits),
+    );
+    let best = if model.cost(&slow, &limits) < model.cost(&fast, &limits) { slow } else { fast };
+    let worst = model.worst(&vec![1.0; limits.len()]);
+    for (neighbour, target_pace) in neighbours.iter_mut().zip(best) {
+        neighbour.target_pace = target_pace;
     }
-    worst.filter(|_| neighbours.iter().any(|n| n.wanted < 1.0))
+    worst.filter(|_| neighbours.iter().any(|n| n.target_pace < 1.0))
 }
 
-/// What the neighbours at full speed add to the load of each serving task.
-struct Plan {
-    /// Load without neighbours, less the bound.
+/// Load of each serving task as a function of the neighbours' paces.
+struct PaceModel {
+    /// Load without neighbours minus the bound, by serving task.
     own: Vec<f64>,
-    /// By neighbour, then by serving task.
+    /// Load added at full speed, by neighbour, then by serving task.
     added: Vec<Vec<f64>>,
 }
 
-impl Plan {
-    fn new(neighbours: &[Neighbour], served: &[Served], effects: &Effects) -> Self {
+impl PaceModel {
+    fn new(neighbours: &[Neighbour], served: &[ServingTask], effects: &Effects) -> Self {
         let added = |n: &Neighbour| {
             served.iter().map(|s| effects.amount(n.image, s.image) * n.full).collect()
         };
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Load over the bound of each serving task.
+    /// Returns the load of each serving task above its bound.
     fn excess(&self, paces: &[f64]) -> Vec<f64> {
         let mut excess = self.own.clone();
         for (added, pace) in self.added.iter().zip(paces) {
@@ -78,14 +81,14 @@
         excess
     }
 
-    /// What is lost, in neighbours that stand still.
-    fn cost(&self, paces: &[f64], most: &[f64]) -> f64 {
-        let held: f64 = most.iter().zip(paces).map(|(most, pace)| most - pace).sum();
+    /// Returns the loss, in stopped neighbours.
+    fn cost(&self, paces: &[f64], limits: &[f64]) -> f64 {
+        let held: f64 = limits.iter().zip(paces).map(|(limit, pace)| limit - pace).sum();
         held + over_cost(self.excess(paces).into_iter())
     }
 
-    /// Changes one pace at a time for the better, until nothing is gained.
-    fn settle(&self, mut paces: Vec<f64>, most: &[f64]) -> Vec<f64> {
+    /// Improves one pace at a time until there is no further gain.
+    fn coordinate_descent(&self, mut paces: Vec<f64>, limits: &[f64]) -> Vec<f64> {
         let mut excess = self.excess(&paces);
         for _ in 0..MAX_ROUNDS {
             let mut gained = 0.0;
@@ -95,11 +98,11 @@
                 }
                 let loss = |pace: f64| {
                     let there = excess.iter().zip(added).map(|(e, a)| e + a * pace);
-                    most[index] - pace + over_cost(there)
+                    limits[index] - pace + over_cost(there)
                 };
                 let before = loss(paces[index]);
-                let (pace, least) = best_pace(most[index], loss);
-                if least < before - LEAST_GAIN {
+                let (pace, least) = best_pace(limits[index], loss);
+                if least < before - MIN_GAIN {
                     gained += before - least;
                     paces[index] = pace;
                 }
@@ -114,7 +117,7 @@
         paces
     }
 
-    /// The serving task with the most load over its bound.
+    /// Returns the serving task with the highest load above its bound.
     fn worst(&self, paces: &[f64]) -> Option<usize> {
         let excess = self.excess(paces);
         let by_excess = |a: &usize, b: &usize| excess[*a].total_cmp(&excess[*b]);
@@ -122,12 +125,13 @@
     }
 }
 
-/// The pace at which least is lost, and what that is. Of paces that lose the same, the fastest.
-fn best_pace(most: f64, loss: impl Fn(f64) -> f64) -> (f64, f64) {
-    let mut best = (most, loss(most));
-    let steps = (most / STEP).round() as usize;
+/// Returns the pace with the lowest loss, and the loss. Of paces with equal loss, the fastest is
+/// selected.
+fn best_pace(limit: f64, loss: impl Fn(f64) -> f64) -> (f64, f64) {
+    let mut best = (limit, loss(limit));
+    let steps = (limit / PACE_INCREMENT).round() as usize;
     for step in (0..steps).rev() {
-        let pace = step as f64 * STEP;
+        let pace = step as f64 * PACE_INCREMENT;
         let loss = loss(pace);
         if loss < best.1 {
             best = (pace, loss);
@@ -136,17 +140,18 @@
     best
 }
 
-/// What serving tasks lose whose loads are so much over their bounds.
+/// Returns the expected loss of serving tasks whose loads exceed their bounds by `excess`.
 fn over_cost(excess: impl Iterator<Item = f64>) -> f64 {
-    OVER_COST * excess.map(chance_over).sum::<f64>()
+    OVER_TARGET_COST * excess.map(chance_over).sum::<f64>()
 }
 
-/// A task that has been over its target for long isn't argued with.
-fn stop_beside(neighbours: &mut [Neighbour], served: &Served, effects: &Effects) {
+/// Stops the neighbours of a task that has been over its target for long, regardless of the
+/// estimated loss.
+fn stop_neighbours(neighbours: &mut [Neighbour], served: &ServingTask, effects: &Effects) {
     for neighbour in neighbours {
         let heavy = effects.amount(neighbour.image, served.image) >= HEAVY;
-        if served.over >= OVER_TOO_LONG || (served.over >= OVER_LONG && heavy) {
-            neighbour.wanted = 0.0;
+        if served.over >= STOP_ALL_AFTER || (served.over >= STOP_HEAVY_AFTER && heavy) {
+            neighbour.target_pace = 0.0;
         }
     }
 }
--- a/src/shard/relief/tests.rs
+++ b/src/shard/relief/tests.rs
@@ -1,4 +1,4 @@
-use super::{Neighbour, OVER_TOO_LONG, Served, paces::choose};
+use super::{Neighbour, STOP_ALL_AFTER, ServingTask, paces::choose_paces};
 use crate::job::{Image, JobId, RunNumber, TaskRef};
 use crate::shard::interference::{Effects, Estimate, ImageIx, Learned, Pair};
 use crate::shard::vm_run::RunKey;
@@ -7,7 +7,7 @@
 const HEAVY: f64 = 2.0;
 const LIGHT: f64 = 0.2;
 
-/// What is known of one heavy and one light leftover image beside one serving image.
+/// Learned effects of one heavy and one light leftover image on one serving image.
 struct Known {
     effects: Effects,
     heavy: ImageIx,
@@ -33,11 +33,11 @@
 
 fn neighbour(image: ImageIx, full: f64) -> Neighbour {
     let key = RunKey { task: task(1), run: RunNumber(1) };
-    Neighbour { key, image, full, pace: 100, wanted: 1.0 }
+    Neighbour { key, image, full, pace: 100, target_pace: 1.0 }
 }
 
-fn served(image: ImageIx, slack: f64, over: Duration) -> Served {
-    Served {
+fn served(image: ImageIx, slack: f64, over: Duration) -> ServingTask {
+    ServingTask {
         task: task(2),
         image,
         own: 0.78 - slack,
@@ -48,55 +48,58 @@
     }
 }
 
-fn wanted(neighbours: &[Neighbour]) -> Vec<f64> {
-    neighbours.iter().map(|n| (n.wanted * 100.0).round() / 100.0).collect()
+fn target_paces(neighbours: &[Neighbour]) -> Vec<f64> {
+    neighbours.iter().map(|n| (n.target_pace * 100.0).round() / 100.0).collect()
 }
 
-// Three serving tasks have room for a light neighbour and for half of a heavy one. The heavy one is
-// slowed to less than that, since their load isn't known exactly; the light one works on.
+// Three serving tasks have slack for a light neighbour and for half of a heavy one. The heavy one
+// must be slowed to less than half, since loads are known only approximately, and the light one
+// must run at full speed.
 #[test]
-fn who_adds_most_is_slowed_first() {
+fn the_heaviest_neighbour_is_slowed_first() {
     let known = known();
     let mut neighbours = [neighbour(known.heavy, 0.1), neighbour(known.light, 0.1)];
     let three = [0.12, 0.12, 0.12].map(|slack| served(known.serving, slack, Duration::ZERO));
-    let worst = choose(&mut neighbours, &three, &known.effects);
+    let worst = choose_paces(&mut neighbours, &three, &known.effects);
     assert!(worst.is_some());
-    let [heavy, light] = wanted(&neighbours)[..] else { panic!("two neighbours") };
+    let [heavy, light] = target_paces(&neighbours)[..] else { panic!("two neighbours") };
     assert!((0.1..0.31).contains(&heavy), "{heavy}");
     assert!((light - 1.0).abs() < 1e-9, "{light}");
 }
 
-// One serving task's load is at its height and leaves no room at all, beside twelve light neighbours
-// that would all have to stand still for it: they work on.
+// One serving task at its peak load has no slack, next to twelve light neighbours that would all
+// have to be stopped for it. They must keep running.
 #[test]
-fn a_dozen_is_not_stopped_for_one() {
+fn many_light_neighbours_are_not_stopped_for_one_serving_task() {
     let known = known();
     let mut neighbours: Vec<Neighbour> = (0..12).map(|_| neighbour(known.light, 0.08)).collect();
     let served = [served(known.serving, 0.0, Duration::ZERO)];
-    assert_eq!(choose(&mut neighbours, &served, &known.effects), None);
-    assert_eq!(wanted(&neighbours), vec![1.0; 12]);
+    assert_eq!(choose_paces(&mut neighbours, &served, &known.effects), None);
+    assert_eq!(target_paces(&neighbours), vec![1.0; 12]);
 }
 
-// The same task has been over its target for more than two seconds: whatever it costs, they stop.
+// The same task has been over its target for more than two seconds: all neighbours must be stopped
+// whatever the cost.
 #[test]
-fn a_task_that_was_over_for_long_is_relieved() {
+fn all_neighbours_stop_for_a_task_over_its_target_for_long() {
     let known = known();
     let mut neighbours: Vec<Neighbour> = (0..12).map(|_| neighbour(known.light, 0.08)).collect();
-    let served = [served(known.serving, 0.0, OVER_TOO_LONG)];
-    assert_eq!(choose(&mut neighbours, &served, &known.effects), Some(0));
-    assert_eq!(wanted(&neighbours), vec![0.0; 12]);
+    let served = [served(known.serving, 0.0, STOP_ALL_AFTER)];
+    assert_eq!(choose_paces(&mut neighbours, &served, &known.effects), Some(0));
+    assert_eq!(target_paces(&neighbours), vec![0.0; 12]);
 }
 
-// Four serving tasks beside one heavy neighbour, whose work would take each of them over its target:
-// four that are over cost more than one that stands nearly still. For a single one it works on.
+// A heavy neighbour would push each serving task next to it over its target. Four tasks over their
+// targets cost more than one neighbour that is nearly stopped, so it is slowed for four. For a
+// single one it keeps running.
 #[test]
-fn one_stops_for_many() {
+fn one_heavy_neighbour_is_slowed_for_several_serving_tasks() {
     let known = known();
     let beside = |tasks: usize| {
         let mut neighbours = [neighbour(known.heavy, 0.1)];
         let served = vec![served(known.serving, 0.1, Duration::ZERO); tasks];
-        choose(&mut neighbours, &served, &known.effects);
-        wanted(&neighbours)[0]
+        choose_paces(&mut neighbours, &served, &known.effects);
+        target_paces(&neighbours)[0]
     };
     let (for_four, for_one) = (beside(4), beside(1));
     assert!(for_four <= 0.3, "{for_four}");
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -6,7 +6,7 @@
 use super::Shard;
 use super::health::State;
 use super::interference::{Effects, ImageIx, chance_over};
-use super::relief::OVER_TOO_LONG;
+use super::relief::STOP_ALL_AFTER;
 use super::vm_run::{RunKey, Vm};
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Life, Share, Step, StepRef};
@@ -98,7 +98,7 @@
         let now = self.now.steady;
         room.is_kept = self.kept.has(&vm.id);
         room.closes = self.vacating.comes(&vm.id);
-        room.pressed = vm.runs.values().any(|run| run.serving.is_over_for(OVER_TOO_LONG, now));
+        room.pressed = vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
         let mut lasting = 0.0;
         let mut beside = Vec::new();
         for (key, run) in &vm.runs {
