--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -1,4 +1,4 @@
-//! Which task goes where, and which goes first.
+//! Placement of waiting tasks on VMs.
 
 #[cfg(test)]
 mod tests;
@@ -15,77 +15,83 @@
 use crate::units::Resources;
 use std::time::Duration;
 
-/// Least time between two passes, so that a burst of answers costs one pass.
+/// Minimum time between two scheduling passes, so that a burst of responses triggers a single pass.
 const SCHEDULE_GAP: Duration = Duration::from_millis(10);
 
-/// Longest time between two passes: loads swing and rests end without an event.
+/// Maximum time between two scheduling passes: loads change and VM quarantines end without an
+/// event.
 const SCHEDULE_EVERY: Duration = Duration::from_millis(100);
 
-/// Least speed, less the harm that it does, at which a leftover task is placed: below it, those that run
-/// are better left to end first. Tasks placed sooner only slow each other down.
+/// Minimum effective speed (speed reduced by the harm to serving tasks) at which a leftover task is
+/// placed. Below it, waiting for running tasks to end is better: tasks placed sooner only slow each
+/// other down.
 pub(super) const MIN_LEFTOVER_SPEED: f64 = 0.8;
 
-/// How much a leftover task's speed counts against spare cores.
+/// Weight of a leftover task's speed relative to one spare core.
 const SPEED_WEIGHT: f64 = 100.0;
 
-/// Share of a shard's processors up to which it is given lasting tasks first. The rest is for
-/// tasks that must start at once, which take a tenth of all processors on average.
+/// Share of a shard's processors up to which it is preferred for lasting tasks. The rest is for
+/// tasks that must start immediately, which take a tenth of all processors on average.
 pub(super) const LASTING_SHARE: f64 = 0.8;
 
-/// Share of a shard's processors that jobs may bring lasting tasks up to when every shard has its part. An
-/// eighth of its VMs may leave, and all of it still has a place. What is left lies in pieces that short tasks
-/// hardly fit in: with more, their callers waited for a place on one VM for as long as the lasting tasks ran.
+/// Share of a shard's processors that lasting tasks may fill once every shard has its part. An
+/// eighth of the VMs can then leave and all lasting tasks still have a place. The remaining room is
+/// fragmented and hardly fits short tasks: above this limit, callers of short tasks waited for room
+/// on a single VM for as long as the lasting tasks ran.
 pub(super) const LASTING_LIMIT: f64 = 0.8;
 
-/// Share of a shard's processors from which on its lasting tasks are crowded: each piece of room is needed for
-/// the largest task that fits in it.
-const CROWDED: f64 = 0.9;
+/// Share of a shard's processors above which its lasting tasks count as crowded: the room on each
+/// VM must then be kept for the largest task that fits there.
+const CROWDED_SHARE: f64 = 0.9;
 
-/// Costs of placing a lasting task: beside other images only, and where nothing serves yet.
-const MIXED_IMAGES: f64 = 3.0;
-const OPENED_VM: f64 = 0.8;
+/// Costs of placing a lasting task: next to other images only, and on a VM without serving tasks.
+const MIXED_IMAGES_COST: f64 = 3.0;
+const FIRST_SERVING_TASK_COST: f64 = 0.8;
 
-/// Cost of placing a lasting task where it will have to leave again: more than any mixture.
-const CLOSES_SOON: f64 = 10.0;
+/// Cost of placing a lasting task on a VM that must be vacated soon; exceeds any cost of mixing
+/// images.
+const VACATES_SOON_COST: f64 = 10.0;
 
-/// Cost of leftover work on a VM where nothing serves, which is kept for work that is slowed down
-/// everywhere else: more than the spare cores of any VM, and less than half of a task's speed.
-const FREE_OF_SERVING: f64 = 40.0;
+/// Cost of placing leftover work on a VM without serving tasks, which is kept for work that is slow
+/// everywhere else. It exceeds the spare cores of any VM but is less than half of the weight of a
+/// task's speed.
+const NO_SERVING_TASKS_COST: f64 = 40.0;
 
-/// Cost of another task of the same step on a VM: tells like VMs apart, and no more.
-const SAME_STEP: f64 = 0.01;
+/// Cost of each other task of the same step on a VM; only breaks ties between similar VMs.
+const SAME_STEP_COST: f64 = 0.01;
 
-/// Costs that outweigh everything else, the heavier ones last resorts.
-const BESIDE_LASTING: f64 = 1e3;
-const BESIDE_SUSPECT: f64 = 5e3;
-const FAR_FROM_DATA: f64 = 1e4;
-const SUSPECTS_TOGETHER: f64 = 5e4;
-const ON_TRIAL: f64 = 1e5;
-const FAILED_THERE: f64 = 1e6;
+/// Costs that outweigh all others. VMs with the higher ones are used as a last resort.
+const LASTING_NEIGHBOUR_COST: f64 = 1e3;
+const SUSPECT_NEIGHBOUR_COST: f64 = 5e3;
+const REMOTE_DATA_COST: f64 = 1e4;
+const SUSPECT_PAIR_COST: f64 = 5e4;
+const PROBATION_COST: f64 = 1e5;
+const PREVIOUS_FAILURE_COST: f64 = 1e6;
 
-/// Time after which a job of which nothing runs gets a place for one task, however slow it is
-/// there: work that stands still altogether looks lost to its caller.
-const STALLED: Duration = Duration::from_millis(1500);
+/// Time after which a job with no running task gets one task placed regardless of its speed: to its
+/// caller, a job that makes no progress at all looks lost.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Whether a task is better left to wait than run slowly.
+/// Whether a task should wait rather than run slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Need {
-    Usual,
-    /// Nothing of its job runs, and hasn't for a while.
+    Normal,
+    /// None of the job's tasks are running, and haven't been for [`STALL_TIMEOUT`].
     Stalled,
 }
 
-/// Waiting tasks that are offered to other shards in one pass.
-const MAX_LENT: usize = 64;
+/// Maximum number of waiting tasks offered to other shards in one pass.
+const MAX_LOAN_OFFERS: usize = 64;
 
-/// One pass over what waits.
+/// State of one scheduling pass.
 pub(super) struct Pass {
     pub rooms: Vec<Room>,
-    /// What found no room in this pass; room only gets less.
-    hopeless: Vec<Shape>,
+    /// Task shapes that could not be placed in this pass. Room only shrinks during a pass, so they
+    /// aren't tried again.
+    unplaceable: Vec<Shape>,
 }
 
-/// What decides where a task fits, apart from its own past.
+/// The properties that decide where a task fits, apart from the task's own history.
 #[derive(Clone, Debug)]
 struct Shape {
     service: ServiceName,
@@ -93,13 +99,13 @@
     share: Share,
     life: Life,
     size: Resources,
-    /// Whether it may go to any VM of the service.
-    free: Anywhere,
+    /// Whether the task may run on any VM of the service.
+    any_vm: AnyVm,
 }
 
-/// Whether a task is bound to some VMs.
+/// Whether a task is free of per-VM restrictions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Anywhere {
+enum AnyVm {
     Yes,
     No,
 }
@@ -113,14 +119,14 @@
             share: step.share,
             life: step.life,
             size: step.size,
-            free: if bound { Anywhere::No } else { Anywhere::Yes },
+            any_vm: if bound { AnyVm::No } else { AnyVm::Yes },
         }
     }
 
-    /// Whether a task of this shape fits nowhere where one of the other doesn't.
-    fn is_as_large(&self, other: &Self) -> bool {
+    /// Returns whether a task of this shape can't be placed if one of the `other` shape can't.
+    fn requires_at_least(&self, other: &Self) -> bool {
         let alike = self.share == Share::Reserved || self.image == other.image;
-        other.free == Anywhere::Yes
+        other.any_vm == AnyVm::Yes
             && alike
             && self.service == other.service
             && (self.share, self.life) == (other.share, other.life)
@@ -129,18 +135,18 @@
 }
 
 impl Pass {
-    fn is_hopeless(&self, shape: &Shape) -> bool {
-        self.hopeless.iter().any(|hopeless| shape.is_as_large(hopeless))
+    fn is_unplaceable(&self, shape: &Shape) -> bool {
+        self.unplaceable.iter().any(|unplaceable| shape.requires_at_least(unplaceable))
     }
 }
 
 impl Shard {
-    /// Something has changed that may let a task start.
+    /// Schedules an early pass because a waiting task may now be able to start.
     pub(super) fn replan(&mut self) {
         self.next_schedule = self.next_schedule.min(self.last_schedule + SCHEDULE_GAP);
     }
 
-    /// Binds tasks that can start to VMs with room.
+    /// Runs a scheduling pass if one is due, binding tasks that can start to VMs with room.
     pub(super) fn schedule(&mut self) {
         let now = self.now.steady;
         if now < self.next_schedule {
@@ -154,9 +160,9 @@
             return;
         }
         let mut rooms: Vec<Room> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
-        let is_crowded = self.lasting_share(&rooms) > CROWDED;
+        let is_crowded = self.lasting_share(&rooms) > CROWDED_SHARE;
         rooms.iter_mut().for_each(|room| room.is_crowded = is_crowded);
-        let mut pass = Pass { rooms, hopeless: Vec::new() };
+        let mut pass = Pass { rooms, unplaceable: Vec::new() };
         self.place_kept(&mut pass);
         let candidates = self.candidates();
         for candidate in &candidates {
@@ -169,7 +175,7 @@
             task.is_some_and(super::job_run::Task::is_waiting)
         };
         let tasks = candidates.iter().flat_map(|candidate| &candidate.tasks);
-        let left: Vec<TaskRef> = tasks.filter(waits).take(MAX_LENT).copied().collect();
+        let left: Vec<TaskRef> = tasks.filter(waits).take(MAX_LOAN_OFFERS).copied().collect();
         self.lend(&left);
         self.make_room(&left, &pass);
     }
@@ -181,7 +187,7 @@
             let Some(step) = spec.steps.get(usize::from(group[0].step)) else { continue };
             let mut shape = Shape::of(&spec, step, self.image(group[0]));
             if self.permits_of(group[0]).is_some() {
-                shape.free = Anywhere::No;
+                shape.any_vm = AnyVm::No;
             }
             if step.members.as_one() {
                 self.place_together(group, step, &shape, pass);
@@ -189,12 +195,12 @@
             }
             for task in group {
                 let need = self.need(candidate.id, *task);
-                if need == Need::Usual && pass.is_hopeless(&shape) {
+                if need == Need::Normal && pass.is_unplaceable(&shape) {
                     break;
                 }
                 let Some(choice) = self.choose(*task, step, need, &shape, &pass.rooms) else {
-                    hold_for(*task, step, &shape, &mut pass.rooms);
-                    pass.hopeless.push(shape.clone());
+                    hold_vm_for(*task, step, &shape, &mut pass.rooms);
+                    pass.unplaceable.push(shape.clone());
                     break;
                 };
                 self.bind(*task, step, &mut pass.rooms[choice]);
@@ -202,7 +208,7 @@
         }
     }
 
-    /// Places all tasks of a group, or none.
+    /// Places all tasks of a group, or none of them.
     fn place_together(&mut self, group: &[TaskRef], step: &Step, shape: &Shape, pass: &mut Pass) {
         if group.len() != step.tasks as usize {
             return;
@@ -210,7 +216,7 @@
         let mut trial = pass.rooms.clone();
         let mut choices = Vec::new();
         for task in group {
-            let Some(choice) = self.choose(*task, step, Need::Usual, shape, &trial) else {
+            let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial) else {
                 return;
             };
             trial[choice].take(step, self.image(*task), task.of_step(), &self.effects);
@@ -226,14 +232,14 @@
             if let Some(job) = self.jobs.get_mut(&task.job)
                 && let Some(task) = job.task_mut(*task)
             {
-                // Members share the number of their run.
+                // All members of a group share one run number.
                 task.last_run = crate::job::RunNumber(run.0 - 1);
             }
             self.bind(*task, step, &mut pass.rooms[choice]);
         }
     }
 
-    /// The best VM for a task.
+    /// Selects the cheapest VM for a task, by index into `rooms`.
     fn choose(
         &self,
         task: TaskRef,
@@ -247,7 +253,7 @@
         let suspect = self.is_suspect(task);
         let failed_on = self.jobs.get(&task.job).and_then(|job| job.task(task)?.failed_on.clone());
         let fits = |(_, room): &(usize, &Room)| {
-            let held = room.held && step.life == Life::Finite;
+            let held = room.held_for_lasting && step.life == Life::Finite;
             !held && !room.is_kept && room.service == shape.service && room.takes(step, key)
         };
         rooms
@@ -259,13 +265,14 @@
             .filter_map(|(index, room)| {
                 let cost = self.cost(room, step, shape.image, need)?;
                 let cost = cost + penalty(room, key, step, failed_on.as_ref());
-                Some((index, cost + apart(room, suspect)))
+                Some((index, cost + suspect_cost(room, suspect)))
             })
             .min_by(|(_, a), (_, b)| a.total_cmp(b))
             .map(|(index, _)| index)
     }
 
-    /// What a task costs on a VM; less is better, `None` if it is better left to wait.
+    /// Computes the cost of placing a task on a VM (lower is better), or `None` if the task should
+    /// rather wait.
     fn cost(&self, room: &Room, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
         let cost = match (step.share, step.life) {
             (Share::Leftover, _) => self.leftover_cost(room, step, image, need)?,
@@ -276,34 +283,38 @@
         Some(cost)
     }
 
-    /// Whether nothing of a job runs though its turn came a while ago.
+    /// Returns [`Need::Stalled`] if the task's job has had no running task since it became ready a
+    /// while ago.
     fn need(&self, id: JobId, task: TaskRef) -> Need {
-        let Some(job) = self.jobs.get(&id) else { return Need::Usual };
+        let Some(job) = self.jobs.get(&id) else { return Need::Normal };
         let since = job.step_run(task).and_then(|step| step.ready);
         let waited = since.map_or(Duration::ZERO, |at| self.now.steady.saturating_sub(at));
-        if waited >= STALLED && !job.has_runs() { Need::Stalled } else { Need::Usual }
+        if waited >= STALL_TIMEOUT && !job.has_runs() { Need::Stalled } else { Need::Normal }
     }
 
-    /// Leftover work goes where it works fastest without slowing down those served there. None begins
-    /// beside a task that has been over its target for long: it works at full speed until the
-    /// VM was looked at again, and so one start after the other kept such a task over its target
-    /// while all that had begun before stood still for it.
+    /// Computes the cost of leftover work, which prefers the VM where it runs fastest without
+    /// slowing down serving tasks.
+    ///
+    /// Nothing is started next to a task that has been over its target for long. New work runs at
+    /// full speed until the VM is polled again, so successive starts kept such a task over its
+    /// target while all its earlier neighbours were stopped for it.
     fn leftover_cost(&self, room: &Room, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
-        if room.pressed {
+        if room.is_overloaded {
             return None;
         }
         let speed = self.speed(room, step, image);
-        if speed < MIN_LEFTOVER_SPEED && need == Need::Usual {
+        if speed < MIN_LEFTOVER_SPEED && need == Need::Normal {
             return None;
         }
         let spare = (room.leftover - room.leftover_demand) / 1000.0;
-        let free = if room.served.is_empty() { FREE_OF_SERVING } else { 0.0 };
+        let free = if room.served.is_empty() { NO_SERVING_TASKS_COST } else { 0.0 };
         Some(free - SPEED_WEIGHT * speed - spare)
     }
 
-    /// Speed that leftover work would have on a VM, less the harm to those served there, 0 to 1.
+    /// Returns the effective speed of leftover work on a VM, reduced by the harm to serving tasks,
+    /// from 0 to 1.
     pub(super) fn speed(&self, room: &Room, step: &Step, image: ImageIx) -> f64 {
-        room.leftover_speed(step) * room.harmless_worth(step, image, &self.effects)
+        room.leftover_speed(step) * room.worth_after_harm(step, image, &self.effects)
     }
 
     pub(super) fn has_label(&self, vm: &VmId, step: &Step) -> bool {
@@ -311,7 +322,7 @@
         self.vms.get(vm).is_some_and(|vm| vm.entry.labels.contains(label))
     }
 
-    /// Binds a task to a VM; it is started once that is durable.
+    /// Binds a task to a VM. It is started once the binding is durable.
     pub(super) fn bind(&mut self, task: TaskRef, step: &Step, room: &mut Room) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
@@ -344,64 +355,73 @@
     }
 }
 
-/// What speaks against a VM whatever the task.
+/// Computes the part of the cost that doesn't depend on the kind of task.
 fn penalty(room: &Room, key: StepRef, step: &Step, failed_on: Option<&VmId>) -> f64 {
-    let mut cost = SAME_STEP * room.count(key) as f64;
+    let mut cost = SAME_STEP_COST * room.count(key) as f64;
     if failed_on == Some(&room.vm) {
-        cost += FAILED_THERE;
+        cost += PREVIOUS_FAILURE_COST;
     }
     if room.trial == Trial::Yes {
-        cost += ON_TRIAL;
+        cost += PROBATION_COST;
     }
     if step.rack.as_ref().is_some_and(|rack| *rack != room.rack) {
-        cost += FAR_FROM_DATA;
+        cost += REMOTE_DATA_COST;
     }
     cost
 }
 
-/// Keeps tasks that may crash their VM from each other, and others from them as far as can be.
-fn apart(room: &Room, suspect: bool) -> f64 {
-    let beside = BESIDE_SUSPECT * room.suspects as f64;
+/// Computes the cost that keeps tasks suspected of crashing their VM away from each other and, as
+/// far as possible, from other tasks.
+fn suspect_cost(room: &Room, suspect: bool) -> f64 {
+    let beside = SUSPECT_NEIGHBOUR_COST * room.suspects as f64;
     if !suspect {
         return beside;
     }
-    SUSPECTS_TOGETHER * room.suspects as f64 + BESIDE_LASTING * room.lasting_tasks as f64
+    SUSPECT_PAIR_COST * room.suspects as f64 + LASTING_NEIGHBOUR_COST * room.lasting_tasks as f64
 }
 
-/// Lasting tasks of one image go together: which leftover work may run beside them is then the same
-/// for all of them. They fill VM after VM, so that some VMs are left without: work that disturbs every
-/// image runs there, and work that must start at once finds room. With a fifth of each VM kept
-/// free instead, days of trouble on 66 VMs were worth 0.38 to 0.40, and 0.43 so.
+/// Computes the cost of a lasting task when the shard isn't crowded.
+///
+/// Lasting tasks of one image are grouped, so that the same leftover work can run next to all of
+/// them. They fill one VM after another, which leaves some VMs without any: work that disturbs
+/// every image runs there, and work that must start immediately finds room. This scored 0.43 on
+/// days with faults on 66 VMs; keeping a fifth of each VM free instead scored 0.38 to 0.40.
 fn lasting_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
-    let (same, others) = room.alike(image);
+    let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
-    let opened = if same + others == 0 { OPENED_VM } else { 0.0 };
-    let share = room.lasting_with(step);
-    let closes = if room.closes { CLOSES_SOON } else { 0.0 };
-    MIXED_IMAGES * mixed + opened + share + closes
+    let opened = if same + others == 0 { FIRST_SERVING_TASK_COST } else { 0.0 };
+    let share = room.lasting_share_with(step);
+    let closes = if room.closes { VACATES_SOON_COST } else { 0.0 };
+    MIXED_IMAGES_COST * mixed + opened + share + closes
 }
 
-/// Crowded lasting tasks go where they leave least, so that a larger one that needs room finds a whole piece.
-/// Which images are beside each other only tells like VMs apart.
+/// Computes the cost of a lasting task when the shard is crowded. The task goes where the least
+/// room is left, so that a larger one can still find enough room on a single VM; mixing images only
+/// breaks ties.
 fn crowded_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
-    let (same, others) = room.alike(image);
+    let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
-    let closes = if room.closes { CLOSES_SOON } else { 0.0 };
-    closes + room.left_beside_lasting(step) + SAME_STEP * mixed
+    let closes = if room.closes { VACATES_SOON_COST } else { 0.0 };
+    closes + room.share_left_with(step) + SAME_STEP_COST * mixed
 }
 
-/// Keeps short tasks off the VM where a lasting task will fit soonest: it needs more room at once
-/// than a short one, and would wait as long as any of those comes. Memory counts as well: a VM without
-/// any, which is taken for good, was kept for its free processors, and the task waited in vain.
-fn hold_for(task: TaskRef, step: &Step, shape: &Shape, rooms: &mut [Room]) {
+/// Holds the VM where a lasting task can fit soonest, so that finite tasks aren't placed there. The
+/// task needs more room at once than a short one and would otherwise wait for as long as short
+/// tasks arrive.
+///
+/// Memory is checked as well: a VM whose memory was permanently taken used to be held for its free
+/// processors, and the task never fit.
+fn hold_vm_for(task: TaskRef, step: &Step, shape: &Shape, rooms: &mut [Room]) {
     if step.life != Life::Lasting || step.share != Share::Reserved {
         return;
     }
     let fits = |room: &&mut Room| {
-        room.could_take(step, task.of_step()) && !room.held && room.service == shape.service
+        room.could_take(step, task.of_step())
+            && !room.held_for_lasting
+            && room.service == shape.service
     };
     let best = rooms.iter_mut().filter(fits).max_by_key(|room| room.free.milli_cores);
     if let Some(room) = best {
-        room.held = true;
+        room.held_for_lasting = true;
     }
 }
--- a/src/shard/place/tests.rs
+++ b/src/shard/place/tests.rs
@@ -25,10 +25,10 @@
     ["a", "b"].map(|name| effects.number(&Image::new(name)))
 }
 
-// Lasting tasks of two images come one after the other onto four VMs. Each image fills one VM, and
-// two VMs stay free for work that disturbs both images and for work that must start at once.
+// Lasting tasks of two images arrive alternately on four VMs. Each image must fill one VM, leaving
+// two VMs free for work that disturbs both images and for work that must start immediately.
 #[test]
-fn lasting_tasks_fill_vm_after_vm_each_image_for_itself() {
+fn lasting_tasks_of_each_image_fill_one_vm_at_a_time() {
     let mut effects = Effects::default();
     let [a, b] = images(&mut effects);
     let mut rooms = ["vm-0", "vm-1", "vm-2", "vm-3"].map(room);
@@ -41,6 +41,6 @@
         let best = fitting.min_by(|x, y| cost(x).total_cmp(&cost(y))).expect("there is room");
         best.take(&step, image, task, &effects);
     }
-    let there: Vec<(usize, usize)> = rooms.iter().map(|room| room.alike(a)).collect();
+    let there: Vec<(usize, usize)> = rooms.iter().map(|room| room.serving_by_image(a)).collect();
     assert_eq!(there, [(5, 0), (0, 5), (0, 0), (0, 0)]);
 }
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -1,4 +1,4 @@
-//! The room on the shard's VMs, as one pass of placing sees it.
+//! Available capacity of the shard's VMs during a scheduling pass.
 
 #[cfg(test)]
 mod tests;
@@ -14,82 +14,84 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of a lasting task's reserved processors that it uses on average; the rest is left over.
-/// A first guess, corrected by what leftover work is seen to get.
-const LASTING_LOAD: f64 = 0.5;
+/// Expected utilization of a lasting task's reserved processors; the rest is available to leftover
+/// work. An initial estimate, corrected by what leftover work is measured to get.
+const LASTING_UTILIZATION: f64 = 0.5;
 
-/// Room on one VM.
+/// Available capacity of one VM.
 #[derive(Clone, Debug)]
 pub struct Room {
     pub vm: VmId,
-    /// `ip:port` of the VM.
+    /// Address of the VM as `ip:port`.
     pub addr: Arc<str>,
     pub rack: RackId,
     pub service: ServiceName,
     pub free: Resources,
-    /// Processors that leftover work shares, in thousandths of a core.
+    /// Processors available to leftover work, in millicores.
     pub leftover: f64,
-    /// Processors that the leftover work there would use, in thousandths of a core.
+    /// Processors that the leftover work on the VM demands, in millicores.
     pub leftover_demand: f64,
     pub trial: Trial,
-    /// Whether it is kept free for a lasting task.
-    pub held: bool,
+    /// Whether the VM is held for a waiting lasting task.
+    pub held_for_lasting: bool,
     /// Whether the shard's lasting tasks are crowded.
     pub is_crowded: bool,
-    /// Whether it is kept for a single task that is to come.
+    /// Whether the VM is kept for a single task that is to be placed on it.
     pub is_kept: bool,
-    /// Whether a serving task there has been over its target for long.
-    pub pressed: bool,
-    /// Tasks there that may crash their VM.
+    /// Whether a serving task on the VM has been over its target for long.
+    pub is_overloaded: bool,
+    /// Number of tasks on the VM that are suspected of crashing their VM.
     pub suspects: usize,
-    /// Whether it will have to be emptied soon.
+    /// Whether the VM must be vacated soon.
     pub closes: bool,
-    /// Serving tasks there.
-    pub served: Vec<Served>,
-    /// Processors reserved for lasting tasks, as a share of all.
+    /// Serving tasks on the VM.
+    pub served: Vec<ServingTask>,
+    /// Processors reserved for lasting tasks, as a share of the VM's processors.
     pub lasting: f64,
-    /// Lasting tasks there.
+    /// Number of lasting tasks on the VM.
     pub lasting_tasks: usize,
     size: f64,
-    /// What is there for tasks that don't last.
-    passing: Resources,
-    /// Steps of the tasks there, to count those of one step.
+    /// Capacity that lasting tasks leave to finite ones.
+    finite_capacity: Resources,
+    /// Step of each task on the VM, to count tasks by step.
     steps: Vec<StepRef>,
 }
 
-/// A serving task, as far as placing beside it is concerned.
+/// The properties of a serving task that matter for placing work next to it.
 #[derive(Clone, Debug)]
-pub struct Served {
+pub struct ServingTask {
     pub image: ImageIx,
-    /// Load that may be added before its tail is over the bound.
+    /// Load that can be added before the task's tail latency exceeds its target.
     pub slack: f64,
 }
 
-/// Whether a VM gets one task at a time, to see whether it is well again.
+/// Whether a VM is on probation and gets one task at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trial {
     No,
     Yes,
 }
 
-/// Own load of a serving task that has told nothing yet: near the top of its swing.
-const EXPECTED_LOAD: f64 = 0.6;
+/// Assumed own load of a serving task that has reported nothing yet: near the top of its usual
+/// range.
+const DEFAULT_EXPECTED_LOAD: f64 = 0.6;
 
-/// Least own load that is expected while work placed beside it runs: a low one rises again. Mean worth
-/// of 18 days on each of three sites at 0.45: 0.611, 0.576, 0.499; at 0.35: 0.619, 0.580, 0.500.
-const LEAST_EXPECTED: f64 = 0.35;
+/// Lower bound of the own load expected while work placed next to a serving task runs, since a low
+/// load rises again. Mean score of 18 days on each of three sites at 0.45: 0.611, 0.576, 0.499; at
+/// 0.35: 0.619, 0.580, 0.500.
+const MIN_EXPECTED_LOAD: f64 = 0.35;
 
-/// Worth of a leftover task's work that is lost with one serving task over its target. More than where
-/// work that runs is slowed for it: work that waits a moment finds another VM. Mean worth of 18 days on
-/// each of three sites at 0.5: 0.585, 0.570, 0.533; at 1.25: 0.620, 0.582, 0.540; at 2.6: 0.609,
-/// 0.576, 0.497.
+/// Share of a leftover task's value that is lost for each serving task over its target. Higher than
+/// for slowing down running work, since work that waits a moment finds another VM. Mean score of 18
+/// days on each of three sites at 0.5: 0.585, 0.570, 0.533; at 1.25: 0.620, 0.582, 0.540; at 2.6:
+/// 0.609, 0.576, 0.497.
 const HARM_COST: f64 = 1.25;
 
-/// Time from now to the middle of what is placed now.
-const FORESIGHT: Duration = Duration::from_millis(1000);
+/// Time from now to the middle of the run of a task placed now.
+const FORECAST_HORIZON: Duration = Duration::from_millis(1000);
 
 impl Shard {
-    /// The room on a VM; `None` if it takes no work now.
+    /// Returns the room on a VM, or `None` if it accepts no work at the moment.
     pub(super) fn room(&self, vm: &Vm) -> Option<Room> {
         if self.vacating.has(&vm.id) {
             return None;
@@ -98,7 +100,8 @@
         let now = self.now.steady;
         room.is_kept = self.kept.has(&vm.id);
         room.closes = self.vacating.comes(&vm.id);
-        room.pressed = vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
+        room.is_overloaded =
+            vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
         let mut lasting = 0.0;
         let mut beside = Vec::new();
         for (key, run) in &vm.runs {
@@ -108,7 +111,7 @@
             room.suspects += usize::from(self.is_suspect(key.task));
             let image = self.image(key.task);
             if step.life == Life::Lasting {
-                room.passing = room.passing.saturating_sub(&run.reserved);
+                room.finite_capacity = room.finite_capacity.saturating_sub(&run.reserved);
                 room.lasting_tasks += 1;
             }
             if step.life == Life::Lasting && step.share == Share::Reserved {
@@ -117,11 +120,12 @@
             if step.tail_target.is_some() {
                 let load =
                     self.jobs.get(&key.task.job).and_then(|job| job.step_run(key.task)?.load);
-                let slack = load.map_or(USUAL_BOUND - EXPECTED_LOAD, |load| {
-                    let foreseen = load.forecast(self.now.steady, FORESIGHT).max(LEAST_EXPECTED);
-                    load.load_at_target_share(super::interference::TARGET_SHARE) - foreseen
+                let slack = load.map_or(DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD, |load| {
+                    let expected =
+                        load.forecast(self.now.steady, FORECAST_HORIZON).max(MIN_EXPECTED_LOAD);
+                    load.load_at_target_share(super::interference::TARGET_SHARE) - expected
                 });
-                room.served.push(Served { image, slack });
+                room.served.push(ServingTask { image, slack });
             } else if run.share == Share::Leftover {
                 beside.push((image, f64::from(run.milli_cores) / room.size));
             }
@@ -134,11 +138,12 @@
     }
 }
 
-/// Bound on the load of a serving task that has told nothing yet.
-const USUAL_BOUND: f64 = 0.72;
+/// Load bound of a serving task that has reported nothing yet.
+const DEFAULT_LOAD_BOUND: f64 = 0.72;
 
 impl Room {
-    /// The room on a VM; `None` if it takes no work now.
+    /// Returns the room on a VM as far as its own state tells, or `None` if it accepts no work at
+    /// the moment.
     fn of(vm: &Vm, now: Duration) -> Option<Self> {
         if !vm.takes_work(now) || vm.is_over() {
             return None;
@@ -152,7 +157,7 @@
         let mut leftover_demand = 0.0;
         for run in vm.runs.values() {
             match run.share {
-                Share::Reserved => used += f64::from(run.milli_cores) * LASTING_LOAD,
+                Share::Reserved => used += f64::from(run.milli_cores) * LASTING_UTILIZATION,
                 Share::Leftover => leftover_demand += f64::from(run.milli_cores),
             }
         }
@@ -169,7 +174,7 @@
         })
     }
 
-    /// The room on a VM on which nothing runs.
+    /// Returns the room on a VM that runs nothing.
     pub fn empty(
         vm: VmId,
         addr: Arc<str>,
@@ -187,68 +192,68 @@
             leftover: cores,
             leftover_demand: 0.0,
             trial: Trial::No,
-            held: false,
+            held_for_lasting: false,
             is_crowded: false,
             is_kept: false,
-            pressed: false,
+            is_overloaded: false,
             suspects: 0,
             closes: false,
             served: Vec::new(),
             lasting: 0.0,
             lasting_tasks: 0,
             size: cores.max(1.0),
-            passing: size,
+            finite_capacity: size,
             steps: Vec::new(),
         }
     }
 
-    /// Whether a task of the step fits.
+    /// Returns whether a task of the step fits now.
     pub fn takes(&self, step: &Step, key: StepRef) -> bool {
-        step.reserved().fits_in(&self.free) && self.is_below_most(step, key)
+        step.reserved().fits_in(&self.free) && self.is_below_vm_limit(step, key)
     }
 
-    /// Whether a task of the step will fit once everything that doesn't last has ended.
+    /// Returns whether a task of the step will fit once all finite tasks have ended.
     pub fn could_take(&self, step: &Step, key: StepRef) -> bool {
-        step.reserved().fits_in(&self.passing) && self.is_below_most(step, key)
+        step.reserved().fits_in(&self.finite_capacity) && self.is_below_vm_limit(step, key)
     }
 
-    /// Whether one more task of the step may be here.
-    fn is_below_most(&self, step: &Step, key: StepRef) -> bool {
+    /// Returns whether the step's per-VM limit allows one more task.
+    fn is_below_vm_limit(&self, step: &Step, key: StepRef) -> bool {
         step.per_vm == 0 || self.count(key) < step.per_vm as usize
     }
 
-    /// The VM's processors, in thousandths of a core.
+    /// Returns the VM's processors in millicores.
     pub fn milli_cores(&self) -> f64 {
         self.size
     }
 
-    /// What lasting tasks leave here.
+    /// Returns the capacity that lasting tasks leave free.
     pub fn beside_lasting(&self) -> Resources {
-        self.passing
+        self.finite_capacity
     }
 
-    /// Tasks of a step that fit.
+    /// Returns how many tasks of a step fit.
     pub fn fitting(&self, step: &Step) -> usize {
         let need = step.reserved();
         let fits = self.free.times(&need);
         if step.per_vm == 0 { fits } else { fits.min(step.per_vm as usize) }
     }
 
-    /// Tasks of a step there.
+    /// Counts the tasks of a step on the VM.
     pub fn count(&self, key: StepRef) -> usize {
         self.steps.iter().filter(|step| **step == key).count()
     }
 
-    /// Tasks there.
+    /// Counts all tasks on the VM.
     pub fn tasks(&self) -> usize {
         self.steps.len()
     }
 
-    /// Takes room for a task.
+    /// Reserves room for a task.
     pub fn take(&mut self, step: &Step, image: ImageIx, key: StepRef, effects: &Effects) {
         self.free = self.free.saturating_sub(&step.reserved());
         if step.life == Life::Lasting {
-            self.passing = self.passing.saturating_sub(&step.reserved());
+            self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved());
             self.lasting_tasks += 1;
         }
         let share = f64::from(step.size.milli_cores.0) / self.size;
@@ -260,45 +265,46 @@
             self.lasting += share;
         }
         if step.tail_target.is_some() {
-            let slack = USUAL_BOUND - EXPECTED_LOAD;
-            self.served.push(Served { image, slack });
+            let slack = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
+            self.served.push(ServingTask { image, slack });
         }
         self.steps.push(key);
     }
 
-    /// What is left of a leftover task's worth after the harm that it would do here, 0 to 1.
+    /// Returns the value of a leftover task here after subtracting the harm to serving tasks, from
+    /// 0 to 1.
     ///
-    /// The harm is by how much it raises the chance of each serving task to be over its target. A task
-    /// that adds little does little harm also beside one whose load is at its bound, or over it already;
-    /// one that adds much does some to each of several that are still under theirs.
-    pub fn harmless_worth(&self, step: &Step, image: ImageIx, effects: &Effects) -> f64 {
+    /// Harm is the increase in each serving task's probability of exceeding its target. A task that
+    /// adds little load does little harm even next to a serving task that is at its bound or
+    /// already over it. One that adds much harms several tasks that are still below theirs.
+    pub fn worth_after_harm(&self, step: &Step, image: ImageIx, effects: &Effects) -> f64 {
         let share = f64::from(step.size.milli_cores.0) / self.size;
-        let harm = |served: &Served| {
+        let harm = |served: &ServingTask| {
             let added = effects.amount(image, served.image) * share;
             chance_over(added - served.slack) - chance_over(-served.slack)
         };
         (1.0 - HARM_COST * self.served.iter().map(harm).sum::<f64>()).max(0.0)
     }
 
-    /// Processors that leftover work of an image gets here without harm to those served, beside
-    /// nothing else, in thousandths of a core.
+    /// Estimates the millicores that leftover work of an image can use here without harming serving
+    /// tasks, if no other leftover work runs.
     pub fn harmless(&self, image: ImageIx, effects: &Effects) -> u64 {
-        let bound = USUAL_BOUND - EXPECTED_LOAD;
-        let most = |served: &Served| {
+        let bound = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
+        let most = |served: &ServingTask| {
             let amount = effects.amount(image, served.image);
             if amount <= 0.0 { self.size } else { bound / amount * self.size }
         };
         let most = self.served.iter().map(most).fold(self.size, f64::min);
-        // A VM where the image may use a tenth of what is left is worth far less than a tenth: what
-        // runs there is slowed with every swing of those served.
+        // Squared, because a VM where the image may use a tenth of the remaining processors is
+        // worth far less than a tenth: work there is slowed with every load change of the serving
+        // tasks.
         let share = (most / self.leftover.max(1.0)).min(1.0);
         (self.leftover * share * share) as u64
     }
 
-    /// Processors that leftover work of an image would still get here without harm, in thousandths
-    /// of a core.
+    /// Estimates the millicores that additional leftover work of an image can use without harm.
     pub fn harmless_free(&self, image: ImageIx, effects: &Effects) -> u64 {
-        let most = |served: &Served| {
+        let most = |served: &ServingTask| {
             let amount = effects.amount(image, served.image);
             if amount <= 0.0 { self.size } else { served.slack.max(0.0) / amount * self.size }
         };
@@ -306,19 +312,21 @@
         most.min(self.leftover - self.leftover_demand).max(0.0) as u64
     }
 
-    /// Share of the VM's processors that lasting tasks leave once the task is there.
-    pub fn left_beside_lasting(&self, step: &Step) -> f64 {
-        let left = self.passing.saturating_sub(&step.reserved());
+    /// Returns the share of the VM's processors left by lasting tasks once a task of the step is
+    /// added.
+    pub fn share_left_with(&self, step: &Step) -> f64 {
+        let left = self.finite_capacity.saturating_sub(&step.reserved());
         f64::from(left.milli_cores.0) / self.size
     }
 
-    /// Share of the VM's processors that lasting tasks reserve once the task is there.
-    pub fn lasting_with(&self, step: &Step) -> f64 {
+    /// Returns the share of the VM's processors reserved by lasting tasks once a task of the step
+    /// is added.
+    pub fn lasting_share_with(&self, step: &Step) -> f64 {
         self.lasting + f64::from(step.size.milli_cores.0) / self.size
     }
 
-    /// Serving tasks there with this image, and with others.
-    pub fn alike(&self, image: ImageIx) -> (usize, usize) {
+    /// Counts the serving tasks with this image and with other images.
+    pub fn serving_by_image(&self, image: ImageIx) -> (usize, usize) {
         let same = self.served.iter().filter(|served| served.image == image).count();
         (same, self.served.len() - same)
     }
@@ -329,7 +337,7 @@
         }
     }
 
-    /// Speed that one more leftover task would have, 0 to 1.
+    /// Returns the speed that one more leftover task would have, from 0 to 1.
     pub fn leftover_speed(&self, step: &Step) -> f64 {
         let demand = self.leftover_demand + f64::from(step.size.milli_cores.0);
         (self.leftover / demand.max(1.0)).min(1.0)
--- a/src/shard/room/tests.rs
+++ b/src/shard/room/tests.rs
@@ -1,4 +1,4 @@
-use super::{Room, Served};
+use super::{Room, ServingTask};
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, Resume, Share, Step};
 use crate::shard::interference::{Effects, Estimate, ImageIx, Learned, Pair};
@@ -8,7 +8,7 @@
 
 const SIZE: Resources = Resources::new(32_000, 128_000, 0);
 
-/// A leftover task of a ninth of a VM's processors, as batch work of the users asks for.
+/// A leftover task that uses a ninth of a VM's processors, like the users' batch work.
 fn leftover() -> Step {
     Step {
         resume: Resume::FromCheckpoint,
@@ -17,8 +17,9 @@
     }
 }
 
-/// A VM with five serving tasks of one image, whose loads may rise by `slack` before they are over
-/// their targets; amounts are those of the two groups that pairs of images fall into.
+/// Returns the value of a leftover task on a VM with five serving tasks of one image. `slack` is
+/// the load that each can take before it is over its target. `amount` is the interference of the
+/// pair of images; measured pairs fall into two groups, [`HEAVY`] and [`LIGHT`].
 fn worth(amount: f64, slack: f64) -> f64 {
     let mut effects = Effects::default();
     let pair = Pair { leftover: Image::new("leftover"), serving: Image::new("serving") };
@@ -28,31 +29,33 @@
         ["leftover", "serving"].map(|name| effects.number(&Image::new(name)));
     let (rack, service) = (RackId::new("r0"), ServiceName::new("desk"));
     let mut room = Room::empty(VmId::new("vm"), Arc::from("vm"), rack, service, SIZE);
-    room.served = vec![Served { image: serving, slack }; 5];
-    room.harmless_worth(&leftover(), image, &effects)
+    room.served = vec![ServingTask { image: serving, slack }; 5];
+    room.worth_after_harm(&leftover(), image, &effects)
 }
 
 const HEAVY: f64 = 2.0;
 const LIGHT: f64 = 0.2;
 
-// Five serving tasks are over their targets by their own load. Work that adds little changes nothing
-// for them, and may begin; counted by the load that is left it would have waited for the peak to pass.
+// Five serving tasks are over their targets because of their own load. Work that adds little load
+// makes no difference to them and must be able to start. If only the remaining slack counted, it
+// would wait for the peak to pass.
 #[test]
-fn light_work_begins_beside_tasks_at_their_peak() {
+fn light_work_starts_beside_serving_tasks_at_peak_load() {
     assert!(worth(LIGHT, -0.15) > 0.9, "{}", worth(LIGHT, -0.15));
 }
 
-// Five serving tasks would just stay under their targets beside work that adds much. Each is over with
-// a chance of a third, since loads aren't known exactly: the work waits or goes elsewhere.
+// Five serving tasks would just stay below their targets next to heavy work. Since loads are only
+// known approximately, each has a probability of a third of exceeding its target, so the work must
+// wait or run elsewhere.
 #[test]
-fn heavy_work_keeps_away_from_tasks_that_would_just_stay_under() {
+fn heavy_work_avoids_serving_tasks_close_to_their_target() {
     assert!(worth(HEAVY, 0.24) < 0.2, "{}", worth(HEAVY, 0.24));
     assert!(worth(HEAVY, 0.4) > 0.9, "{}", worth(HEAVY, 0.4));
 }
 
-// The more load would be left, the more the work is worth there.
+// The value of a VM for leftover work must not decrease as slack grows.
 #[test]
-fn worth_rises_with_what_is_left() {
+fn worth_increases_with_slack() {
     let worths: Vec<f64> = (0..9).map(|n| worth(HEAVY, 0.05 * f64::from(n))).collect();
     assert!(worths.is_sorted(), "{worths:?}");
 }
