--- a/src/shard.rs
+++ b/src/shard.rs
@@ -1,12 +1,13 @@
-//! The decisions of one shard: a slice of one failure domain's VMs, and the jobs that run there.
+//! Scheduling decisions of one shard: a subset of a failure domain's VMs and the jobs that run on
+//! them.
 //!
-//! A shard has one owner at a time. What the owner accepts and binds is durable in the platform's
-//! store before it takes effect, under the condition that nobody else has become the owner; what
-//! runs is known by the VMs, which refuse the orders of earlier owners. So an owner can be
-//! replaced at any moment: the next one reads the store, asks the VMs, and goes on.
+//! A shard has one owner at a time. Whatever the owner accepts or binds is committed to the
+//! platform's store before it takes effect, on the condition that no other owner has taken over.
+//! The VMs know what is running and reject orders from earlier owners. An owner can therefore be
+//! replaced at any time: its successor reads the store, queries the VMs and continues.
 //!
-//! [`Shard::step`] takes an event and gives actions, without I/O, without a clock of its own, and
-//! without depending on the order of hashes.
+//! [`Shard::step`] maps an event to actions. It does no I/O, reads no clock and doesn't depend on
+//! hash iteration order.
 
 mod compact;
 mod crash;
@@ -58,7 +59,7 @@
 use std::time::Duration;
 use vm_run::Vm;
 
-/// The decisions of one shard.
+/// State and decisions of one shard.
 pub struct Shard {
     name: String,
     fence: Fence,
@@ -67,7 +68,7 @@
     jobs: IndexMap<JobId, JobRun>,
     closed: IndexMap<JobId, Closed>,
     vms: IndexMap<VmId, Vm>,
-    /// Lives of VMs that are over, whatever is still announced of them.
+    /// VM instances that have ended; later announcements of them are ignored.
     gone: IndexSet<VmId>,
     log: Log,
     effects: interference::Effects,
@@ -77,7 +78,8 @@
     crash_log: crash::CrashLog,
     kept: compact::Kept,
     list: fleet::List,
-    /// Until when VMs that this owner hasn't reached may keep running what earlier owners started.
+    /// Latest time until which VMs that this owner hasn't reached may keep running tasks started by
+    /// earlier owners.
     inherited_until: Duration,
     stage: Stage,
     now: Now,
@@ -87,45 +89,45 @@
     out: Vec<Action>,
 }
 
-/// A job whose final state is all that is left.
+/// A finished job of which only the final state is kept.
 #[derive(Clone, Copy, Debug)]
 struct Closed {
     state: ShownState,
     since: Duration,
 }
 
-/// Whether the shard begins anything.
+/// Whether the shard starts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Serving,
-    /// It is being given away.
+    /// Ownership is being given up; pending commits are completed first.
     HandingOver,
     HandedOver,
 }
 
-/// Time between two lines on the shard's state.
+/// Interval between two shard state log lines.
 const REPORT_EVERY: Duration = Duration::from_secs(2);
 
 impl Shard {
-    /// Takes an event, and gives what is to be done.
+    /// Processes an event and returns the resulting actions.
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Action> {
         self.now = now;
         self.handle(event);
-        self.go_on();
+        self.follow_up();
         std::mem::take(&mut self.out)
     }
 
-    /// The shard's name.
+    /// Returns the shard's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// What was learned of how images disturb each other.
+    /// Returns the measured interference between pairs of images.
     pub fn learned(&self) -> Vec<interference::Learned> {
         self.effects.learned()
     }
 
-    /// This owner's fencing token.
+    /// Returns this owner's fencing token.
     pub fn fence(&self) -> Fence {
         self.fence
     }
@@ -155,7 +157,8 @@
             Event::Vacate(order) => self.vacate(order),
             Event::Askers(askers) => self.set_askers(askers),
             Event::Message { from, to, msg } => {
-                // What was said to another owner may have been answered by it, and settled since.
+                // The message is for another owner, which may have answered it and settled the
+                // matter since.
                 if to == self.fence {
                     self.hear_message(&from, msg);
                 }
@@ -164,17 +167,18 @@
         }
     }
 
-    /// What follows any event: time has passed, or something has become possible.
-    fn go_on(&mut self) {
+    /// Does the work that may be due after any event, because time has passed or the state has
+    /// changed.
+    fn follow_up(&mut self) {
         if self.stage == Stage::HandedOver {
             return;
         }
         self.begin_due();
-        self.check_contacts();
+        self.remove_expired_runs();
         if self.stage == Stage::Serving {
             self.empty_leaving();
             self.empty_vacating();
-            if self.knows_who_leaves() && self.is_configured() {
+            if self.knows_who_leaves() && self.has_queues() {
                 self.schedule();
             }
             self.tell_loans();
@@ -197,14 +201,17 @@
         }
     }
 
-    /// Whether the queues are known. An owner that starts beside an outage of the store may have the shard
-    /// before it has read them: a task that had used up its attempts was started again, since of a queue that
-    /// isn't known neither are those.
-    fn is_configured(&self) -> bool {
+    /// Returns whether the queue configuration has been read.
+    ///
+    /// An owner that starts during a store outage may get the shard before it has read the queues.
+    /// A queue's attempt limit isn't known either then, and a task that had used up its attempts
+    /// was started again.
+    fn has_queues(&self) -> bool {
         self.queues.version > 0
     }
 
-    /// The queue of a job, as configured now; jobs outlive their queue.
+    /// Returns a job's queue as currently configured; `None` if the queue was removed while the job
+    /// was open.
     fn queue(&self, job: &JobRun) -> Option<&Queue> {
         self.queues.queues.get(&job.job.queue)
     }
@@ -219,8 +226,8 @@
         }
     }
 
-    /// Tasks on reserved processors that wait for room here.
-    fn reserved_waiting(&self, life: Life) -> usize {
+    /// Counts the waiting tasks of this lifetime that need reserved processors.
+    fn count_reserved_waiting(&self, life: Life) -> usize {
         let open = self.jobs.values().filter(|job| !job.is_final());
         let steps = open.flat_map(|job| {
             let tasks = order::waiting(job);
@@ -245,8 +252,8 @@
             waiting: tasks().filter(|task| task.is_waiting()).count(),
             free_cores: summary.free / 1000,
             lasting_cores: summary.lasting / 1000,
-            lasting_waiting: self.reserved_waiting(Life::Lasting),
-            short_waiting: self.reserved_waiting(Life::Finite),
+            lasting_waiting: self.count_reserved_waiting(Life::Lasting),
+            short_waiting: self.count_reserved_waiting(Life::Finite),
             commit_age_ms: crate::note::Ms(self.log.age(self.now.steady)),
             vms_age_ms: crate::note::Ms(self.list_age()),
         }));
--- a/src/shard/fleet.rs
+++ b/src/shard/fleet.rs
@@ -1,4 +1,4 @@
-//! The VMs of the shard, as the platform announces them.
+//! The shard's VMs as announced by the platform.
 
 use super::Shard;
 use super::event::Announcements;
@@ -9,28 +9,28 @@
 use indexmap::IndexSet;
 use std::time::Duration;
 
-/// Lives remembered after they are over. An announcement outlives its VM by seconds, and a shard of
-/// some thirty VMs loses far fewer in that time.
-const MAX_GONE: usize = 256;
+/// Maximum number of ended VM instances remembered. An announcement outlives its VM by seconds, and
+/// a shard of some thirty VMs loses far fewer in that time.
+const MAX_GONE_VMS: usize = 256;
 
-/// Age of the list of VMs up to which work is bound and started by it. Nothing may start on a VM 2 s
-/// after it said that it leaves; a binding takes 30 ms to be durable, 0.4 s while the store is slow. An
-/// owner's list is 0.4 s old at the most, and 1.2 s while the store is slow.
+/// Maximum age of the VM list by which tasks are bound and started. Nothing may be started on a VM
+/// 2 s after it announced that it is leaving. A binding takes 30 ms to become durable, or 0.4 s
+/// while the store is slow. An owner's list is at most 0.4 s old, or 1.2 s while the store is slow.
 const MAX_LIST_AGE: Duration = Duration::from_millis(1300);
 
-/// The list of VMs that a shard's owner goes by.
+/// Source and age of the VM list that a shard's owner uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum List {
-    /// Its daemon had it as it claimed the shard; nobody knows how old it is.
+    /// Passed on by the daemon when it claimed the shard; its actual age is unknown.
     Inherited { since: Duration },
-    /// It was asked for then.
+    /// Requested at this time.
     Read { at: Duration },
 }
 
 impl Shard {
-    /// Whether the list of VMs is recent enough to place and start work by. Whatever keeps an owner from
-    /// reading the list, tasks that it starts by an old one are lost with VMs that have left meanwhile:
-    /// so it waits, however the list came to be old.
+    /// Returns whether the VM list is recent enough to place and start tasks. Tasks started from an
+    /// old list are lost with VMs that have left since, so the owner waits, whatever kept it from
+    /// reading a newer one.
     pub(super) fn knows_who_leaves(&self) -> bool {
         match self.list {
             List::Inherited { .. } => false,
@@ -38,13 +38,14 @@
         }
     }
 
-    /// Time since the list of VMs was asked for; since the claim, while it is an inherited one.
+    /// Returns the time since the VM list was requested, or since the claim if the list is
+    /// inherited.
     pub(super) fn list_age(&self) -> Duration {
         let (List::Inherited { since: at } | List::Read { at }) = self.list;
         self.now.steady.saturating_sub(at)
     }
 
-    /// Takes over the announced VMs, as they were at some time after `at`.
+    /// Applies the announced VMs, as they were at some time after `at`.
     pub(super) fn announced(
         &mut self,
         entries: Vec<VmEntry>,
@@ -59,7 +60,7 @@
                 continue;
             }
             if !self.vms.contains_key(&entry.id) {
-                self.replace_earlier_lives(&entry);
+                self.remove_earlier_instances(&entry);
             }
             self.announce(entry);
         }
@@ -74,7 +75,7 @@
                 vm.announced = Announced::Missing { since: now };
             }
         }
-        self.forget_gone();
+        self.remove_gone_vms();
     }
 
     fn announce(&mut self, entry: VmEntry) {
@@ -94,10 +95,10 @@
         }
     }
 
-    /// A VM's address belongs to one life at a time: a new one there ends those known before. Of two
-    /// that are announced for the first time together, nobody knows which is the later one until
-    /// the address is asked.
-    fn replace_earlier_lives(&mut self, entry: &VmEntry) {
+    /// Removes earlier VM instances at the same address, since an address belongs to one instance
+    /// at a time. If two are first announced together, the later one isn't known until the address
+    /// is polled.
+    fn remove_earlier_instances(&mut self, entry: &VmEntry) {
         let now = self.now.steady;
         let earlier = |vm: &&Vm| vm.entry.addr == entry.addr && vm.known_since < now;
         let earlier: Vec<VmId> =
@@ -107,22 +108,22 @@
         }
     }
 
-    /// A life of a VM is over, and everything there with it.
+    /// Removes a VM instance that has ended, with everything that ran on it.
     pub(super) fn vm_gone(&mut self, id: &VmId, proof: Word) {
         let Some(vm) = self.vms.get(id) else { return };
         let (runs, id) = (vm.runs.len(), vm.id.clone());
         self.note(Note::VmGone { vm: id.clone(), proof, runs });
         self.vm_crashed(&id);
-        self.drop_all(&id, proof);
+        self.remove_all_runs(&id, proof);
         self.vms.shift_remove(&id);
         self.gone.insert(id);
-        if self.gone.len() > MAX_GONE {
+        if self.gone.len() > MAX_GONE_VMS {
             self.gone.shift_remove_index(0);
         }
     }
 
-    /// Forgets VMs that aren't announced, don't answer and have nothing left.
-    fn forget_gone(&mut self) {
+    /// Removes VMs that are no longer announced, don't respond and have no runs left.
+    fn remove_gone_vms(&mut self) {
         let gone = |vm: &Vm| {
             vm.announced != Announced::Yes
                 && vm.runs.is_empty()
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -1,4 +1,4 @@
-//! Looking at VMs: what runs there, what has ended, and who doesn't answer.
+//! Polling of VMs for running and ended tasks, and handling of VMs that don't respond.
 
 use super::Shard;
 use super::event::Action;
@@ -15,19 +15,20 @@
 use indexmap::IndexSet;
 use std::time::Duration;
 
-/// Ends that a VM lists at a time. A longer list is cut, so that a run which is missing from it
-/// may have ended all the same.
+/// Maximum number of ended runs that a VM lists in one response. A longer list is truncated, so a
+/// run missing from it may have ended nevertheless.
 const MAX_LISTED_ENDS: usize = 500;
 
 impl Shard {
-    /// Looks at the VMs whose turn it is.
+    /// Polls the VMs that are due.
     pub(super) fn look(&mut self) {
         let (now, keep, fence) = (self.now.steady, self.settings.max_keep, self.fence);
         for vm in self.vms.values_mut() {
             if vm.contact.looking == Looking::Yes || now < vm.contact.next_look {
                 continue;
             }
-            // A silence that the store knows of is taken back first: the next owner goes by it.
+            // A silence recorded in the store must be withdrawn before the VM's work is extended,
+            // since the next owner relies on that record.
             let extends = vm.extends(now) && self.log.silence.may_extend(&vm.id);
             let keep_until = extends.then(|| vm.clock_now(now)).flatten();
             if keep_until.is_some() {
@@ -64,8 +65,8 @@
                 if met {
                     self.replan();
                 }
-                self.take_news(id, sent, resp);
-                let configured = self.is_configured();
+                self.apply_look_response(id, sent, resp);
+                let configured = self.has_queues();
                 if let Some(vm) = self.vms.get_mut(id) {
                     vm.plan_look(now);
                     if !configured {
@@ -103,26 +104,26 @@
         }
     }
 
-    fn take_news(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
+    fn apply_look_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
         let complete = resp.ended.len() < MAX_LISTED_ENDS;
         let mut seen = IndexSet::new();
         for row in &resp.running {
             seen.insert(RunKey { task: row.task, run: row.run });
-            self.seen_running(id, row);
+            self.update_running(id, row);
         }
-        self.learn(id, &resp.running);
+        self.learn_interference(id, &resp.running);
         for row in resp.ended {
             seen.insert(RunKey { task: row.task, run: row.run });
-            self.seen_ended(id, row);
+            self.update_ended(id, row);
         }
         if complete {
-            self.find_absent(id, sent, &seen);
+            self.resolve_absent(id, sent, &seen);
         }
         self.adjust_paces(id);
     }
 
-    /// Learns from the tails of the serving tasks on a VM.
-    fn learn(&mut self, id: &VmId, running: &[RunningTask]) {
+    /// Updates the interference estimates with the tails of the serving tasks on a VM.
+    fn learn_interference(&mut self, id: &VmId, running: &[RunningTask]) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return };
         let size = f64::from(vm.entry.size.milli_cores.0).max(1.0);
@@ -154,12 +155,12 @@
         }
     }
 
-    fn seen_running(&mut self, id: &VmId, row: &RunningTask) {
+    fn update_running(&mut self, id: &VmId, row: &RunningTask) {
         let now = self.now.steady;
         let key = RunKey { task: row.task, run: row.run };
         let Some(vm) = self.vms.get_mut(id) else { return };
         let Some(run) = vm.runs.get_mut(&key) else {
-            return self.stop_stray(id, key);
+            return self.stop_unbound_run(id, key);
         };
         if matches!(run.stage, Stage::Starting { .. } | Stage::Recovered) {
             run.stage = Stage::Running;
@@ -181,35 +182,39 @@
         if row.percent == 100 {
             task.away_since = None;
         }
-        // An earlier owner may have been replaced before it could stop what isn't wanted any more.
+        // An earlier owner may have been replaced before it could stop a run that is no longer
+        // needed.
         if over || task.phase != TaskPhase::Open {
-            self.stop_run(id, key, "it isn't wanted any more");
+            self.stop_run(id, key, "its job or task has already ended");
         }
     }
 
-    /// Stops a run that isn't bound to the VM: it may run elsewhere, or its job may have ended.
-    fn stop_stray(&mut self, id: &VmId, key: RunKey) {
+    /// Stops a run that isn't bound to the VM: its task may run elsewhere, or its job may have
+    /// ended.
+    fn stop_unbound_run(&mut self, id: &VmId, key: RunKey) {
         let now = self.now.steady;
         let step = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task));
         let Some(vm) = self.vms.get_mut(id) else { return };
-        // Of a task that isn't known, neither is its size: until it is gone, nothing else fits.
+        // The size of an unknown task is unknown too, so the whole VM counts as reserved until the
+        // run has ended.
         let size = step.map_or(vm.entry.size, |step| step.reserved());
         let share = step.map_or(Share::Reserved, |step| step.share);
         let mut run = Run::binding(size, 0, share, now);
         run.stage = Stage::Stopping { next_send: Some(now), answered: None };
         vm.runs.insert(key, run);
-        let reason: Word = "it isn't bound to this VM";
+        let reason: Word = "run is not bound to this VM";
         let RunKey { task, run } = key;
         self.note(Note::TaskStopping { task, run, vm: id.clone(), reason });
     }
 
-    fn seen_ended(&mut self, id: &VmId, row: EndedRun) {
-        if !self.is_configured() {
-            // What follows from it isn't known; the VM tells it again until it may forget it.
+    fn update_ended(&mut self, id: &VmId, row: EndedRun) {
+        if !self.has_queues() {
+            // Without the queues, the consequences aren't known. The VM repeats the result until it
+            // is told to forget it.
             return;
         }
         let key = RunKey { task: row.task, run: row.run };
-        let known = self.knows(row.task);
+        let known = self.is_open_task(row.task);
         let Some(vm) = self.vms.get_mut(id) else { return };
         if !vm.ends.list(row.number) {
             return;
@@ -223,14 +228,14 @@
         }
     }
 
-    fn knows(&self, task: TaskRef) -> bool {
+    fn is_open_task(&self, task: TaskRef) -> bool {
         let known = self.jobs.get(&task.job).and_then(|job| job.task(task));
         known.is_some_and(|task| task.phase == TaskPhase::Open && task.lent.is_none())
     }
 
-    /// Runs that the VM lists neither as running nor as ended, though it was asked after the
-    /// orders about them were answered.
-    fn find_absent(&mut self, id: &VmId, sent: Duration, seen: &IndexSet<RunKey>) {
+    /// Handles runs that the VM lists neither as running nor as ended, although the poll was sent
+    /// after the orders about them were answered.
+    fn resolve_absent(&mut self, id: &VmId, sent: Duration, seen: &IndexSet<RunKey>) {
         let Some(vm) = self.vms.get(id) else { return };
         let absent: Vec<(RunKey, Absence)> = vm
             .runs
@@ -241,13 +246,13 @@
         for (key, absence) in absent {
             match absence {
                 Absence::Proven(proof) => self.run_gone(id, key, proof),
-                Absence::Odd => self.stop_run(id, key, "the VM doesn't list it"),
+                Absence::Unexpected => self.stop_run(id, key, "VM does not list the run"),
             }
         }
     }
 
-    /// VMs that stopped answering: what ran there has surely ended after some time.
-    pub(super) fn check_contacts(&mut self) {
+    /// Removes the runs of VMs that stopped responding, once they must have ended.
+    pub(super) fn remove_expired_runs(&mut self) {
         let now = self.now.steady;
         let lapsed = |vm: &Vm| {
             !vm.runs.is_empty() && now >= vm.lapsed_by && (!vm.is_heard(now) || !vm.extends(now))
@@ -255,12 +260,12 @@
         let ids: Vec<VmId> =
             self.vms.values().filter(|vm| lapsed(vm)).map(|vm| vm.id.clone()).collect();
         for id in ids {
-            self.drop_all(&id, "its time to keep running has passed");
+            self.remove_all_runs(&id, "the VM's deadline for keeping its runs has passed");
         }
     }
 
-    /// Takes off everything on a VM that surely runs nothing any more.
-    pub(super) fn drop_all(&mut self, id: &VmId, proof: Word) {
+    /// Removes all runs of a VM that is known to run nothing any more.
+    pub(super) fn remove_all_runs(&mut self, id: &VmId, proof: Word) {
         let Some(vm) = self.vms.get(id) else { return };
         let keys: Vec<RunKey> = vm.runs.keys().copied().collect();
         for key in keys {
@@ -269,22 +274,23 @@
     }
 }
 
-/// What it means that a VM doesn't list a run.
+/// What a run's absence from a VM's list implies.
 enum Absence {
-    /// It doesn't run and never will.
+    /// The run isn't running and never will be.
     Proven(Word),
-    /// It should be there.
-    Odd,
+    /// The run should be listed.
+    Unexpected,
 }
 
 fn absence(run: &Run, sent: Duration) -> Option<Absence> {
     match run.stage {
-        // The VM has seen this owner's token, so that an earlier owner's order comes too late.
-        Stage::Recovered => Some(Absence::Proven("it was never started")),
+        // The VM has seen this owner's fencing token and rejects any delayed start order from an
+        // earlier owner.
+        Stage::Recovered => Some(Absence::Proven("run was never started")),
         Stage::Stopping { answered: Some(at), .. } if at <= sent => {
-            Some(Absence::Proven("it was stopped before it came"))
+            Some(Absence::Proven("run was stopped before its start order arrived"))
         }
-        Stage::Running if run.since < sent => Some(Absence::Odd),
+        Stage::Running if run.since < sent => Some(Absence::Unexpected),
         _ => None,
     }
 }
