--- a/src/permit.rs
+++ b/src/permit.rs
@@ -1,8 +1,8 @@
-//! The port to a service that says on which VMs a step may run.
+//! Interface to an external service that decides on which VMs a step may run.
 //!
-//! Its verdict on a step and a VM doesn't change, but the permit that goes with it is valid for a
-//! few seconds only, and only while the VM lives. The service takes one question at a time from
-//! each daemon, and the longer the more VMs it names.
+//! The decision for a step and a VM never changes, but the permit that it comes with is valid for
+//! only a few seconds and only for the same incarnation of the VM. The service handles one request
+//! at a time from each daemon, and takes longer the more VMs the request names.
 
 use crate::ids::VmId;
 use crate::job::StepRef;
@@ -11,62 +11,60 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Result of a question.
+/// Result of a permit request.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Most VMs that one question may name.
+/// Maximum number of VMs in one request.
 pub const MAX_ASKED: usize = 100;
 
-/// Lets tasks of a step start on a VM.
+/// Authorizes tasks of a step to start on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Permit(Arc<str>);
 
 impl Permit {
-    /// A permit as the service gave it.
+    /// Wraps the permit text issued by the service.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
 
-    /// Its text.
+    /// The permit text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A question without an answer.
+/// Why a permit request got no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Error {
-    #[error("the service that permits steps has too many questions waiting; ask again later")]
+    #[error("the permit service has too many pending requests; retry later")]
     Busy,
-    #[error(
-        "the service that permits steps can't be reached ({reason}); check its address in the settings"
-    )]
+    #[error("the permit service can't be reached ({reason}); check its address in the settings")]
     NotSent { reason: String },
-    #[error("the service that permits steps did not answer ({reason}); ask again")]
+    #[error("the permit service did not answer ({reason}); retry the request")]
     NoAnswer { reason: String },
 }
 
-/// Asks on which of these VMs a step may run.
+/// Requests permits for a step on a list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitReq {
     pub step: StepRef,
     /// At most [`MAX_ASKED`].
     pub vms: Vec<VmId>,
-    /// Time for the answer.
+    /// Time limit for the answer.
     pub timeout: Duration,
 }
 
-/// The VMs that were permitted; all others that were asked about never will be.
+/// The permitted VMs; every other VM in the request is refused for good.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitResp {
     pub permits: Vec<(VmId, Permit)>,
-    /// How long they are valid.
+    /// How long the permits are valid.
     pub valid: Duration,
 }
 
-/// The service.
+/// Client of the permit service.
 pub trait PermitPort {
-    /// Asks about one step.
+    /// Requests permits for one step.
     fn ask(&self, req: &PermitReq) -> impl Future<Output = Result<PermitResp>>;
 }
--- a/src/vm.rs
+++ b/src/vm.rs
@@ -1,11 +1,10 @@
-//! The port to the VMs that run jobs' tasks.
+//! Interface to the VMs that run jobs' tasks.
 //!
-//! A VM runs what it is told to start until the time that it was given to keep running; that time
-//! is moved on by each look at the VM ([`VmPort::look`]), which also brings what runs and what has
-//! ended. It remembers the highest fencing token it has seen and does nothing for a lower one.
+//! A VM runs the tasks it is told to start until their lease (`keep_until`) expires. Each poll of
+//! the VM ([`VmPort::look`]) extends that lease and returns the tasks that run and the runs that
+//! have ended. The VM remembers the highest fencing token it has seen and rejects lower ones.
 //!
-//! A [`VmId`] names one life of a VM: a VM that restarts comes back under another id and has
-//! forgotten everything.
+//! A [`VmId`] names one incarnation of a VM: after a restart the VM has a new id and no state.
 
 use crate::ids::{DomainId, RackId, ServiceName, VmId};
 use crate::job::{Checkpoint, Label, RunNumber, TaskRef};
@@ -19,17 +18,17 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Right of one owner of a shard, compared by VMs; a later owner's is higher.
+/// Fencing token of a shard's owner. VMs compare tokens; a later owner has a higher one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// A time on a VM's own steady clock.
+/// A time on a VM's own monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct VmTime(pub Duration);
 
-/// A VM as the platform announces it.
+/// A VM as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
     pub id: VmId,
@@ -39,7 +38,7 @@
     pub labels: Vec<Label>,
     pub size: Resources,
     pub state: VmState,
-    /// `ip:port` of its interface.
+    /// Address of the VM's API, as `ip:port`.
     pub addr: Arc<str>,
 }
 
@@ -47,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VmState {
     Ready,
-    /// It leaves; what runs there ends when it does.
+    /// The VM is about to be removed, and its runs end with it.
     Leaving {
-        /// Least time that is left, as of the announcement.
+        /// Minimum time left when this was announced.
         left: Option<Duration>,
     },
 }
@@ -57,85 +56,90 @@
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// A higher fencing token was seen there.
+    /// The VM has seen a higher fencing token.
     #[error("another owner acts on this VM; drop the shard")]
     Fenced,
-    /// This run, or a later one of the task, has ended or was stopped there.
-    #[error("the run is older than one that ended there; start it with a higher number")]
+    /// This run or a later run of the task has already ended or been stopped on the VM.
+    #[error(
+        "the run is older than one that already ended on the VM; start it with a higher number"
+    )]
     OldRun,
-    /// The time to keep running is past on the VM's clock.
-    #[error("the order came after its time; look at the VM's clock and send it again")]
+    /// `keep_until` is in the past on the VM's clock.
+    #[error(
+        "the order arrived after its lease time had expired; poll the VM's clock and send it again"
+    )]
     TooLate,
-    #[error("the VM has no room for the task; look at what runs there")]
+    #[error("the VM has no room for the task; poll the VM to update its list of runs")]
     NoRoom,
-    #[error("the step's permit for this VM isn't valid any more; ask for another")]
+    #[error("the step's permit for this VM has expired; request another")]
     NoPermit,
-    /// The VM was restarted since; nothing of its earlier life runs.
-    #[error("the VM has another life now; place its work again")]
+    /// The VM has restarted; nothing from its previous incarnation runs.
+    #[error("the VM has restarted under another id; place its work again")]
     OtherLife,
-    /// The VM did nothing and is not well.
+    /// The VM refused the call without any effect and is unhealthy.
     #[error("the VM refused ({status}); place the work elsewhere")]
     Unwell { status: u16 },
     /// The call can never succeed as it is.
-    #[error("the VM can't read the call ({status}); this is a fault of this program")]
+    #[error("the VM rejected the call as malformed ({status}); this is a bug in the scheduler")]
     Malformed { status: u16 },
-    /// Nothing was sent.
+    /// The call was not sent.
     #[error("the VM can't be reached ({reason})")]
     NotSent { reason: String },
-    /// The call may have taken effect, or may still.
+    /// The call may have taken effect, or may still do so.
     #[error("the VM did not answer ({reason})")]
     NoAnswer { reason: String },
 }
 
-/// Keeps a VM's work running and asks for its news.
+/// Extends the lease of a VM's runs and requests its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookReq {
     pub fence: Fence,
-    /// Ends up to this number are durable; the VM may forget them.
+    /// Ended runs up to this number are durable; the VM may discard them.
     pub forget: u64,
-    /// Time until which everything there may run on; `None` leaves it as it is.
+    /// New lease time of all runs on the VM; `None` leaves it unchanged.
     pub keep_until: Option<VmTime>,
-    /// How long the answer may wait for an end.
+    /// How long the VM may delay its answer until a run ends.
     pub wait: Duration,
 }
 
-/// News of a VM.
+/// Status of a VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LookResp {
     pub clock: VmTime,
     pub running: Vec<RunningTask>,
-    /// Ended runs in order of their numbers, repeated until forgotten.
+    /// Ended runs in order of their numbers, repeated until acknowledged by [`LookReq::forget`].
     pub ended: Vec<EndedRun>,
 }
 
-/// A task that runs.
+/// A running task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningTask {
     pub task: TaskRef,
     pub run: RunNumber,
     pub checkpoint: Option<Checkpoint>,
-    /// Share of its work that is done, of 100; for one that lasts, 100 while it is at work.
+    /// Percentage of the work done; a lasting task reports 100 while it is working.
     pub percent: u8,
-    /// Rough figure of the last half second.
+    /// Approximate measurement over the last half second; its unit depends on the task, see
+    /// [`RunningTask::tail`] and [`RunningTask::milli_cores`].
     pub gauge: u32,
 }
 
 impl RunningTask {
-    /// For a task with a tail target: the tail of its response times.
+    /// Tail response time, for a task with a tail target.
     pub fn tail(&self) -> Duration {
         Duration::from_millis(u64::from(self.gauge))
     }
 
-    /// For any other task: processors in use, in thousandths of a core.
+    /// CPU in use, in thousandths of a core, for a task without a tail target.
     pub fn milli_cores(&self) -> u32 {
         self.gauge
     }
 }
 
-/// A run that ended.
+/// An ended run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Rises with each end in one life of the VM.
+    /// Sequence number of the end, increasing within one incarnation of the VM.
     pub number: u64,
     pub task: TaskRef,
     pub run: RunNumber,
@@ -147,15 +151,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
     Succeeded,
-    /// By its own fault or the VM's.
+    /// Failed through a fault of the task or of the VM.
     Failed,
-    /// As ordered.
+    /// Stopped on request.
     Stopped,
-    /// The time to keep running passed.
+    /// Its lease time expired.
     Lapsed,
     /// Another member of its group ended.
     Broken,
-    /// It waited in vain for the other members of its group.
+    /// Timed out waiting for the other members of its group.
     LeftAlone,
 }
 
@@ -172,7 +176,7 @@
     pub permit: Option<Permit>,
 }
 
-/// Names a run.
+/// Identifies a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunReq {
     pub fence: Fence,
@@ -180,17 +184,17 @@
     pub run: RunNumber,
 }
 
-/// Lets a task work at a share of its speed.
+/// Limits a task to a percentage of its full speed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PaceReq {
     pub fence: Fence,
     pub task: TaskRef,
     pub run: RunNumber,
-    /// 0 to 100.
+    /// Speed limit, 0 to 100.
     pub percent: u8,
 }
 
-/// Where to call a VM.
+/// Id and address of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VmAddr {
     pub id: VmId,
@@ -200,15 +204,15 @@
 
 /// Calls to VMs.
 pub trait VmPort {
-    /// Extends what runs there and brings its news.
+    /// Extends the lease of the VM's runs and returns its status.
     fn look(&self, vm: &VmAddr, req: LookReq) -> impl Future<Output = Result<LookResp>>;
 
-    /// Starts a run; one that is there already is not an error.
+    /// Starts a run; succeeds if the run has already started.
     fn start(&self, vm: &VmAddr, req: StartReq) -> impl Future<Output = Result<VmTime>>;
 
-    /// Stops a run; one that isn't there yet will be refused from now on.
+    /// Stops a run; if it has not started yet, later attempts to start it are refused.
     fn stop(&self, vm: &VmAddr, req: RunReq) -> impl Future<Output = Result<VmTime>>;
 
-    /// Slows a run down, or lets it go on.
+    /// Changes the speed limit of a run.
     fn pace(&self, vm: &VmAddr, req: PaceReq) -> impl Future<Output = Result<VmTime>>;
 }
