--- a/src/kv.rs
+++ b/src/kv.rs
@@ -1,8 +1,8 @@
-//! The port to the platform's store, where everything that must last is kept.
+//! Interface to the platform's key-value store, which holds all durable state.
 //!
-//! The store offers transactions under conditions on several keys, leases, and watches of a range.
-//! It may be slow, down, or away from some daemons only, and may lose an answer after the write
-//! took effect, or carry a write out late; [`Error`] keeps these apart.
+//! The store offers conditional multi-key transactions, leases, and range watches. It may be slow,
+//! down, or unreachable from some daemons only. It may also lose an answer after the write took
+//! effect, or apply a write late; [`Error`] distinguishes these cases.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -12,63 +12,63 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Most conditions, writes and deletions of one transaction together.
+/// Maximum number of conditions, writes and deletions in one transaction.
 pub const MAX_TXN_ENTRIES: usize = 32;
 
-/// A failed call.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Error {
-    /// A condition didn't hold; the present items of the conditions' keys.
+    /// A condition didn't hold; contains the current items of the conditions' keys.
     #[error("the store has newer values; read them and decide again")]
     Conflict { items: Vec<Item> },
     #[error("the lease has ended; ask for another one")]
     LeaseEnded,
-    /// What was to be watched is no longer kept.
+    /// The changes to be watched have been compacted away.
     #[error("the store's history doesn't reach back that far; read the range again")]
     HistoryGone,
-    /// There is an answer, larger than was asked for or than a client takes.
+    /// The answer exceeds the requested size or the client's limit.
     #[error("{reason}; ask for less, split the value, or raise the limit on answers")]
     TooLarge { reason: String },
-    /// The call surely had no effect, now or later.
+    /// The call had no effect and never will.
     #[error("the store refused the call ({reason}); try again in a moment")]
     Refused { reason: String },
-    /// The call may have taken effect, or may still.
+    /// The call may have taken effect, or may still do so.
     #[error("the store did not answer ({reason}); read back what became of the call")]
     NoAnswer { reason: String },
 }
 
 impl Error {
-    /// Whether the store could not be reached, or was not able to serve.
+    /// Whether the store was unreachable or unable to serve the call.
     pub fn is_outage(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::NoAnswer { .. })
     }
 }
 
-/// A revision of the store; rises with each change of any key.
+/// A revision of the store, increased by each change to any key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rev(pub u64);
 
 impl Rev {
-    /// That of a key that doesn't exist.
+    /// Revision of a key that doesn't exist.
     pub const ABSENT: Self = Self(0);
 }
 
-/// A lease; keys attached to it go when it ends.
+/// A lease; the keys attached to it are deleted when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
 
-/// A value as stored.
+/// A stored key and value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     pub key: String,
     pub value: Bytes,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     pub rev: Rev,
 }
 
-/// Changes that take effect together or not at all.
+/// An atomic set of changes, applied only if all conditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
     pub conditions: Vec<Condition>,
@@ -77,13 +77,13 @@
 }
 
 impl Txn {
-    /// Conditions, writes and deletions together.
+    /// Total number of conditions, writes and deletions.
     pub fn entries(&self) -> usize {
         self.conditions.len() + self.puts.len() + self.deletes.len()
     }
 }
 
-/// A key's revision that a transaction rests on.
+/// Requires a key to be at a given revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     pub key: String,
@@ -98,17 +98,17 @@
     pub lease: Option<LeaseId>,
 }
 
-/// Part of a range.
+/// One page of a range read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     pub items: Vec<Item>,
-    /// Whether keys after the last item are left.
+    /// Whether more keys follow the last item.
     pub more: More,
-    /// Revision of the store when the page was read.
+    /// Store revision at which the page was read.
     pub at: Rev,
 }
 
-/// Whether a range goes on after a page.
+/// Whether a range continues after a page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum More {
     #[default]
@@ -116,54 +116,54 @@
     Yes,
 }
 
-/// How fresh a read has to be.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     Latest,
-    /// May be seconds old; far cheaper.
+    /// May be seconds out of date, but is much cheaper.
     Stale,
 }
 
-/// A change of a key.
+/// A change to a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Put(Item),
     Deleted { key: String },
 }
 
-/// Changes of a range.
+/// Changes to a range.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     pub changes: Vec<Change>,
-    /// Revision to go on from.
+    /// Revision to continue the watch from.
     pub at: Rev,
 }
 
-/// A range to wait on.
+/// A range watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Watch {
     pub prefix: String,
     pub after: Rev,
     pub wait: Duration,
-    /// Answers with more bytes aren't read: [`Error::TooLarge`].
+    /// Maximum size of an answer in bytes; a larger one fails with [`Error::TooLarge`].
     pub most_bytes: usize,
 }
 
 impl Watch {
-    /// A watch that reads answers of any size.
+    /// Creates a watch without a limit on the size of answers.
     pub fn new(prefix: &str, after: Rev, wait: Duration) -> Self {
         Self { prefix: prefix.to_owned(), after, wait, most_bytes: usize::MAX }
     }
 
-    /// The same for answers of at most so many bytes, as they are sent.
+    /// Limits the encoded size of answers, in bytes.
     pub fn with_most_bytes(self, most_bytes: usize) -> Self {
         Self { most_bytes, ..self }
     }
 }
 
-/// What an answer tells of the store's revision.
+/// An answer that may report the store's revision.
 pub trait Revised {
-    /// A revision that the store had reached when it gave the answer; absent if it names none.
+    /// Store revision at the time of the answer, or [`Rev::ABSENT`] if the answer has none.
     fn revision(&self) -> Rev;
 }
 
@@ -203,7 +203,7 @@
     }
 }
 
-/// The platform's store.
+/// Client of the platform's store.
 pub trait Kv {
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>>>;
@@ -216,10 +216,10 @@
         freshness: Freshness,
     ) -> impl Future<Output = Result<Page>>;
 
-    /// Waits for changes of a range; empty if none came in time.
+    /// Waits for changes to a range; returns no changes on timeout.
     fn watch(&self, watch: &Watch) -> impl Future<Output = Result<Changes>>;
 
-    /// Carries out a transaction; returns its revision.
+    /// Commits a transaction and returns its revision.
     fn commit(&self, txn: &Txn) -> impl Future<Output = Result<Rev>>;
 
     /// Grants a lease.
@@ -228,6 +228,6 @@
     /// Renews a lease.
     fn keep(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
 
-    /// Ends a lease, and with it the keys attached to it.
+    /// Ends a lease and deletes the keys attached to it.
     fn end(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
 }
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -1,49 +1,50 @@
-//! The queues that callers submit jobs to, as operators configured them.
+//! Queues and services as configured by operators.
 
 use crate::ids::ServiceName;
 use crate::job::QueueName;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Every queue and service of one version of the configuration.
+/// All queues and services of one configuration version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Queues {
-    /// Version of the configuration; only ever rises.
+    /// Configuration version; increases monotonically.
     pub version: u64,
     pub queues: IndexMap<QueueName, Queue>,
     pub services: IndexMap<ServiceName, Service>,
     pub limits: Limits,
 }
 
-/// A queue of jobs.
+/// A job queue that callers submit to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
     pub name: QueueName,
-    /// Host that callers name.
+    /// Host name of the callers' requests.
     pub host: String,
-    /// Start of the path; the longest that fits decides.
+    /// Path prefix; the longest matching prefix wins.
     pub prefix: String,
     /// Service whose VMs run the jobs.
     pub service: ServiceName,
-    /// 0 comes first and may take others' room.
+    /// Priority; 0 is the highest. A queue of higher priority may preempt others' tasks.
     pub priority: u32,
-    /// Runs of a task that may fail before the job fails.
+    /// Number of failed runs of a task after which the job fails.
     pub attempts: u32,
-    /// Aim for a job's time, in multiples of its longest chain of work.
+    /// Target for a job's total time, as a multiple of its critical path.
     pub stretch: f64,
-    /// Added to the aim.
+    /// Constant added to the target.
     pub latency: Duration,
-    /// Longest time that a call may take.
+    /// Time limit of a call.
     pub timeout: Duration,
-    /// Set where its steps run only on VMs that an outside service permits.
+    /// Present if steps may run only on VMs permitted by an external service.
     pub permits: Option<PermitTimes>,
 }
 
-/// Times of the service that permits steps on VMs.
+/// Timing of the permit service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitTimes {
-    /// For a question, and for each VM that it names.
+    /// Base timeout of a request.
     pub question: Duration,
+    /// Additional timeout for each VM in a request.
     pub each_vm: Duration,
     /// How long a permit is valid.
     pub valid: Duration,
@@ -57,23 +58,24 @@
     pub power: Power,
 }
 
-/// Whether a service's VMs refuse what doesn't fit.
+/// Whether a service's VMs enforce their own capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
+    /// VMs refuse tasks that don't fit.
     Refuses,
-    /// They start whatever they are told to.
+    /// VMs start any task they are told to.
     Trusts,
 }
 
-/// Whether a service's VMs are switched on.
+/// Whether a service's VMs are powered on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Power {
     On,
-    /// Spare VMs: off, and not paid for.
+    /// Spare VMs, powered off and not billed.
     Off,
 }
 
-/// Bounds on callers' requests.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     pub header_bytes: usize,
@@ -94,7 +96,7 @@
 }
 
 impl Queues {
-    /// The queue that a call goes to: that with the longest prefix on the host.
+    /// Finds the queue of a call: the longest matching path prefix on the host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
             .values()
