--- a/src/cluster.rs
+++ b/src/cluster.rs
@@ -1,8 +1,9 @@
-//! The daemons that share the work: who is there, which shards there are, and who owns them.
+//! Cluster membership, the division of VMs into shards, and the ownership of shards.
 //!
-//! A shard's owner is named by its head, a key in the store on which each of the owner's commits
-//! rests: a daemon that lost a shard can't commit any more, and so can't start anything. Who takes
-//! a shard next is only a proposal; when two try, one write of the head succeeds.
+//! A shard's owner is recorded in its head, a key in the store. Every commit of the owner is
+//! conditional on that key, so a daemon that lost a shard can neither commit nor start anything.
+//! Choosing the next owner needs no agreement: if two daemons claim a shard, only one write of the
+//! head succeeds.
 
 pub mod head;
 pub mod member;
--- a/src/cluster/head.rs
+++ b/src/cluster/head.rs
@@ -1,21 +1,23 @@
-//! The head of a shard: who owns it, as of which commit.
+//! The head of a shard: its owner and last commit.
 
 use crate::ids::DaemonId;
 use serde::{Deserialize, Serialize};
 
-/// Value of a shard's head key; rewritten with each commit.
+/// Value of a shard's head key, rewritten by every commit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     pub owner: DaemonId,
-    /// Fencing token of the owner: the revision of its claim; zero in the claim itself.
+    /// Fencing token of the owner: the store revision of its claim. Zero in the claim itself, whose
+    /// revision isn't known yet.
     pub fence: u64,
-    /// Number of the last commit; rises over all owners.
+    /// Number of the last commit; increases across owners.
     pub seq: u64,
-    /// Owner before, and its last commit, so that it can learn what became of that one.
+    /// Previous owner and its last commit, so that the previous owner can find out whether that
+    /// commit took effect.
     pub before: Option<Before>,
 }
 
-/// The end of an earlier owner's commits.
+/// Last commit of a previous owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Before {
     pub owner: DaemonId,
@@ -23,7 +25,7 @@
 }
 
 impl Head {
-    /// The head after a claim on top of `present`.
+    /// The head that claims a shard whose current head is `present`.
     pub fn claim(owner: DaemonId, present: Option<&Self>) -> Self {
         Self {
             owner,
@@ -39,16 +41,16 @@
     }
 }
 
-/// The owner that a claim was decided against, as far as it was known.
+/// The owner that a claim is meant to replace, as far as the claimant knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replaced {
     pub owner: Option<DaemonId>,
-    /// Highest fencing token of the shard that was heard of.
+    /// Highest known fencing token of the shard.
     pub fence: u64,
 }
 
 impl Replaced {
-    /// Whether a head, with its owner's token, is of an owner that was known when the claim was decided.
+    /// Whether the owner in a head was known when the claim was decided.
     pub fn covers(&self, head: &Head) -> bool {
         head.fence <= self.fence || self.owner.as_ref() == Some(&head.owner)
     }
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -1,4 +1,4 @@
-//! Daemons, and what they tell each other.
+//! Cluster members and the messages that they exchange.
 
 use crate::ids::{DaemonId, DomainId};
 use crate::job::JobId;
@@ -6,50 +6,50 @@
 use crate::shard::{Summary, ToldLapse};
 use serde::{Deserialize, Serialize};
 
-/// A daemon.
+/// A daemon in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// One run of the daemon: its name and its start.
+    /// Identifies one process of the daemon: its name and start time.
     pub id: DaemonId,
-    /// The same after a restart.
+    /// Name of the daemon, unchanged by restarts.
     pub name: String,
     pub domain: DomainId,
-    /// Where other daemons connect, `ip:port`.
+    /// Address for connections from other daemons, as `ip:port`.
     pub addr: String,
     pub stage: MemberStage,
-    /// Processors that it may use, in thousandths of a core.
+    /// CPU available to the daemon, in thousandths of a core.
     pub power: u32,
 }
 
-/// Whether a daemon takes anything on.
+/// Whether a daemon accepts shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberStage {
     Serving,
-    /// It stops as planned.
+    /// The daemon is in a planned stop.
     Draining,
 }
 
-/// Whether the store answers a daemon.
+/// Whether a daemon can reach the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReach {
     Reached,
     Away,
 }
 
-/// What a daemon tells the others several times a second.
+/// Heartbeat that a daemon sends to other daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     pub from: Member,
     pub store: StoreReach,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at the sender.
     pub config: u64,
-    /// Shards owned there.
+    /// Shards owned by the sender.
     pub shards: Vec<ShardNews>,
 }
 
 impl Hello {
-    /// The same for a daemon that owns no shard: which VMs have room matters to lenders only, and
-    /// is most of a hello.
+    /// A shorter hello for receivers that own no shard. It omits the free room of VMs, which is the
+    /// largest part of a hello and is needed only to lend tasks.
     pub fn brief(&self) -> Self {
         let mut brief = self.clone();
         for news in &mut brief.shards {
@@ -60,16 +60,16 @@
     }
 }
 
-/// An owner's news of a shard.
+/// State of a shard as reported by its owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardNews {
     pub name: String,
     pub fence: u64,
     pub summary: Summary,
-    /// Jobs accepted lately.
+    /// Recently accepted jobs.
     pub accepted: Vec<JobId>,
-    /// What it has learned of how images disturb each other; empty if it tells that another time.
+    /// Measured interference between images; empty if this hello doesn't include it.
     pub learned: Vec<Learned>,
-    /// How long VMs that the store has as silent may keep their work running.
+    /// How long VMs that the store lists as unresponsive may keep their runs.
     pub lapses: Vec<ToldLapse>,
 }
