--- a/src/cluster/plan.rs
+++ b/src/cluster/plan.rs
@@ -1,23 +1,23 @@
-//! Which VMs make up which shard.
+//! Assignment of VMs to shards.
 //!
-//! A shard is a set of racks of one failure domain: a VM's rack stays with it, so that a VM that
-//! restarts comes back to its shard. The plan is one value in the store; racks that it lacks are
-//! added by whoever sees them first, and nothing in it ever moves, so that a stale copy is never
-//! wrong, only short.
+//! A shard is a set of racks in one failure domain. A VM keeps its rack over a restart and so
+//! returns to the same shard. The plan is a single value in the store. The first daemon that sees
+//! a new rack adds it, and existing assignments never change, so a stale copy of the plan may be
+//! incomplete but is never wrong.
 
 use crate::ids::{DomainId, RackId};
 use crate::vm::VmEntry;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Key of the plan.
+/// Key of the plan in the store.
 pub const PLAN_KEY: &str = "plan";
 
-/// VMs that one owner can look after. A look costs about 0.15 ms of processor, an order as much;
-/// with 3 looks and 2 orders a second for each, 32 VMs take 25 ms a second.
+/// Target number of VMs in a shard. A poll of a VM costs about 0.15 ms of CPU, and so does an order;
+/// at 3 polls and 2 orders a second for each VM, 32 VMs take about 25 ms of CPU a second.
 pub const SHARD_VMS: usize = 32;
 
-/// Racks by failure domain, with the number of their shard.
+/// Shard numbers of all racks, by failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     domains: IndexMap<DomainId, DomainPlan>,
@@ -33,23 +33,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct PlannedRack {
     shard: u32,
-    /// VMs there when it was planned.
+    /// Number of VMs in the rack when it was added.
     vms: u32,
 }
 
 impl Plan {
-    /// The shard of a VM, if it is planned.
+    /// The shard of a VM, if its rack is in the plan.
     pub fn shard_of(&self, vm: &VmEntry) -> Option<String> {
         self.shard_of_rack(&vm.domain, &vm.rack)
     }
 
-    /// The shard of a rack's VMs, if the rack is planned.
+    /// The shard of a rack, if the rack is in the plan.
     pub fn shard_of_rack(&self, domain: &DomainId, rack: &RackId) -> Option<String> {
         let planned = self.domains.get(domain)?.racks.get(rack)?;
         Some(shard_name(domain, planned.shard))
     }
 
-    /// Every shard, with its failure domain.
+    /// All shards with their failure domains.
     pub fn shards(&self) -> Vec<(String, DomainId)> {
         let mut shards = Vec::new();
         for (domain, plan) in &self.domains {
@@ -58,7 +58,7 @@
         shards
     }
 
-    /// The plan with all racks of the VMs; `None` if nothing is new.
+    /// The plan extended with the racks of these VMs, or `None` if all of them are planned already.
     pub fn extended(&self, vms: &[VmEntry]) -> Option<Self> {
         let mut counts: IndexMap<(&DomainId, &RackId), u32> = IndexMap::new();
         for vm in vms {
