--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -1,11 +1,14 @@
-//! Which shards this daemon takes, keeps and gives away.
+//! Decides which shards this daemon claims, keeps and hands over.
 //!
-//! Safety rests on the store and the VMs (see [`crate::cluster`]); this is about being quick and
-//! calm. An owner that has surely ended is replaced at once, one that merely says nothing after
-//! [`SILENT_OWNER`](orphans::SILENT_OWNER). Daemons of the shard's failure domain go first, since they reach its VMs
-//! when the domain is cut off; the others wait [`FOREIGN_DELAY`](orphans::FOREIGN_DELAY), which outlasts most cuts. Among
-//! them the one with the most processor to spare goes first, and takes shards over from those with
-//! far less: a shard is lost to its callers for as long as its owner's processor is used up.
+//! Safety is guaranteed by the store and the VMs (see [`crate::cluster`]); this module only aims at
+//! fast failover without needless moves. An owner whose process is known to have ended is replaced
+//! at once, an unresponsive one after [`OWNER_TIMEOUT`](orphans::OWNER_TIMEOUT).
+//!
+//! Daemons in the shard's failure domain claim it first, because they still reach its VMs when the
+//! domain is partitioned. Others wait [`REMOTE_DOMAIN_DELAY`](orphans::REMOTE_DOMAIN_DELAY), which
+//! is longer than most partitions. Within a domain, the daemon with the most CPU per shard claims
+//! first and also takes shards over from daemons with far less: a shard is unavailable to callers
+//! while its owner has no CPU left.
 
 mod members;
 mod orphans;
@@ -19,15 +22,15 @@
 use crate::shard::Previous;
 use crate::vm::Fence;
 use indexmap::IndexMap;
-use members::Known;
+use members::MemberState;
 use orphans::{Cause, Orphan};
-use sharing::HOME_DELAY;
+use sharing::STABLE_AFTER;
 use std::time::Duration;
 
-/// A pause of this daemon's own after which the others' silence says nothing.
+/// Length of a pause of this daemon beyond which the silence of other daemons is not counted.
 pub const OWN_PAUSE: Duration = Duration::from_millis(500);
 
-/// What ownership is told.
+/// Input of [`Ownership::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
     Tick,
@@ -36,7 +39,7 @@
     Hello(Hello),
     /// A daemon's port refuses connections: its process has ended.
     Refused(DaemonId),
-    /// Heads as the store has them.
+    /// Shard heads read from the store.
     Heads(Vec<(String, Head)>),
     Plan(Plan),
     /// A claim succeeded.
@@ -44,31 +47,31 @@
         shard: String,
         fence: u64,
     },
-    /// A claim failed; the present head, if it could be read.
+    /// A claim failed; contains the current head if it could be read.
     ClaimFailed {
         shard: String,
         head: Option<Head>,
         reason: String,
     },
-    /// A shard was lost or has been given away.
+    /// A shard was lost or handed over.
     Gone {
         shard: String,
         reason: Word,
     },
-    /// Another daemon gives a shard to this one.
+    /// Another daemon hands a shard over to this one.
     Offered {
         shard: String,
         from: DaemonId,
     },
-    /// Whether the store answers this daemon.
+    /// Whether this daemon can reach the store.
     Store(StoreReach),
-    /// The daemon stops as planned.
+    /// This daemon begins a planned stop.
     Drain,
-    /// It ends now.
+    /// This daemon exits now and releases its remaining shards.
     GiveUp,
 }
 
-/// What ownership asks for.
+/// Output of [`Ownership::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Claim {
@@ -77,9 +80,9 @@
         replaces: Replaced,
     },
     ReadHeads,
-    /// Says hello to a daemon at once, and learns whether it answers.
+    /// Sends a hello to a daemon at once to check whether it answers.
     Probe(Member),
-    /// Gives a shard away as planned.
+    /// Hands a shard over to another daemon, or releases it if `to` is this daemon.
     HandOver {
         shard: String,
         to: Member,
@@ -88,56 +91,56 @@
     Note(Note),
 }
 
-/// How a shard is given away.
+/// How a shard is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandOver {
-    /// Once what was decided is durable.
+    /// After all decisions made so far are durable.
     Settled,
-    /// At once: the store doesn't answer this daemon.
+    /// Immediately, because this daemon can't reach the store.
     AtOnce,
 }
 
-/// A shard as it was last heard of.
+/// Last known state of a shard.
 #[derive(Clone, Debug)]
-struct View {
+struct ShardView {
     domain: DomainId,
     owner: Option<DaemonId>,
     fence: u64,
-    /// When the owner was learned of.
+    /// When the owner became known.
     since: Duration,
-    /// Whether the owner has named the shard as its own since.
-    named: bool,
-    /// When it was found to have no owner, and why.
+    /// Whether the owner has listed the shard in a hello since then.
+    announced: bool,
+    /// Set while the shard has no live owner.
     orphan: Option<Orphan>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Holding {
+enum HoldState {
     Claiming,
     Owned,
-    GivingAway,
+    HandingOver,
 }
 
-/// Decides which shards this daemon takes, keeps and gives away.
+/// State machine that decides which shards this daemon claims, keeps and hands over.
 pub struct Ownership {
     me: Member,
     started: Duration,
     now: Duration,
     last_tick: Duration,
-    members: IndexMap<String, Known>,
-    shards: IndexMap<String, View>,
-    held: IndexMap<String, Holding>,
+    members: IndexMap<String, MemberState>,
+    shards: IndexMap<String, ShardView>,
+    held: IndexMap<String, HoldState>,
     store: StoreReach,
     store_since: Duration,
-    /// Newest version of the configuration that another daemon had in force.
+    /// Newest configuration version in force at any other daemon.
     newest_config: u64,
-    next_heads: Duration,
-    next_share_out: Duration,
-    out: Vec<Action>,
+    next_heads_read: Duration,
+    next_rebalance: Duration,
+    actions: Vec<Action>,
 }
 
 impl Ownership {
-    /// Ownership of nothing yet.
+    /// Creates the state machine of a daemon that owns no shard.
     pub fn new(me: Member, now: Duration) -> Self {
         Self {
             me,
@@ -150,39 +153,39 @@
             store: StoreReach::Away,
             store_since: now,
             newest_config: 0,
-            next_heads: now,
-            next_share_out: now + HOME_DELAY,
-            out: Vec::new(),
+            next_heads_read: now,
+            next_rebalance: now + STABLE_AFTER,
+            actions: Vec::new(),
         }
     }
 
-    /// Takes an event, and gives what is to be done.
+    /// Handles an event and returns the actions to perform.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = now;
-        self.skip_own_pause();
+        self.ignore_own_pause();
         self.handle(event);
         self.find_orphans();
-        self.take_orphans();
-        self.bring_home();
-        std::mem::take(&mut self.out)
+        self.claim_orphans();
+        self.rebalance();
+        std::mem::take(&mut self.actions)
     }
 
-    /// The owner of a shard, if it is heard.
+    /// The owner of a shard, if it is known and alive.
     pub fn owner(&self, shard: &str) -> Option<Member> {
         let owner = self.shards.get(shard)?.owner.as_ref()?;
         if *owner == self.me.id {
             return Some(self.me.clone());
         }
         let known = self.members.values().find(|known| known.member.id == *owner)?;
-        self.is_there(known).then(|| known.member.clone())
+        self.is_alive(known).then(|| known.member.clone())
     }
 
-    /// Token of a shard's owner, as last heard of.
+    /// Last known fencing token of a shard's owner.
     pub fn fence(&self, shard: &str) -> Fence {
         Fence(self.shards.get(shard).map_or(0, |view| view.fence))
     }
 
-    /// Every shard of the plan.
+    /// All shards in the plan.
     pub fn shards(&self) -> Vec<String> {
         self.shards.keys().cloned().collect()
     }
@@ -192,29 +195,30 @@
         &self.me
     }
 
-    /// Whether the store answers this daemon or one that it hears of.
+    /// Whether this daemon or any other live daemon can reach the store.
     pub fn store_in_reach(&self) -> bool {
-        let reached = |known: &Known| known.store == StoreReach::Reached && self.is_there(known);
+        let reached =
+            |known: &MemberState| known.store == StoreReach::Reached && self.is_alive(known);
         self.store == StoreReach::Reached || self.members.values().any(reached)
     }
 
-    /// Newest version of the configuration that another daemon was heard to have in force.
+    /// Newest configuration version in force at any other daemon.
     pub fn newest_config(&self) -> u64 {
         self.newest_config
     }
 
-    /// The daemons heard of lately, with the version of the configuration in force there.
+    /// Live daemons with the configuration version in force at each.
     pub fn member_configs(&self) -> impl Iterator<Item = (&Member, u64)> {
-        let there = self.members.values().filter(|known| self.is_there(known));
-        there.map(|known| (&known.member, known.config))
+        let alive = self.members.values().filter(|known| self.is_alive(known));
+        alive.map(|known| (&known.member, known.config))
     }
 
-    /// How long the store has answered this daemon, or not.
+    /// How long the store has been in its current state (reachable or not) for this daemon.
     pub fn store_for(&self, now: Duration) -> Duration {
         now.saturating_sub(self.store_since)
     }
 
-    /// Whether nothing is owned or claimed any more.
+    /// Whether no shard is owned, claimed or being handed over.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
@@ -222,35 +226,38 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick => {}
-            Event::Registered(members) => self.registered(members),
-            Event::Hello(hello) => self.heard(hello),
-            Event::Refused(id) => self.refused(&id),
+            Event::Registered(members) => self.handle_registered(members),
+            Event::Hello(hello) => self.handle_hello(hello),
+            Event::Refused(id) => self.handle_refused(&id),
             Event::Heads(heads) => heads.into_iter().for_each(|(name, head)| {
                 self.learn(&name, head.owner, head.fence);
             }),
-            Event::Plan(plan) => self.planned(&plan),
-            Event::Claimed { shard, fence } => self.claimed(&shard, fence),
-            Event::ClaimFailed { shard, head, reason } => self.claim_failed(shard, head, reason),
-            Event::Gone { shard, reason } => self.gone(&shard, reason),
-            Event::Offered { shard, from } => self.offered(&shard, &from),
-            Event::Store(reach) => self.store_reach(reach),
+            Event::Plan(plan) => self.handle_plan(&plan),
+            Event::Claimed { shard, fence } => self.handle_claimed(&shard, fence),
+            Event::ClaimFailed { shard, head, reason } => {
+                self.handle_claim_failed(shard, head, reason)
+            }
+            Event::Gone { shard, reason } => self.handle_gone(&shard, reason),
+            Event::Offered { shard, from } => self.handle_offer(&shard, &from),
+            Event::Store(reach) => self.handle_store_reach(reach),
             Event::Drain => self.me.stage = MemberStage::Draining,
-            Event::GiveUp => self.give_up(),
+            Event::GiveUp => self.release_all(),
         }
         if self.me.stage == MemberStage::Draining {
-            self.give_all_away();
+            self.hand_over_all();
         }
     }
 
-    /// While this daemon stood still it heard nobody; that says nothing about the others.
-    fn skip_own_pause(&mut self) {
+    /// Excludes a pause of this daemon itself from the silence of the others: it couldn't have
+    /// received their hellos meanwhile.
+    fn ignore_own_pause(&mut self) {
         let pause = self.now.saturating_sub(self.last_tick);
         self.last_tick = self.now;
         if pause < OWN_PAUSE {
             return;
         }
         for known in self.members.values_mut() {
-            known.heard += pause;
+            known.last_heard += pause;
         }
         for view in self.shards.values_mut() {
             view.orphan = None;
@@ -265,27 +272,28 @@
             view.owner = Some(owner);
             view.fence = fence;
             view.since = now;
-            view.named = false;
+            view.announced = false;
             view.orphan = None;
         }
     }
 
-    fn planned(&mut self, plan: &Plan) {
+    fn handle_plan(&mut self, plan: &Plan) {
         for (name, domain) in plan.shards() {
             let since = self.now;
-            let view = View { domain, owner: None, fence: 0, since, named: false, orphan: None };
+            let view =
+                ShardView { domain, owner: None, fence: 0, since, announced: false, orphan: None };
             self.shards.entry(name).or_insert(view);
         }
-        self.out.push(Action::ReadHeads);
+        self.actions.push(Action::ReadHeads);
     }
 
-    fn claimed(&mut self, shard: &str, fence: u64) {
-        self.held.insert(shard.to_owned(), Holding::Owned);
+    fn handle_claimed(&mut self, shard: &str, fence: u64) {
+        self.held.insert(shard.to_owned(), HoldState::Owned);
         let me = self.me.id.clone();
         self.learn(shard, me, fence);
     }
 
-    fn claim_failed(&mut self, shard: String, head: Option<Head>, reason: String) {
+    fn handle_claim_failed(&mut self, shard: String, head: Option<Head>, reason: String) {
         self.held.shift_remove(&shard);
         if let Some(view) = self.shards.get_mut(&shard) {
             view.orphan = None;
@@ -293,10 +301,10 @@
         if let Some(head) = head {
             self.learn(&shard, head.owner, head.fence);
         }
-        self.out.push(Action::Note(Note::ShardClaimFailed { shard, reason }));
+        self.actions.push(Action::Note(Note::ShardClaimFailed { shard, reason }));
     }
 
-    fn gone(&mut self, shard: &str, reason: Word) {
+    fn handle_gone(&mut self, shard: &str, reason: Word) {
         self.held.shift_remove(shard);
         let now = self.now;
         if let Some(view) = self.shards.get_mut(shard) {
@@ -304,25 +312,29 @@
             view.since = now;
             view.orphan = None;
             let fence = view.fence;
-            self.out.push(Action::Note(Note::ShardLost { shard: shard.to_owned(), fence, reason }));
+            self.actions.push(Action::Note(Note::ShardLost {
+                shard: shard.to_owned(),
+                fence,
+                reason,
+            }));
         }
-        self.out.push(Action::ReadHeads);
+        self.actions.push(Action::ReadHeads);
     }
 
-    fn offered(&mut self, shard: &str, from: &DaemonId) {
+    fn handle_offer(&mut self, shard: &str, from: &DaemonId) {
         if self.me.stage == MemberStage::Draining || self.held.contains_key(shard) {
             return;
         }
         let cause = Cause {
             previous: Previous::Ended,
-            reason: "given by its owner",
+            reason: "handed over by its owner",
             silent: Duration::ZERO,
-            settle: Duration::ZERO,
+            grace: Duration::ZERO,
         };
         self.claim(shard, Some(from), cause);
     }
 
-    fn store_reach(&mut self, reach: StoreReach) {
+    fn handle_store_reach(&mut self, reach: StoreReach) {
         if self.store != reach {
             self.store = reach;
             self.store_since = self.now;
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -1,7 +1,7 @@
-//! Shards without an owner: how that is found out, and which daemon takes them.
+//! Detection of shards without a live owner, and the order in which daemons claim them.
 
-use super::members::Known;
-use super::{Action, Holding, Ownership, View};
+use super::members::MemberState;
+use super::{Action, HoldState, Ownership, ShardView};
 use crate::cluster::head::Replaced;
 use crate::cluster::member::{Member, MemberStage, StoreReach};
 use crate::ids::{DaemonId, DomainId};
@@ -10,38 +10,39 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Silence of an owner after which it is probed. Hellos come every 400 ms.
-pub const PROBE_OWNER: Duration = Duration::from_millis(700);
+/// Silence of an owner after which it is probed; owners send a hello every 400 ms.
+pub const PROBE_AFTER: Duration = Duration::from_millis(700);
 
-/// Silence of an owner after which its shards are taken, though it may live: three probes of
-/// 300 ms have failed by then.
-pub const SILENT_OWNER: Duration = Duration::from_millis(1600);
+/// Silence of an owner after which its shards are claimed, though it may still be alive. Three
+/// probes of 300 ms have failed by then.
+pub const OWNER_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Added before a daemon of another failure domain takes a shard: a cut lasts 4 to 7 s, and the
-/// shard's VMs can't be reached from outside while it lasts.
-pub const FOREIGN_DELAY: Duration = Duration::from_secs(6);
+/// Additional delay before a daemon of another failure domain claims a shard. A partition lasts 4 to
+/// 7 s, and the shard's VMs can't be reached from other domains meanwhile.
+pub const REMOTE_DOMAIN_DELAY: Duration = Duration::from_secs(6);
 
-/// Between the first and the next candidate's try.
+/// Delay between the claims of one candidate and the next.
 const RANK_DELAY: Duration = Duration::from_millis(250);
 
-/// Time for news of a shard that has just changed hands: for a claim, a reading of the heads, and
-/// the new owner's hello. Without it daemons took shards from each other ten times a second.
-const NEWS_DELAY: Duration = Duration::from_millis(700);
+/// Time for a change of ownership to become known: a claim, a read of the heads, and the new owner's
+/// hello. Without this delay, daemons took shards from each other ten times a second.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(700);
 
-/// Time that a new owner may take to read its shard before it names it as its own. While the store is
-/// slow a call takes 0.4 s, and there are five: without this the shard went round among the daemons for
-/// as long.
-const READING: Duration = Duration::from_millis(2500);
+/// Time that a new owner may take to load its shard before it lists the shard in its hellos. Loading
+/// takes five store calls, each 0.4 s while the store is slow; without this grace period the daemons
+/// kept taking the shard from each other for as long as the store was slow.
+const RECOVERY_GRACE: Duration = Duration::from_millis(2500);
 
-/// Time at the start in which owners and other daemons are heard of.
-const SETTLE: Duration = Duration::from_millis(700);
+/// Time after the start in which a daemon learns of owners and other daemons before it claims shards.
+const STARTUP_GRACE: Duration = Duration::from_millis(700);
 
-/// Pause between two reads of the heads while a shard has no owner.
-const HEADS_EVERY: Duration = Duration::from_millis(400);
+/// Interval between reads of the heads while a shard has no owner.
+const READ_HEADS_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Between two probes of a silent owner.
-const PROBE_EVERY: Duration = Duration::from_millis(200);
+/// Interval between probes of an unresponsive owner.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
+/// A shard without a live owner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Orphan {
     pub(super) since: Duration,
@@ -53,14 +54,14 @@
 pub(super) struct Cause {
     pub(super) previous: Previous,
     pub(super) reason: Word,
-    /// Time since the owner was last heard.
+    /// Time since the owner was last heard from.
     pub(super) silent: Duration,
-    /// Time for news that there is an owner after all.
-    pub(super) settle: Duration,
+    /// Additional delay of the claim, in which a live owner may still become known.
+    pub(super) grace: Duration,
 }
 
 impl Ownership {
-    /// Finds shards whose owner has ended, is silent, or doesn't own them any more.
+    /// Finds shards whose owner has ended, is unresponsive, or has released them.
     pub(super) fn find_orphans(&mut self) {
         let now = self.now;
         let mut probes = Vec::new();
@@ -70,25 +71,25 @@
                 continue;
             }
             let lost = match &view.owner {
-                None => Some(no_owner("it has no owner")),
-                Some(owner) if *owner == self.me.id => Some(no_owner("this daemon gave it up")),
-                Some(owner) => lost_owner(owner, name, view, &self.members, now, &mut probes),
+                None => Some(unowned("it has no owner")),
+                Some(owner) if *owner == self.me.id => Some(unowned("this daemon released it")),
+                Some(owner) => orphan_cause(owner, name, view, &self.members, now, &mut probes),
             };
-            // Silence may turn into proof meanwhile.
+            // The cause is updated each time: an unresponsive owner may be found to have ended.
             let since = view.orphan.map_or(now, |orphan| orphan.since);
             view.orphan = lost.map(|cause| Orphan { since, cause });
         }
         for name in probes {
             let Some(known) = self.members.get_mut(&name) else { continue };
-            if now.saturating_sub(known.probed) >= PROBE_EVERY {
-                known.probed = now;
-                self.out.push(Action::Probe(known.member.clone()));
+            if now.saturating_sub(known.last_probe) >= PROBE_INTERVAL {
+                known.last_probe = now;
+                self.actions.push(Action::Probe(known.member.clone()));
             }
         }
     }
 
-    pub(super) fn take_orphans(&mut self) {
-        let settled = self.now.saturating_sub(self.started) >= SETTLE;
+    pub(super) fn claim_orphans(&mut self) {
+        let settled = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
         let fit = self.me.stage == MemberStage::Serving && self.store == StoreReach::Reached;
         if !settled || !fit {
             return;
@@ -100,12 +101,12 @@
                 Some((name.clone(), view.orphan?, view.domain.clone(), view.owner.clone()))
             })
             .collect();
-        if !orphans.is_empty() && self.now >= self.next_heads {
-            self.next_heads = self.now + HEADS_EVERY;
-            self.out.push(Action::ReadHeads);
+        if !orphans.is_empty() && self.now >= self.next_heads_read {
+            self.next_heads_read = self.now + READ_HEADS_INTERVAL;
+            self.actions.push(Action::ReadHeads);
         }
         for (shard, orphan, domain, owner) in orphans {
-            let delay = orphan.cause.settle + self.delay(&shard, &domain);
+            let delay = orphan.cause.grace + self.delay(&shard, &domain);
             if self.now.saturating_sub(orphan.since) >= delay {
                 self.claim(&shard, owner.as_ref(), orphan.cause);
             }
@@ -113,8 +114,8 @@
     }
 
     pub(super) fn claim(&mut self, shard: &str, owner: Option<&DaemonId>, cause: Cause) {
-        self.held.insert(shard.to_owned(), Holding::Claiming);
-        self.out.push(Action::Note(Note::ShardClaiming {
+        self.held.insert(shard.to_owned(), HoldState::Claiming);
+        self.actions.push(Action::Note(Note::ShardClaiming {
             shard: shard.to_owned(),
             owner: owner.map_or_else(String::new, ToString::to_string),
             reason: cause.reason,
@@ -123,83 +124,88 @@
         let previous = cause.previous;
         let fence = self.fence(shard).0;
         let replaces = Replaced { owner: owner.cloned(), fence };
-        self.out.push(Action::Claim { shard: shard.to_owned(), previous, replaces });
+        self.actions.push(Action::Claim { shard: shard.to_owned(), previous, replaces });
     }
 
-    /// How long this daemon leaves an orphan to better placed ones.
+    /// How long this daemon waits for better placed daemons to claim a shard first.
     fn delay(&self, shard: &str, domain: &DomainId) -> Duration {
         let mine = self.rank(shard, domain, &self.me, self.held.len());
         let better = self
             .members
             .values()
-            .filter(|known| self.is_there(known) && known.member.stage == MemberStage::Serving)
+            .filter(|known| self.is_alive(known) && known.member.stage == MemberStage::Serving)
             .filter(|known| known.store == StoreReach::Reached)
             .filter(|known| self.rank(shard, domain, &known.member, known.shards.len()) < mine)
             .count();
-        let foreign = if self.me.domain == *domain { Duration::ZERO } else { FOREIGN_DELAY };
-        foreign + RANK_DELAY * u32::try_from(better).unwrap_or(u32::MAX)
+        let remote_delay =
+            if self.me.domain == *domain { Duration::ZERO } else { REMOTE_DOMAIN_DELAY };
+        remote_delay + RANK_DELAY * u32::try_from(better).unwrap_or(u32::MAX)
     }
 }
 
-/// Why a shard's owner isn't there, if it isn't.
-fn lost_owner(
+/// Why a shard's recorded owner is considered lost, or `None` if it is alive.
+fn orphan_cause(
     owner: &DaemonId,
     shard: &str,
-    view: &View,
-    members: &IndexMap<String, Known>,
+    view: &ShardView,
+    members: &IndexMap<String, MemberState>,
     now: Duration,
     probes: &mut Vec<String>,
 ) -> Option<Cause> {
-    let same_name = members.values().find(|known| same_daemon(&known.member, owner));
+    let same_name = members.values().find(|known| is_same_daemon(&known.member, owner));
     let Some(known) = same_name else {
         let silent = now.saturating_sub(view.since);
-        let cause = Cause { silent, settle: Duration::ZERO, ..no_owner("its owner is gone") };
-        return (silent >= SILENT_OWNER).then_some(cause);
+        let cause = Cause { silent, grace: Duration::ZERO, ..unowned("its owner is gone") };
+        return (silent >= OWNER_TIMEOUT).then_some(cause);
     };
-    // As an owner it has been silent only since it is one: daemons without shards greet seldom, and a
-    // claim that was read in the store before its owner's first greeting was claimed anew at once.
-    let silent = now.saturating_sub(known.heard.max(view.since));
-    let settle = Duration::ZERO;
-    let cause = |previous, reason| Some(Cause { previous, reason, silent, settle });
+    // Silence is counted from when the daemon became the owner. Daemons without shards rarely send
+    // hellos, so a new owner whose claim was read from the store before its first hello as an owner
+    // would appear unresponsive, and the shard would be claimed again at once.
+    let silent = now.saturating_sub(known.last_heard.max(view.since));
+    let grace = Duration::ZERO;
+    let cause = |previous, reason| Some(Cause { previous, reason, silent, grace });
     if known.member.id != *owner {
-        // Of a process that was read of in the store before it was heard, only the earlier one is known.
-        let later = start_of(&known.member.id) > start_of(owner) || known.heard > view.since;
-        let silent_too = silent >= SILENT_OWNER;
-        return match (later, silent_too) {
+        // A process whose claim was read from the store before its first hello is still known under
+        // the id of the daemon's previous process.
+        let later =
+            start_time(&known.member.id) > start_time(owner) || known.last_heard > view.since;
+        let timed_out = silent >= OWNER_TIMEOUT;
+        return match (later, timed_out) {
             (true, _) => cause(Previous::Ended, "its owner was restarted"),
             (false, true) => cause(Previous::Unsure, "its owner is silent"),
             (false, false) => None,
         };
     }
-    if known.refused.is_some() {
+    if known.refused_at.is_some() {
         return cause(Previous::Ended, "its owner's process has ended");
     }
-    if silent >= PROBE_OWNER {
+    if silent >= PROBE_AFTER {
         probes.push(known.member.name.clone());
     }
-    if silent >= SILENT_OWNER {
+    if silent >= OWNER_TIMEOUT {
         return cause(Previous::Unsure, "its owner is silent");
     }
-    // What it said before it became the owner says nothing about this, and it doesn't name the shard
-    // before it has read what the store has of it.
-    let reads = !view.named && now.saturating_sub(view.since) < READING;
-    let told = known.heard < view.since || known.shards.iter().any(|name| name == shard);
-    let told = told || reads;
-    let gave_up = Cause { previous: Previous::Ended, ..no_owner("its owner gave it up") };
-    (!told).then_some(gave_up)
+    // Hellos from before the daemon became the owner don't count, and it lists the shard only after
+    // loading it from the store.
+    let loading = !view.announced && now.saturating_sub(view.since) < RECOVERY_GRACE;
+    let listed = known.last_heard < view.since || known.shards.iter().any(|name| name == shard);
+    let is_owned = listed || loading;
+    let released = Cause { previous: Previous::Ended, ..unowned("its owner released it") };
+    (!is_owned).then_some(released)
 }
 
-/// A shard that seems to have no owner, which news may still tell of.
-fn no_owner(reason: Word) -> Cause {
+/// Cause for a shard that appears to have no owner, though one may become known during the grace
+/// period.
+fn unowned(reason: Word) -> Cause {
     let (previous, silent) = (Previous::Unsure, Duration::ZERO);
-    Cause { previous, reason, silent, settle: NEWS_DELAY }
+    Cause { previous, reason, silent, grace: PROPAGATION_DELAY }
 }
 
-fn same_daemon(member: &Member, owner: &DaemonId) -> bool {
+fn is_same_daemon(member: &Member, owner: &DaemonId) -> bool {
     owner.as_str().rsplit_once('@').is_some_and(|(name, _)| name == member.name)
 }
 
-/// When a daemon's process began, by its own time of day; its id names it.
-fn start_of(id: &DaemonId) -> u64 {
+/// Start time of a daemon's process by its own wall clock, taken from its id.
+fn start_time(id: &DaemonId) -> u64 {
     id.as_str().rsplit_once('@').and_then(|(_, start)| start.parse().ok()).unwrap_or_default()
 }
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -1,37 +1,38 @@
-//! Giving shards to daemons that are better placed.
+//! Hand-over of shards to better placed daemons.
 
-use super::members::Known;
-use super::{Action, HandOver, Holding, Ownership};
+use super::members::MemberState;
+use super::{Action, HandOver, HoldState, Ownership};
 use crate::cluster::member::{Member, MemberStage, StoreReach};
 use crate::ids::DomainId;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a daemon must have been there before a shard is brought home to it.
-pub(super) const HOME_DELAY: Duration = Duration::from_secs(3);
+/// How long a daemon must have been known before shards are moved to it.
+pub(super) const STABLE_AFTER: Duration = Duration::from_secs(3);
 
-/// How long the store may be away from an owner before it gives its shards to a daemon that
-/// reaches the store.
-const STORE_LOST: Duration = Duration::from_millis(700);
+/// How long the store must have been unreachable before an owner hands its shards over to a daemon
+/// that can reach it.
+const STORE_DOWN_DELAY: Duration = Duration::from_millis(700);
 
-/// How long the store must have answered another daemon before a shard is given to it for that: as a
-/// cut heals, the store comes back to all within a moment, and nothing has to change hands.
-const STORE_KEPT: Duration = Duration::from_millis(600);
+/// How long another daemon must have reached the store before shards are handed over to it for that
+/// reason. When a partition heals, all daemons reach the store again almost at the same time, and no
+/// shard needs to move.
+const STORE_UP_DELAY: Duration = Duration::from_millis(600);
 
-/// How little of this daemon's load another one must have, with the shard, to be given it: three
-/// fifths. A hand-over stops the shard for 0.1 to 0.2 s, which evening out small gaps isn't worth.
-const LOAD_GAP: (u64, u64) = (3, 5);
+/// Largest load of the receiver, including the shard, as a fraction of this daemon's load: three
+/// fifths. A hand-over stops the shard for 0.1 to 0.2 s, which isn't worth it for small differences.
+const MAX_LOAD_RATIO: (u64, u64) = (3, 5);
 
-/// Between two shards that are given away to share out the load: the first must have been heard of
-/// before the second is decided on.
-const SHARE_OUT_EVERY: Duration = Duration::from_secs(2);
+/// Interval between hand-overs that balance load, so that the effect of one is known before the next
+/// is decided.
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Ownership {
-    /// Gives shards to daemons that are better placed.
-    pub(super) fn bring_home(&mut self) {
+    /// Hands shards over to better placed daemons.
+    pub(super) fn rebalance(&mut self) {
         let owned = self.owned();
         let lost = self.store == StoreReach::Away
-            && self.now.saturating_sub(self.store_since) >= STORE_LOST;
+            && self.now.saturating_sub(self.store_since) >= STORE_DOWN_DELAY;
         for shard in &owned {
             let Some(domain) = self.shards.get(shard).map(|view| view.domain.clone()) else {
                 continue;
@@ -39,106 +40,111 @@
             let away = domain != self.me.domain;
             if lost || away {
                 let how = if lost { HandOver::AtOnce } else { HandOver::Settled };
-                self.give_away(shard, &domain, how);
+                self.hand_over_to_best(shard, &domain, how);
             }
         }
         if !lost {
-            self.share_out(&owned);
+            self.balance_load(&owned);
         }
     }
 
-    /// Shards that are owned, and neither claimed yet nor being given away.
+    /// Owned shards, excluding those being claimed or handed over.
     fn owned(&self) -> Vec<String> {
-        let owned = self.held.iter().filter(|(_, holding)| **holding == Holding::Owned);
+        let owned = self.held.iter().filter(|(_, holding)| **holding == HoldState::Owned);
         owned.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Gives a shard to a daemon of its failure domain that has far more processor to spare.
-    fn share_out(&mut self, owned: &[String]) {
+    /// Hands a shard over to a daemon in the same failure domain that has far more CPU per shard.
+    fn balance_load(&mut self, owned: &[String]) {
         let now = self.now;
-        if now < self.next_share_out {
+        if now < self.next_rebalance {
             return;
         }
         let mine = load(&self.me, self.held.len());
         let home = self.me.domain.clone();
-        let fit = |known: &&Known| {
-            self.may_take(known)
+        let eligible = |known: &&MemberState| {
+            self.can_take(known)
                 && known.member.domain == home
-                && now.saturating_sub(known.since) >= HOME_DELAY
-                && load(&known.member, known.shards.len() + 1) * LOAD_GAP.1 <= mine * LOAD_GAP.0
+                && now.saturating_sub(known.joined) >= STABLE_AFTER
+                && load(&known.member, known.shards.len() + 1) * MAX_LOAD_RATIO.1
+                    <= mine * MAX_LOAD_RATIO.0
         };
         let is_home = |shard: &&String| {
             self.shards.get(*shard).is_some_and(|view| view.domain == home)
-                && self.held.get(*shard) == Some(&Holding::Owned)
+                && self.held.get(*shard) == Some(&HoldState::Owned)
         };
         let Some(shard) = owned.iter().find(is_home).cloned() else { return };
-        if let Some(to) = self.best(&shard, &home, fit) {
-            self.next_share_out = now + SHARE_OUT_EVERY;
+        if let Some(to) = self.best_candidate(&shard, &home, eligible) {
+            self.next_rebalance = now + REBALANCE_INTERVAL;
             self.hand_over(shard, to, HandOver::Settled);
         }
     }
 
-    pub(super) fn give_all_away(&mut self) {
+    /// Hands all owned shards over to daemons that can take them.
+    pub(super) fn hand_over_all(&mut self) {
         for shard in self.owned() {
             let domain = self.shards.get(&shard).map(|view| view.domain.clone());
             let Some(domain) = domain else { continue };
-            let fit = |known: &&Known| self.may_take(known);
-            // Without one the shard stays: given to nobody, it had no owner for as long as several
-            // daemons were on their way down and up again.
-            let Some(to) = self.best(&shard, &domain, fit) else { continue };
+            let eligible = |known: &&MemberState| self.can_take(known);
+            // The shard stays here if no daemon can take it. When it was released instead, it had no
+            // owner for as long as several daemons were restarting at once.
+            let Some(to) = self.best_candidate(&shard, &domain, eligible) else { continue };
             self.hand_over(shard, to, HandOver::Settled);
         }
     }
 
-    /// Gives up what nobody took: whoever comes finds it without an owner.
-    pub(super) fn give_up(&mut self) {
+    /// Releases the remaining shards, so that the next daemon finds them without an owner.
+    pub(super) fn release_all(&mut self) {
         for shard in self.owned() {
             self.hand_over(shard, self.me.clone(), HandOver::Settled);
         }
     }
 
-    fn give_away(&mut self, shard: &str, domain: &DomainId, how: HandOver) {
+    /// Hands a shard over to the best daemon in its failure domain, if any is eligible.
+    fn hand_over_to_best(&mut self, shard: &str, domain: &DomainId, how: HandOver) {
         let now = self.now;
-        let there_for = match how {
+        let min_age = match how {
             HandOver::AtOnce => Duration::ZERO,
-            HandOver::Settled => HOME_DELAY,
+            HandOver::Settled => STABLE_AFTER,
         };
-        let fit = |known: &&Known| {
-            self.may_take(known)
+        let eligible = |known: &&MemberState| {
+            self.can_take(known)
                 && known.member.domain == *domain
-                && now.saturating_sub(known.since) >= there_for
-                && (how == HandOver::Settled || now.saturating_sub(known.store_since) >= STORE_KEPT)
+                && now.saturating_sub(known.joined) >= min_age
+                && (how == HandOver::Settled
+                    || now.saturating_sub(known.store_since) >= STORE_UP_DELAY)
         };
-        if let Some(to) = self.best(shard, domain, fit) {
+        if let Some(to) = self.best_candidate(shard, domain, eligible) {
             self.hand_over(shard.to_owned(), to, how);
         }
     }
 
     fn hand_over(&mut self, shard: String, to: Member, how: HandOver) {
-        self.held.insert(shard.clone(), Holding::GivingAway);
-        self.out.push(Action::HandOver { shard, to, how });
+        self.held.insert(shard.clone(), HoldState::HandingOver);
+        self.actions.push(Action::HandOver { shard, to, how });
     }
 
-    fn may_take(&self, known: &Known) -> bool {
-        self.is_there(known)
+    fn can_take(&self, known: &MemberState) -> bool {
+        self.is_alive(known)
             && known.member.stage == MemberStage::Serving
             && known.store == StoreReach::Reached
     }
 
-    fn best(
+    fn best_candidate(
         &self,
         shard: &str,
         domain: &DomainId,
-        fit: impl Fn(&&Known) -> bool,
+        eligible: impl Fn(&&MemberState) -> bool,
     ) -> Option<Member> {
         self.members
             .values()
-            .filter(|known| fit(known))
+            .filter(|known| eligible(known))
             .min_by_key(|known| self.rank(shard, domain, &known.member, known.shards.len()))
             .map(|known| known.member.clone())
     }
 
-    /// The lower, the better placed: of the failure domain, with much processor to a shard.
+    /// Rank of a daemon as the owner of a shard; lower is better. Daemons in the shard's failure domain
+    /// come first, then those with the most CPU per shard.
     pub(super) fn rank(
         &self,
         shard: &str,
@@ -146,20 +152,20 @@
         member: &Member,
         shards: usize,
     ) -> Rank {
-        let foreign = member.domain != *domain;
+        let is_remote = member.domain != *domain;
         let hash = xxh3_64(format!("{shard}/{}", member.name).as_bytes());
-        Rank { foreign, load: load(member, shards + 1), hash }
+        Rank { is_remote, load: load(member, shards + 1), hash }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    foreign: bool,
+    is_remote: bool,
     load: u64,
     hash: u64,
 }
 
-/// Shards to a daemon's processor, in millionths of a shard to a thousandth of a core.
+/// Number of shards relative to a daemon's CPU, in millionths of a shard per thousandth of a core.
 pub(super) fn load(member: &Member, shards: usize) -> u64 {
     shards as u64 * 1_000_000 / u64::from(member.power.max(1))
 }
