--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Which daemon takes, keeps and gives away shards.
+//! Tests of the claims and hand-overs of shards.
 
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     }
 }
 
-/// A plan of this many shards, named `kacyiru.0` and so on.
+/// A plan with this number of shards, named `kacyiru.0` and so on.
 fn plan(shards: usize) -> Plan {
     let vm = |number: usize| VmEntry {
         id: VmId::new(&format!("vm-{number}")),
@@ -58,28 +58,28 @@
     Plan::default().extended(&vms).expect("racks are new")
 }
 
-/// A daemon's ownership, the daemons that greet it, and what it has asked for.
-struct Seen {
+/// An `Ownership` under test, the hellos that it receives, and the actions that it requested.
+struct Harness {
     ownership: Ownership,
     now: Duration,
     others: IndexMap<String, Hello>,
     claims: Vec<(Duration, String)>,
-    given: Vec<(String, String)>,
+    handed_over: Vec<(String, String)>,
 }
 
-impl Seen {
+impl Harness {
     fn new(me: Member, shards: usize) -> Self {
         let now = ms(10_000);
-        let mut seen = Self {
+        let mut harness = Self {
             ownership: Ownership::new(me, now),
             now,
             others: IndexMap::new(),
             claims: Vec::new(),
-            given: Vec::new(),
+            handed_over: Vec::new(),
         };
-        seen.tell(Event::Store(StoreReach::Reached));
-        seen.tell(Event::Plan(plan(shards)));
-        seen
+        harness.tell(Event::Store(StoreReach::Reached));
+        harness.tell(Event::Plan(plan(shards)));
+        harness
     }
 
     fn tell(&mut self, event: Event) {
@@ -88,25 +88,25 @@
                 Action::Claim { shard, .. } => self.claims.push((self.now, shard)),
                 Action::HandOver { shard, to, how } => {
                     assert_eq!(how, HandOver::Settled);
-                    self.given.push((shard, to.name));
+                    self.handed_over.push((shard, to.name));
                 }
                 Action::ReadHeads | Action::Probe(_) | Action::Note(_) => {}
             }
         }
     }
 
-    fn greet(&mut self, from: Member, shards: Vec<ShardNews>) {
+    fn add_peer(&mut self, from: Member, shards: Vec<ShardNews>) {
         let hello = Hello { from, store: StoreReach::Reached, config: 1, shards };
         self.others.insert(hello.from.name.clone(), hello);
     }
 
-    fn own(&mut self, shard: &str, fence: u64) {
+    fn own_shard(&mut self, shard: &str, fence: u64) {
         self.tell(Event::Offered { shard: shard.to_owned(), from: DaemonId::new("gone@1") });
         self.tell(Event::Claimed { shard: shard.to_owned(), fence });
         self.claims.clear();
     }
 
-    /// Lets time pass; the others greet every 400 ms.
+    /// Advances time; the other daemons send a hello every 400 ms.
     fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         let mut next_hello = self.now;
@@ -123,79 +123,79 @@
     }
 }
 
-// A shard has no owner. Both daemons of its failure domain see it; the weak one would use up its
-// processor with it, and leaves the strong one the time to claim it first.
+// Both daemons of a failure domain see a shard without an owner. The shard would take all of the weak
+// daemon's CPU, so it leaves the strong one time to claim the shard first.
 #[test]
-fn a_shard_goes_to_the_daemon_with_the_most_processor() {
+fn the_daemon_with_the_most_cpu_claims_first() {
     let first_claim = |me: Member, other: Member| {
-        let mut seen = Seen::new(me, 1);
-        seen.greet(other, Vec::new());
-        seen.run_for(ms(2000));
-        seen.claims[0].0
+        let mut harness = Harness::new(me, 1);
+        harness.add_peer(other, Vec::new());
+        harness.run_for(ms(2000));
+        harness.claims[0].0
     };
     let weak = first_claim(member("weak", WEAK), member("strong", STRONG));
     let strong = first_claim(member("strong", STRONG), member("weak", WEAK));
     assert!(strong + ms(250) <= weak, "{strong:?}, {weak:?}");
 }
 
-// A strong daemon owns two shards when a third loses its owner. It has still far more processor for
-// each than a weak one would have.
+// A strong daemon owns two shards when a third loses its owner. It still has far more CPU per shard
+// than a weak daemon would have, and claims the third one too.
 #[test]
-fn a_strong_daemon_takes_several_shards_before_a_weak_one_takes_any() {
-    let mut strong = Seen::new(member("strong", STRONG), 3);
-    strong.greet(member("weak", WEAK), Vec::new());
-    strong.own("kacyiru.0", 5);
-    strong.own("kacyiru.1", 6);
+fn a_strong_daemon_claims_several_shards_before_a_weak_one() {
+    let mut strong = Harness::new(member("strong", STRONG), 3);
+    strong.add_peer(member("weak", WEAK), Vec::new());
+    strong.own_shard("kacyiru.0", 5);
+    strong.own_shard("kacyiru.1", 6);
     strong.run_for(ms(1600));
     assert_eq!(strong.claims.len(), 1, "{:?}", strong.claims);
-    assert_eq!(strong.given, []);
+    assert_eq!(strong.handed_over, []);
 }
 
-// All daemons start at the same moment, and a weak one claims a shard before it has heard of the
-// strong one. Once that one has been there for a while, the shard is given to it.
+// All daemons start at the same time, and a weak one claims a shard before it knows of the strong
+// one. The shard is handed over once the strong daemon has been known for a while.
 #[test]
-fn a_shard_is_given_to_a_daemon_with_far_more_processor() {
-    let mut weak = Seen::new(member("weak", WEAK), 1);
-    weak.own("kacyiru.0", 5);
-    weak.greet(member("strong", STRONG), Vec::new());
+fn a_shard_is_handed_over_to_a_daemon_with_far_more_cpu() {
+    let mut weak = Harness::new(member("weak", WEAK), 1);
+    weak.own_shard("kacyiru.0", 5);
+    weak.add_peer(member("strong", STRONG), Vec::new());
     weak.run_for(ms(2500));
-    assert_eq!(weak.given, [], "the strong one may still be starting");
+    assert_eq!(weak.handed_over, [], "the strong daemon may still be starting");
     weak.run_for(ms(1500));
-    assert_eq!(weak.given, [("kacyiru.0".to_owned(), "strong".to_owned())]);
+    assert_eq!(weak.handed_over, [("kacyiru.0".to_owned(), "strong".to_owned())]);
 }
 
-// Two like daemons own three shards between them, and after a restart one owns two and the other
-// one none: one shard moves, the last one stays.
+// Of two equal daemons, one owns two shards and the other, after a restart, none. One shard moves and
+// the other stays.
 #[test]
-fn like_daemons_share_shards_out_and_then_leave_them() {
-    let mut full = Seen::new(member("full", STRONG), 2);
-    full.own("kacyiru.0", 5);
-    full.own("kacyiru.1", 6);
-    full.greet(member("empty", STRONG), Vec::new());
+fn equal_daemons_balance_shards_once() {
+    let mut full = Harness::new(member("full", STRONG), 2);
+    full.own_shard("kacyiru.0", 5);
+    full.own_shard("kacyiru.1", 6);
+    full.add_peer(member("empty", STRONG), Vec::new());
     full.run_for(ms(4000));
-    assert_eq!(full.given.len(), 1, "{:?}", full.given);
-    let (given, _) = full.given[0].clone();
-    full.tell(Event::Gone { shard: given.clone(), reason: "given away" });
-    full.greet(member("empty", STRONG), vec![news(&given, 9)]);
+    assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
+    let (handed_over, _) = full.handed_over[0].clone();
+    full.tell(Event::Gone { shard: handed_over.clone(), reason: "handed_over away" });
+    full.add_peer(member("empty", STRONG), vec![news(&handed_over, 9)]);
     full.run_for(ms(8000));
-    assert_eq!(full.given.len(), 1, "{:?}", full.given);
+    assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
 }
 
-// Forty daemons without shards greet each other every third second, and each owner every second; an
-// owner greets everyone every 400 ms.
+// With forty daemons, those without shards send each other a hello every three seconds and each owner
+// one every second. An owner sends everyone a hello every 400 ms.
 #[test]
-fn those_without_shards_greet_each_other_seldom() {
-    let mut idle = Seen::new(member("idle", WEAK), 1);
+fn daemons_without_shards_rarely_greet_each_other() {
+    let mut idle = Harness::new(member("idle", WEAK), 1);
     for number in 0..39 {
-        idle.greet(member(&format!("d{number}"), WEAK), Vec::new());
+        idle.add_peer(member(&format!("d{number}"), WEAK), Vec::new());
     }
-    idle.greet(member("owner", STRONG), vec![news("kacyiru.0", 5)]);
+    idle.add_peer(member("owner", STRONG), vec![news("kacyiru.0", 5)]);
     idle.run_for(ms(100));
-    let greetings = |seen: &mut Seen| {
+    let greetings = |harness: &mut Harness| {
         let mut count: IndexMap<String, u32> = IndexMap::new();
         for _ in 0..30 {
-            seen.run_for(TICK);
-            for member in seen.ownership.to_greet(seen.now) {
+            harness.run_for(TICK);
+            for member in harness.ownership.to_greet(harness.now) {
                 *count.entry(member.name).or_default() += 1;
             }
         }
@@ -203,131 +203,130 @@
     };
     assert_eq!(greetings(&mut idle), (3, 1));
 
-    idle.greet(member("owner", STRONG), Vec::new());
+    idle.add_peer(member("owner", STRONG), Vec::new());
     idle.run_for(ms(100));
-    idle.own("kacyiru.0", 6);
+    idle.own_shard("kacyiru.0", 6);
     idle.ownership.greet_all();
     let (_, others) = greetings(&mut idle);
     assert!((7..=8).contains(&others), "{others}");
 }
 
-// As daemons start, callers' jobs are refused for longer than need be, since shards change hands at once:
-// two daemons know of each other from the store and greet every third second, as long as neither owns
-// anything. One claims a shard, the other reads so in the store before the first greeting of the new
-// owner comes, and took it for an owner that had been silent for those three seconds.
+// Guards against a shard moving right after a claim at startup, which refuses callers' jobs for longer.
+// Daemons without shards send each other a hello only every three seconds. One claims a shard, and the
+// other reads the claim from the store before the new owner's first hello. It must not count the silence
+// before the claim, or it would consider the new owner unresponsive and claim the shard again.
 #[test]
 fn a_daemon_that_has_just_become_an_owner_is_not_taken_for_silent() {
-    let mut seen = Seen::new(member("strong", STRONG), 1);
-    seen.greet(member("before", STRONG), vec![news("kacyiru.0", 5)]);
-    seen.tell(Event::Registered(vec![member("quiet", STRONG)]));
-    seen.run_for(ms(3000));
+    let mut harness = Harness::new(member("strong", STRONG), 1);
+    harness.add_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.tell(Event::Registered(vec![member("quiet", STRONG)]));
+    harness.run_for(ms(3000));
     let before = Head::claim(DaemonId::new("before@1"), None);
     let mut head = Head::claim(DaemonId::new("quiet@1"), Some(&before));
     head.fence = 9;
-    seen.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
-    seen.run_for(ms(1200));
-    assert_eq!(seen.claims, [], "its first greeting is on its way");
-    seen.run_for(ms(800));
-    assert_eq!(seen.claims.len(), 1, "it says nothing at all");
+    harness.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
+    harness.run_for(ms(1200));
+    assert_eq!(harness.claims, [], "its first hello is still on its way");
+    harness.run_for(ms(800));
+    assert_eq!(harness.claims.len(), 1, "it never sends a hello");
 }
 
-/// Time between a claim's taking effect and the first greeting that names the shard, while the store takes
-/// 0.4 s for a call: half a call for the claim's answer, a page of jobs, and three of their progress, which
-/// is kept for as long as ended jobs are shown.
+/// Time between a claim and the first hello that lists the shard, while a store call takes 0.4 s: half a
+/// call for the claim's answer, one page of jobs, and three pages of their progress, which is kept for as
+/// long as ended jobs are shown.
 const SLOW_CLAIM: Duration = Duration::from_millis(1800);
 
-// Callers' jobs are refused for as long as the store is slow, since daemons take a shard from each other. The
-// one that claimed it still reads what the store has of it, and greets without naming it; another, which is
-// placed worse, reads the claim in the store, takes these greetings for word that the shard was given up,
-// and claims it in turn.
+// Guards against daemons taking a shard from each other for as long as the store is slow, while callers'
+// jobs are refused. A new owner that is still loading the shard sends hellos that don't list it. Another
+// daemon, which has read the claim from the store, must not conclude that the shard was released.
 #[test]
-fn a_claimant_that_still_reads_its_shard_has_not_given_it_up() {
-    let mut seen = Seen::new(member("worse", WEAK), 1);
-    seen.greet(member("before", STRONG), vec![news("kacyiru.0", 5)]);
-    seen.greet(member("reading", STRONG), Vec::new());
-    seen.run_for(ms(3000));
-    seen.others.shift_remove("before");
+fn an_owner_that_is_loading_its_shard_has_not_released_it() {
+    let mut harness = Harness::new(member("worse", WEAK), 1);
+    harness.add_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.add_peer(member("reading", STRONG), Vec::new());
+    harness.run_for(ms(3000));
+    harness.others.shift_remove("before");
     let before = Head::claim(DaemonId::new("before@1"), None);
     let mut head = Head::claim(DaemonId::new("reading@1"), Some(&before));
     head.fence = 9;
-    seen.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
-    seen.run_for(SLOW_CLAIM);
-    assert_eq!(seen.claims, [], "its owner is there, and reads");
-    seen.greet(member("reading", STRONG), vec![news("kacyiru.0", 9)]);
-    seen.run_for(ms(2000));
-    assert_eq!(seen.claims, []);
+    harness.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
+    harness.run_for(SLOW_CLAIM);
+    assert_eq!(harness.claims, [], "its owner is alive and still loading");
+    harness.add_peer(member("reading", STRONG), vec![news("kacyiru.0", 9)]);
+    harness.run_for(ms(2000));
+    assert_eq!(harness.claims, []);
 }
 
-// A shard is taken from a daemon that serves it well, and jobs are refused meanwhile. Another daemon's claim
-// failed, since a third was quicker; by the time it is told so, the shard has gone on to a fourth, which has
-// greeted. The head that the failed claim brought is older, but names no fence yet: it took the place of what
-// was known, and the present owner's greetings, with the fence that was known already, changed nothing.
+// Guards against a claim of a shard whose owner is alive. A daemon's claim fails because another was
+// quicker, and by the time it learns this, a third daemon owns the shard and has sent a hello. The head
+// returned with the failed claim is older and has no fencing token yet. It must not replace the known
+// owner, whose hellos repeat a known token and so wouldn't correct it.
 #[test]
-fn a_failed_claim_brings_nothing_older_than_what_is_known() {
-    let mut seen = Seen::new(member("strong", STRONG), 1);
-    seen.run_for(ms(3000));
-    assert_eq!(seen.claims.len(), 1, "the shard has no owner");
-    seen.claims.clear();
+fn a_failed_claim_does_not_replace_a_newer_owner() {
+    let mut harness = Harness::new(member("strong", STRONG), 1);
+    harness.run_for(ms(3000));
+    assert_eq!(harness.claims.len(), 1, "the shard has no owner");
+    harness.claims.clear();
     let quicker = Head::claim(DaemonId::new("quicker@1"), None);
-    seen.greet(member("quicker", STRONG), Vec::new());
-    seen.greet(member("present", STRONG), vec![news("kacyiru.0", 9)]);
-    seen.run_for(ms(100));
+    harness.add_peer(member("quicker", STRONG), Vec::new());
+    harness.add_peer(member("present", STRONG), vec![news("kacyiru.0", 9)]);
+    harness.run_for(ms(100));
     let (shard, reason) = ("kacyiru.0".to_owned(), "quicker@1 was quicker".to_owned());
-    seen.tell(Event::ClaimFailed { shard, head: Some(quicker), reason });
-    seen.run_for(ms(3000));
+    harness.tell(Event::ClaimFailed { shard, head: Some(quicker), reason });
+    harness.run_for(ms(3000));
     assert_eq!(
-        seen.ownership.owner("kacyiru.0").map(|owner| owner.name),
+        harness.ownership.owner("kacyiru.0").map(|owner| owner.name),
         Some("present".to_owned())
     );
-    assert_eq!(seen.claims, [], "its owner greets");
+    assert_eq!(harness.claims, [], "its owner sends hellos");
 }
 
-// A shard changes hands twice as a daemon comes back after a restart. It claims the shard, and another daemon
-// reads so in the store before it hears of the new process: the owner that it knows under that name is the
-// earlier process, so that it took the new one for gone, and claimed at once.
+// Guards against a shard moving twice when a daemon restarts. The restarted daemon claims the shard, and
+// another reads the claim from the store before the new process's first hello. It knows only the earlier
+// process under that name, and must not conclude that the new one has ended.
 #[test]
-fn an_owner_that_is_known_only_from_its_earlier_process_is_not_taken_for_gone() {
-    let mut seen = Seen::new(member("strong", STRONG), 1);
-    seen.greet(member("before", STRONG), vec![news("kacyiru.0", 5)]);
-    seen.greet(member("anew", STRONG), Vec::new());
-    seen.run_for(ms(3000));
-    seen.others.shift_remove("anew");
+fn an_owner_known_only_by_its_earlier_process_is_not_considered_ended() {
+    let mut harness = Harness::new(member("strong", STRONG), 1);
+    harness.add_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.add_peer(member("anew", STRONG), Vec::new());
+    harness.run_for(ms(3000));
+    harness.others.shift_remove("anew");
     let before = Head::claim(DaemonId::new("before@1"), None);
     let mut head = Head::claim(DaemonId::new("anew@2"), Some(&before));
     head.fence = 9;
-    seen.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
-    seen.run_for(ms(400));
-    assert_eq!(seen.claims, [], "its first greeting is on its way");
+    harness.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
+    harness.run_for(ms(400));
+    assert_eq!(harness.claims, [], "its first hello is still on its way");
 }
 
-// Callers' lasting tasks stand still while daemons are stopped one after the other. The last one that serves
-// is told to stop while those before it haven't come back: it gave its shards to nobody, and nobody owned
-// them for seconds. It keeps them until another one serves, or until it ends itself.
+// Guards against lasting tasks standing still while daemons are restarted in turn. The last serving
+// daemon is told to stop before the others are back. If it released its shards, they would have no owner
+// for seconds; it keeps them until another daemon serves or until it exits.
 #[test]
 fn a_daemon_that_stops_keeps_its_shards_while_nobody_else_serves() {
     let stopping = Member { stage: MemberStage::Draining, ..member("before", STRONG) };
-    let mut seen = Seen::new(member("last", STRONG), 2);
-    seen.greet(stopping, Vec::new());
-    seen.own("kacyiru.0", 5);
-    seen.own("kacyiru.1", 6);
-    seen.tell(Event::Drain);
-    seen.run_for(ms(2000));
-    assert_eq!(seen.given, [], "nobody serves");
-    seen.greet(member("anew", STRONG), Vec::new());
-    seen.run_for(ms(500));
-    let to: Vec<&str> = seen.given.iter().map(|(_, to)| to.as_str()).collect();
+    let mut harness = Harness::new(member("last", STRONG), 2);
+    harness.add_peer(stopping, Vec::new());
+    harness.own_shard("kacyiru.0", 5);
+    harness.own_shard("kacyiru.1", 6);
+    harness.tell(Event::Drain);
+    harness.run_for(ms(2000));
+    assert_eq!(harness.handed_over, [], "nobody serves");
+    harness.add_peer(member("anew", STRONG), Vec::new());
+    harness.run_for(ms(500));
+    let to: Vec<&str> = harness.handed_over.iter().map(|(_, to)| to.as_str()).collect();
     assert_eq!(to, ["anew", "anew"]);
 }
 
-// The same daemon ends before another one serves. It gives its shards up, so that whoever comes doesn't have
-// to find out that it is gone.
+// A draining daemon exits before another one serves. It releases its shards, so that the next daemon
+// doesn't have to wait until it is found to have ended.
 #[test]
-fn a_daemon_that_ends_gives_its_shards_up() {
-    let mut seen = Seen::new(member("last", STRONG), 1);
-    seen.own("kacyiru.0", 5);
-    seen.tell(Event::Drain);
-    seen.run_for(ms(2000));
-    assert_eq!(seen.given, []);
-    seen.tell(Event::GiveUp);
-    assert_eq!(seen.given, [("kacyiru.0".to_owned(), "last".to_owned())]);
+fn a_daemon_that_exits_releases_its_shards() {
+    let mut harness = Harness::new(member("last", STRONG), 1);
+    harness.own_shard("kacyiru.0", 5);
+    harness.tell(Event::Drain);
+    harness.run_for(ms(2000));
+    assert_eq!(harness.handed_over, []);
+    harness.tell(Event::GiveUp);
+    assert_eq!(harness.handed_over, [("kacyiru.0".to_owned(), "last".to_owned())]);
 }
