--- a/src/job.rs
+++ b/src/job.rs
@@ -1,8 +1,8 @@
-//! Jobs: steps of tasks that run on VMs until each has ended, or until the job is cancelled.
+//! Jobs: steps of tasks that run on VMs until all have ended or the job is cancelled.
 //!
-//! A job is accepted whole and is fixed from then on. What changes while it runs (attempts,
-//! bindings, checkpoints) is kept apart from it in [`progress`], so that a commit rewrites only
-//! the small part.
+//! A job is immutable once accepted. The state that changes while it runs (attempts, bindings,
+//! checkpoints) is stored separately, see [`progress`], so that a commit rewrites only that small
+//! record.
 
 pub mod check;
 pub mod progress;
@@ -15,22 +15,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Result of reading a job's id.
+/// Result of parsing a job id.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A name that can't be read.
+/// Error for an id that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     #[error("`{0}` is not a job id; use 16 lower-case hexadecimal digits")]
     JobId(String),
 }
 
-/// A job, named by its caller.
+/// Id of a job, chosen by its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(pub u64);
 
-/// Digits of a job id.
+/// Number of hexadecimal digits in a job id.
 const JOB_ID_DIGITS: usize = 16;
 
 impl fmt::Display for JobId {
@@ -59,12 +59,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as given.
+            /// Creates a name from its text.
             pub fn new(name: &str) -> Self {
                 Self(Arc::from(name))
             }
 
-            /// The name's text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -78,11 +78,11 @@
     };
 }
 
-text_name!(/// A queue that callers submit jobs to.
+text_name!(/// Name of a queue that callers submit jobs to.
     QueueName);
 text_name!(/// A property of a VM that a step can require.
     Label);
-text_name!(/// What the tasks of a step run; tasks of one image behave alike.
+text_name!(/// Name of the program that a step's tasks run; tasks of one image behave alike.
     Image);
 
 /// A job as its caller submitted it.
@@ -90,24 +90,24 @@
 pub struct Job {
     pub id: JobId,
     pub queue: QueueName,
-    /// Service whose VMs run it, as the queue said when the job was accepted.
+    /// Service whose VMs run the job, taken from the queue's configuration on acceptance.
     pub service: ServiceName,
-    /// The caller's argument, passed to the VM unread.
+    /// The caller's argument, passed to the VM unchanged.
     pub payload: Arc<str>,
     pub steps: Vec<Step>,
     pub repeat: Repeat,
-    /// Time of day at acceptance, since 1970.
+    /// Wall-clock time of acceptance, since the Unix epoch.
     pub accepted: Duration,
 }
 
 /// How often a job's steps run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Once, as soon as there is room.
+    /// Runs once, as soon as there is room.
     Once,
-    /// At fixed times of day; occurrences may overlap.
+    /// Runs at fixed times; occurrences may overlap.
     Timed {
-        /// Time of day of the first, since 1970.
+        /// Wall-clock time of the first occurrence, since the Unix epoch.
         first: Duration,
         interval: Duration,
         times: u32,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Time of day at which an occurrence is due; `None` where it is due at once.
+    /// Wall-clock time at which an occurrence is due, or `None` if it is due at once.
     pub fn due(&self, occurrence: u32) -> Option<Duration> {
         match self {
             Self::Once => None,
@@ -134,36 +134,37 @@
     }
 }
 
-/// A group of like tasks.
+/// A group of identical tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     pub tasks: u32,
-    /// What each task takes.
+    /// Resources of each task.
     pub size: Resources,
-    /// Rough run time of a task.
+    /// Estimated run time of a task.
     pub estimate: Duration,
-    /// Earlier steps whose tasks must all have succeeded first.
+    /// Indexes of earlier steps that must have succeeded before this one starts.
     pub after: Vec<u16>,
     pub resume: Resume,
     pub members: Members,
     pub copies: Copies,
     pub life: Life,
     pub share: Share,
-    /// Label that the VM must have.
+    /// Label required of the VM.
     pub label: Option<Label>,
-    /// Rack that holds the data.
+    /// Rack that stores the step's input data.
     pub rack: Option<RackId>,
-    /// Most tasks of the step (of one occurrence) on one VM; zero for any number.
+    /// Maximum number of the step's tasks (of one occurrence) on one VM; zero for no limit.
     pub per_vm: u32,
     pub image: Option<Image>,
-    /// Bound on the tail of the response times that a serving task gives its users.
+    /// Target for the tail latency that a serving task gives its users.
     pub tail_target: Option<Duration>,
-    /// Tasks that may be away at a time by this system's own doing; `None` for no such bound.
+    /// Maximum number of tasks that the scheduler itself may keep down at once; `None` for no limit.
     pub max_away: Option<u32>,
 }
 
 impl Step {
-    /// So many tasks that each take their room until they end, bound to nothing.
+    /// A step with default options: independent tasks with reserved resources and no placement
+    /// constraints.
     pub fn new(tasks: u32, size: Resources, estimate: Duration) -> Self {
         Self {
             tasks,
@@ -185,7 +186,7 @@
     }
 }
 
-/// Whether a task can go on where an earlier run was stopped.
+/// Whether a task can resume from a checkpoint of an earlier run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Resume {
     #[default]
@@ -198,27 +199,27 @@
 pub enum Members {
     #[default]
     Alone,
-    /// They work only while all of one run are there, and end together.
+    /// A gang: the tasks make progress only while all of them run, and they end together.
     Together,
-    /// As [`Members::Together`], and slower when spread over racks.
+    /// Like [`Members::Together`], but slower when spread over several racks.
     TogetherOnRack,
-    /// Each by itself, and slower when spread over racks.
+    /// Independent tasks that are slower when spread over several racks.
     AloneOnRack,
 }
 
 impl Members {
-    /// Whether the tasks start, work and end as one.
+    /// Whether the tasks are scheduled as a gang.
     pub fn as_one(self) -> bool {
         matches!(self, Self::Together | Self::TogetherOnRack)
     }
 
-    /// Whether the tasks are slower when spread over racks.
+    /// Whether the tasks are slower when spread over several racks.
     pub fn one_rack(self) -> bool {
         matches!(self, Self::TogetherOnRack | Self::AloneOnRack)
     }
 }
 
-/// Whether a task may run in several places at a time.
+/// Whether a task may have several concurrent copies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Copies {
     #[default]
@@ -230,25 +231,25 @@
 /// When a step's tasks end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Life {
-    /// Each by itself, when its work is done.
+    /// Each task ends when its work is done.
     #[default]
     Finite,
-    /// Only with the job's cancellation; started again however they end.
+    /// Tasks run until the job is cancelled and are restarted whenever they end.
     Lasting,
 }
 
-/// How a step's processors are counted on a VM.
+/// How a step's CPU is counted on a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Share {
     /// Against the VM's capacity.
     #[default]
     Reserved,
-    /// Not counted: the tasks get what the others leave unused.
+    /// Not counted: the tasks use CPU that the others leave idle.
     Leftover,
 }
 
 impl Step {
-    /// What a task of this step takes from a VM's room.
+    /// Resources that a task of this step reserves on a VM.
     pub fn reserved(&self) -> Resources {
         match self.share {
             Share::Reserved => self.size,
@@ -257,7 +258,7 @@
     }
 }
 
-/// One task: its job, occurrence, step, and place in the step, all counted from zero.
+/// Identifies a task by its job, occurrence, step, and index in the step, counted from zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskRef {
     pub job: JobId,
@@ -267,13 +268,13 @@
 }
 
 impl TaskRef {
-    /// The step that it belongs to.
+    /// The step that the task belongs to.
     pub fn of_step(self) -> StepRef {
         StepRef { job: self.job, occurrence: self.occurrence, step: self.step }
     }
 }
 
-/// One step of one occurrence of a job.
+/// Identifies a step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StepRef {
     pub job: JobId,
@@ -293,7 +294,7 @@
     }
 }
 
-/// Number of a task's start; rises with each.
+/// Sequence number of a task's runs, increased by each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RunNumber(pub u32);
@@ -304,10 +305,10 @@
     }
 }
 
-/// What a run left to resume from.
+/// State saved by a run, from which a later run can resume.
 pub type Checkpoint = CheckpointId;
 
-/// What callers are shown of a job.
+/// State of a job as shown to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShownState {
     /// No task has started.
@@ -315,13 +316,13 @@
     Running,
     /// Every task has succeeded.
     Done,
-    /// A task has used up its attempts.
+    /// A task has exhausted its attempts.
     Failed,
     Cancelled,
 }
 
 impl ShownState {
-    /// Whether the state stays for good.
+    /// Whether the state is final.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
--- a/src/job/check.rs
+++ b/src/job/check.rs
@@ -1,4 +1,4 @@
-//! What makes a job impossible, told before it is accepted.
+//! Validation of jobs before they are accepted.
 
 use super::{Job, Label};
 use crate::ids::ServiceName;
@@ -9,16 +9,18 @@
 /// Result of a check.
 pub type Result<T> = std::result::Result<T, Fault>;
 
-/// Most steps of a job; a progress record of the longest job stays under the store's value size.
+/// Maximum number of steps in a job. Keeps the progress record of the largest job under the store's
+/// limit on the size of a value.
 pub const MAX_STEPS: usize = 64;
 
-/// Most tasks of one occurrence, for the same reason: a task's progress takes up to 40 bytes.
+/// Maximum number of tasks in one occurrence, for the same reason: the progress of a task takes up
+/// to 40 bytes.
 pub const MAX_TASKS: u64 = 10_000;
 
-/// Most occurrences of a job.
+/// Maximum number of occurrences of a job.
 pub const MAX_OCCURRENCES: u32 = 100_000;
 
-/// Why a job can't be accepted.
+/// Why a job is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     #[error("the job has no steps; give it at least one")]
@@ -43,25 +45,26 @@
     WaitsForLasting(usize),
 }
 
-/// VMs that differ in what they can carry, by service: every kind that was announced so far, since
-/// one that is away now may come back.
+/// Distinct VM shapes of each service. Includes all shapes listed so far, since a VM that is missing
+/// now may come back.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shapes {
     of: IndexMap<ServiceName, IndexSet<Shape>>,
 }
 
-/// What a VM can carry.
+/// Properties of a VM that decide which tasks it can run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Shape {
     size: Resources,
     labels: Vec<Label>,
 }
 
-/// Kinds kept for a service; a fleet has a handful of sizes, and a label for each rack.
+/// Maximum number of shapes kept for a service; a fleet has only a few sizes, and a label for each
+/// rack.
 const MAX_SHAPES: usize = 4096;
 
 impl Shapes {
-    /// Adds what is announced; true if a kind is new.
+    /// Adds the shapes of listed VMs; returns whether any of them is new.
     pub fn add(&mut self, vms: &[VmEntry]) -> bool {
         let mut new = false;
         for vm in vms {
@@ -74,7 +77,7 @@
     }
 }
 
-/// Checks that each step of a job fits on some VM, as far as any are known.
+/// Checks that each step of a job fits on some VM; passes if no VM of the service is known.
 pub fn possible(job: &Job, shapes: &Shapes) -> Result<()> {
     let Some(known) = shapes.of.get(&job.service) else { return Ok(()) };
     for (number, step) in job.steps.iter().enumerate() {
@@ -95,7 +98,7 @@
     Ok(())
 }
 
-/// Checks the form of a job.
+/// Checks the limits and the step order of a job.
 pub fn form(job: &Job) -> Result<()> {
     if job.steps.is_empty() {
         return Err(Fault::NoSteps);
@@ -111,10 +114,10 @@
     if occurrences > MAX_OCCURRENCES {
         return Err(Fault::TooManyOccurrences(occurrences));
     }
-    steps(job)
+    check_steps(job)
 }
 
-fn steps(job: &Job) -> Result<()> {
+fn check_steps(job: &Job) -> Result<()> {
     for (number, step) in job.steps.iter().enumerate() {
         if step.tasks == 0 {
             return Err(Fault::NoTasks(number));
