--- a/src/job/progress.rs
+++ b/src/job/progress.rs
@@ -1,9 +1,9 @@
-//! How far a job has come, as the store keeps it.
+//! Durable progress of a job.
 //!
-//! One record a job, rewritten whenever something about it has to be durable before it takes
-//! effect: a binding before the start, an end before the VM may forget it, a cancellation before
-//! it is acknowledged. VMs stand in a table at its head, so that a binding takes two or three
-//! bytes.
+//! Each job has one record, which is rewritten whenever a change has to be durable before it takes
+//! effect: a binding before the run starts, an end before the VM may discard it, a cancellation
+//! before it is acknowledged. Bindings refer to VMs by their index in a table at the head of the
+//! record, so that a binding takes two or three bytes.
 
 #[cfg(test)]
 mod tests;
@@ -13,12 +13,14 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Result of reading a record.
+/// Result of decoding a record.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A record that can't be read.
+/// Error for a record that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a record in the store can't be read ({0}); it was written by a later release")]
+#[error(
+    "a record in the store can't be decoded ({0}); it may have been written by a later release"
+)]
 pub struct Error(String);
 
 /// Durable progress of one job.
@@ -27,21 +29,21 @@
     pub state: ShownState,
     /// Shard that lent tasks of the job to this one; `None` in the shard that accepted it.
     pub home: Option<String>,
-    /// VMs that bindings name, by their place in this table.
+    /// VMs that bindings refer to by index.
     pub vms: Vec<BoundVm>,
-    /// Shards that tasks are lent to, by their place in this table.
+    /// Shards that loans refer to by index.
     pub shards: Vec<String>,
-    /// Occurrences begun so far.
+    /// Number of occurrences started so far.
     pub begun: u32,
-    /// Occurrences that were begun and haven't ended.
+    /// Occurrences that have started and not ended.
     pub open: Vec<OccurrenceProgress>,
-    /// Tasks under which VMs have crashed. Written after the rest, and only if there are any: releases that
-    /// don't know of it read what they know.
+    /// Tasks that VMs crashed under. Encoded after the rest of the record, and only if not empty, so
+    /// that releases without this field can still decode the record.
     #[serde(skip)]
     pub crashes: Vec<CrashRow>,
 }
 
-/// Crashes of VMs under one task.
+/// VM crashes under one task, as stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRow {
     occurrence: u32,
@@ -50,30 +52,30 @@
     pub crashes: Crashes,
 }
 
-/// VMs that crashed under a task.
+/// Numbers of VM crashes under a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
-    /// While a run of it was there.
+    /// Crashes while the VM had a run of the task.
     pub all: u8,
-    /// Of these, as the run had only just begun.
+    /// Those of them that happened right after the run started.
     pub sudden: u8,
 }
 
 impl Crashes {
-    /// The larger counts of two.
+    /// The maximum of each count.
     pub fn most(self, other: Self) -> Self {
         Self { all: self.all.max(other.all), sudden: self.sudden.max(other.sudden) }
     }
 }
 
 impl CrashRow {
-    /// The crashes of a task.
+    /// Creates the row of a task.
     pub fn new(task: TaskRef, crashes: Crashes) -> Self {
         let TaskRef { occurrence, step, index, .. } = task;
         Self { occurrence, step, index, crashes }
     }
 
-    /// The task's name, in its job.
+    /// The task that the row belongs to.
     pub fn task(&self, job: JobId) -> TaskRef {
         TaskRef { job, occurrence: self.occurrence, step: self.step, index: self.index }
     }
@@ -89,7 +91,7 @@
         bytes
     }
 
-    /// Decodes a record, of an earlier release also.
+    /// Decodes a record, including one written by an earlier release.
     pub fn decode(bytes: &[u8]) -> Result<Self> {
         let (mut progress, rest): (Self, &[u8]) =
             postcard::take_from_bytes(bytes).map_err(|e| Error(e.to_string()))?;
@@ -104,7 +106,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OccurrenceProgress {
     pub number: u32,
-    /// Tasks of each step.
+    /// Progress of the tasks in each step.
     pub steps: Vec<Vec<TaskProgress>>,
 }
 
@@ -112,61 +114,62 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
     pub state: TaskPhase,
-    /// Number of the last start.
+    /// Number of the last run.
     pub last_run: RunNumber,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failed: u32,
     pub checkpoint: Option<Checkpoint>,
-    /// Runs that may have started and aren't known to have ended.
+    /// Runs that may have started and are not known to have ended.
     pub bound: Vec<Binding>,
-    /// Shard that runs it in place of this one.
+    /// Loan to the shard that runs the task in place of this one.
     pub lent: Option<LentTo>,
-    /// Number of the loan by which it is here; zero in the shard that accepted the job.
+    /// Number of the loan that brought the task to this shard; zero in the shard that accepted the
+    /// job.
     pub loan: u64,
 }
 
-/// What has become of a task.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
     #[default]
     Open,
     Succeeded,
-    /// Lent here: it used up its attempts.
+    /// The task was lent to this shard and has exhausted its attempts.
     Failed,
-    /// Lent here: it is given back without having succeeded.
+    /// The task was lent to this shard and is returned without having succeeded.
     GivenBack,
-    /// Of a job of which other tasks are lent here.
+    /// The task is not in this shard; only other tasks of its job are lent to it.
     Elsewhere,
 }
 
-/// A loan as the lending shard keeps it.
+/// A loan, as recorded by the lending shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LentTo {
-    /// Place in the record's table of shards.
+    /// Index in [`Progress::shards`].
     pub shard: u16,
-    /// Number of the loan; rises with each of a shard.
+    /// Number of the loan, increased by each loan of a shard.
     pub loan: u64,
 }
 
-/// A VM that a task is bound to. Its address is kept since the VM may not be announced any more
-/// when the next owner takes over: another life there proves that this one has ended.
+/// A VM that tasks are bound to. The address is stored because the VM may no longer be listed when
+/// the next owner takes over: a new VM id at that address proves that this incarnation has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoundVm {
     pub id: VmId,
     pub addr: Arc<str>,
 }
 
-/// One run's VM.
+/// Assignment of a run to a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
-    /// Place in the record's table of VMs.
+    /// Index in [`Progress::vms`].
     pub vm: u16,
     pub run: RunNumber,
 }
 
 /// Encodes a record.
 pub fn encode<T: Serialize>(record: &T) -> Vec<u8> {
-    postcard::to_allocvec(record).expect("records hold nothing that can't be encoded")
+    postcard::to_allocvec(record).expect("records contain only encodable types")
 }
 
 /// Decodes a record.
--- a/src/job/progress/tests.rs
+++ b/src/job/progress/tests.rs
@@ -19,16 +19,20 @@
     Progress { crashes, ..progress() }
 }
 
-// Guards against records that a daemon of another release can't read while daemons are replaced in turn.
+// During a rolling upgrade, daemons of different releases must be able to decode each other's records.
 #[test]
-fn records_are_read_by_the_release_before_and_after() {
-    let before: Progress = decode(&crashed().encode()).expect("what the release before knows");
+fn records_are_compatible_with_the_earlier_release() {
+    let before: Progress =
+        decode(&crashed().encode()).expect("the fields known to the earlier release");
     assert_eq!(before, progress());
-    assert_eq!(Progress::decode(&encode(&progress())).expect("an earlier record"), progress());
+    assert_eq!(
+        Progress::decode(&encode(&progress())).expect("a record of the earlier release"),
+        progress()
+    );
 }
 
 #[test]
-fn crashes_are_read_back() {
+fn crashes_survive_encoding() {
     let read = Progress::decode(&crashed().encode()).expect("a record");
     assert_eq!(read, crashed());
     assert_eq!(read.crashes[0].task(JobId(7)).index, 3);
