--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -1,11 +1,11 @@
-//! Upkeep waves: operators name machines that must each go down for upkeep, in time, and at most so
-//! many at once.
+//! Upkeep waves: operators list machines that must all go down for upkeep within a deadline, with a
+//! limit on how many may be down at once.
 //!
-//! A machine is what a VM is one life of; it stays in its rack and so in its shard, whose owner
-//! empties the VM and orders the upkeep. Who is down is counted in one record for each wave in
-//! the store: an owner adds a machine there, under the condition that nobody changed the record
-//! meanwhile, before it orders the upkeep, and takes it off when the machine is back. So the bound
-//! holds over owners that don't hear each other, and a new owner finds what the last one began.
+//! A machine hosts successive incarnations of a VM. It stays in its rack and therefore in its shard,
+//! whose owner vacates the VM and orders the upkeep. Each wave has one record in the store that
+//! lists the machines that are down. Before ordering an upkeep, an owner adds the machine to the
+//! record with a conditional write, and it removes the machine when it is back. The limit therefore
+//! holds even if owners can't reach each other, and a new owner finds what its predecessor began.
 
 pub mod duty;
 
@@ -21,18 +21,18 @@
 /// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A machine; the same over all lives of its VM.
+/// Identifies a machine over all incarnations of its VM.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MachineId(Arc<str>);
 
 impl MachineId {
-    /// The name as given.
+    /// Creates an id from a machine name.
     pub fn new(name: &str) -> Self {
         Self(Arc::from(name))
     }
 
-    /// The name's text.
+    /// The name as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -44,62 +44,62 @@
     }
 }
 
-/// Machines that operators want to go down for upkeep.
+/// A set of machines that operators want to go down for upkeep.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wave {
     pub number: u64,
     pub machines: Vec<MachineId>,
-    /// Time for all of them.
+    /// Time limit for the whole wave.
     pub within: Duration,
-    /// Most that may be down at a time.
+    /// Maximum number of machines down at once.
     pub max_down: usize,
 }
 
-/// How far a wave has come, as operators are told.
+/// State of a wave, as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaveState {
     Running,
-    /// Each machine that is still there has had its upkeep.
+    /// Every machine that still exists has had its upkeep.
     Done,
 }
 
-/// A wave's record in the store.
+/// Record of a wave in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Machines that are down or about to be, with the life of the VM that was to end.
+    /// Machines that are down or about to go down, with the VM incarnation that this ends.
     pub down: IndexMap<MachineId, VmId>,
-    /// Machines that have had their upkeep, or are gone.
+    /// Machines that have had their upkeep or no longer exist.
     pub done: IndexSet<MachineId>,
 }
 
 impl Record {
-    /// Key of a wave's record.
+    /// Store key of a wave's record.
     pub fn key(wave: u64) -> String {
         format!("wave/{wave}")
     }
 
-    /// Whether each machine of the wave is done.
+    /// Whether every machine of the wave is done.
     pub fn is_complete(&self, wave: &Wave) -> bool {
         wave.machines.iter().all(|machine| self.done.contains(machine))
     }
 }
 
-/// A machine as the platform lists it.
+/// A machine as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Machine {
     pub id: MachineId,
-    /// Its present VM, if it has one.
+    /// The machine's current VM, if any.
     pub vm: Option<VmId>,
     pub domain: DomainId,
     pub rack: RackId,
     pub state: MachineState,
 }
 
-/// What a machine does.
+/// State of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
     Up,
-    /// On its way to another pool.
+    /// Being moved to another pool.
     Moving,
     Upkeep,
     Down,
@@ -108,15 +108,15 @@
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    #[error("a later owner has given orders for this machine; drop the shard")]
+    #[error("a later owner has sent orders for this machine; release the shard")]
     Fenced,
-    #[error("the machine isn't up or leaves; order its upkeep once it is back")]
+    #[error("the machine is not up or is leaving; order its upkeep once it is back")]
     Busy,
-    #[error("the machine isn't of that wave; read the wave again")]
+    #[error("the machine is not part of that wave; read the wave again")]
     NotInWave,
-    #[error("the platform refused the call ({status}); make it again later")]
+    #[error("the platform refused the call ({status}); retry later")]
     Refused { status: u16 },
-    #[error("the platform can't be reached ({reason}); make the call again later")]
+    #[error("the platform can't be reached ({reason}); retry later")]
     NotSent { reason: String },
     #[error("the platform did not answer ({reason}); the call may have taken effect")]
     NoAnswer { reason: String },
@@ -127,17 +127,17 @@
 pub struct UpkeepReq {
     pub machine: MachineId,
     pub wave: u64,
-    /// Who orders it.
+    /// Name of the ordering daemon.
     pub holder: String,
     pub fence: Fence,
 }
 
-/// The platform's machines.
+/// Client of the platform's machine API.
 pub trait MachinePort {
-    /// Every machine.
+    /// Lists all machines.
     fn list(&self) -> impl Future<Output = Result<Vec<Machine>>>;
 
-    /// Ends everything on a machine and has its upkeep done; an upkeep that was done already is not
-    /// an error.
+    /// Ends everything on a machine and starts its upkeep; succeeds if the upkeep has already been
+    /// done.
     fn upkeep(&self, req: &UpkeepReq) -> impl Future<Output = Result<()>>;
 }
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -1,7 +1,8 @@
-//! Which machine goes down next, as one daemon decides it for the shards that it owns.
+//! Decides which machines go down next, for the shards that one daemon owns.
 //!
-//! For each shard some machines of a wave are emptied ahead, as many as the wave's time demands, so
-//! that one can go down as soon as another one is back. Nothing is decided on a list of machines, or a record, that wasn't read a moment ago.
+//! In each shard, some machines of a wave are vacated ahead of time, as many as the wave's deadline
+//! requires, so that one can go down as soon as another is back. Decisions are made only with a
+//! machine list and a wave record that were read recently.
 
 use super::{Error, Machine, MachineId, MachineState, Record, UpkeepReq, Wave, WaveState};
 use crate::cluster::Plan;
@@ -13,55 +14,55 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Between two readings of the machines while a wave is open here. A reading of 500 machines takes
-/// 10 ms of a daemon's processor and a sixtieth of what the platform takes in a second.
-const LIST_EVERY: Duration = Duration::from_millis(350);
+/// Interval between reads of the machine list while a wave is open. Reading 500 machines takes 10 ms
+/// of a daemon's CPU and a sixtieth of the platform's capacity per second.
+const LIST_INTERVAL: Duration = Duration::from_millis(350);
 
-/// Between two readings of a wave's record.
-const RECORD_EVERY: Duration = Duration::from_millis(500);
+/// Interval between reads of a wave's record.
+const RECORD_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Age up to which a list or a record is gone by.
-const FRESH: Duration = Duration::from_millis(2000);
+/// Maximum age of a machine list or a record that decisions are based on.
+const MAX_DATA_AGE: Duration = Duration::from_millis(2000);
 
-/// Pause before an upkeep that wasn't confirmed is ordered again.
+/// Delay before an unconfirmed upkeep order is retried.
 const CALL_RETRY: Duration = Duration::from_millis(400);
 
-/// From the answer to an order on, a list that says a machine is up may still be older than the
-/// order; the platform takes a few milliseconds for either.
+/// Time after the answer to an order in which a list may still show the machine as up because the
+/// list predates the order; the platform takes a few milliseconds for each call.
 const LIST_LAG: Duration = Duration::from_millis(300);
 
-/// Time that a machine must be missing from the list to be gone.
-const GONE_AFTER: Duration = Duration::from_secs(4);
+/// Time that a machine must be missing from the list before it counts as removed.
+const REMOVED_AFTER: Duration = Duration::from_secs(4);
 
-/// A shard owned here.
+/// A shard owned by this daemon.
 #[derive(Clone, Debug)]
 pub struct OwnShard {
     pub name: String,
     pub fence: Fence,
-    /// VMs that were to be emptied and are empty.
+    /// VMs that have been vacated on request.
     pub vacated: Vec<VmId>,
 }
 
-/// What the duty is told.
+/// Input of [`Duty::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes; the shards that are owned here now.
+    /// Periodic tick with the shards that this daemon owns now.
     Tick(Vec<OwnShard>),
-    /// A wave as operators wrote it.
+    /// A wave as configured by operators.
     Wave(Wave),
     Plan(Plan),
-    /// Every machine, as listed at `sent` or later.
+    /// The machine list, read at `sent` or later.
     Listed {
         sent: Duration,
         machines: super::Result<Vec<Machine>>,
     },
-    /// A wave's record as the store has it.
+    /// A wave's record read from or written to the store.
     Recorded {
         wave: u64,
         rev: Rev,
         record: Record,
     },
-    /// The record couldn't be read or written; someone else may have changed it.
+    /// The record couldn't be read or written; another daemon may have changed it.
     NotRecorded {
         wave: u64,
     },
@@ -73,14 +74,14 @@
     },
 }
 
-/// What the duty asks for.
+/// Output of [`Duty::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     List,
     Read {
         wave: u64,
     },
-    /// Writes a record if it is still at `rev`, and tells operators how far the wave has come.
+    /// Writes a record if it is still at `rev`, and reports the wave's state to operators.
     Write {
         wave: u64,
         rev: Rev,
@@ -88,7 +89,7 @@
         state: WaveState,
     },
     Call(UpkeepReq),
-    /// Empties VMs of a shard.
+    /// Vacates VMs of a shard.
     Vacate {
         shard: String,
         order: VacateOrder,
@@ -96,31 +97,31 @@
     Note(Note),
 }
 
-/// An order of an upkeep.
+/// State of an upkeep order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
-    UnderWay,
-    /// Confirmed then: the machine is down, or has had its upkeep.
+    InFlight,
+    /// Time of the confirmation that the machine is down or has had its upkeep.
     Confirmed(Duration),
     Failed {
         retry: Duration,
     },
 }
 
-/// Whether what is known of a wave was read a moment ago.
+/// Whether the data about a wave is recent enough to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Known {
-    Lately,
-    Old,
+enum DataAge {
+    Fresh,
+    Stale,
 }
 
-/// A wave on its way.
-struct Run {
+/// A wave in progress.
+struct ActiveWave {
     wave: Wave,
     since: Duration,
     record: Option<(Rev, Record)>,
     read_at: Duration,
-    /// Whether a reading or a writing is under way.
+    /// Whether a read or write of the record is in flight.
     busy: bool,
     next_read: Duration,
     calls: IndexMap<MachineId, Call>,
@@ -128,23 +129,23 @@
     closed: bool,
 }
 
-/// Decides about the waves.
+/// State machine that runs the waves.
 pub struct Duty {
     holder: String,
     now: Duration,
     plan: Plan,
-    waves: IndexMap<u64, Run>,
+    waves: IndexMap<u64, ActiveWave>,
     machines: IndexMap<MachineId, Machine>,
     listed: Option<Duration>,
     listing: bool,
     next_list: Duration,
-    /// What shards' present owners were last told to empty.
-    told: IndexMap<(String, Fence), VacateOrder>,
-    out: Vec<Action>,
+    /// Last vacate order sent to the current owner of each shard.
+    last_orders: IndexMap<(String, Fence), VacateOrder>,
+    actions: Vec<Action>,
 }
 
 impl Duty {
-    /// A duty that knows of no wave; `holder` names this daemon to the platform.
+    /// Creates the state machine without waves; `holder` identifies this daemon to the platform.
     pub fn new(holder: &str) -> Self {
         Self {
             holder: holder.to_owned(),
@@ -155,25 +156,25 @@
             listed: None,
             listing: false,
             next_list: Duration::ZERO,
-            told: IndexMap::new(),
-            out: Vec::new(),
+            last_orders: IndexMap::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// Whether any wave isn't done.
+    /// Whether any wave is unfinished.
     pub fn has_open(&self) -> bool {
         self.waves.values().any(|run| !run.closed)
     }
 
-    /// Takes an event, and gives what is to be done.
+    /// Handles an event and returns the actions to perform.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = now;
         match event {
             Event::Tick(shards) => self.tick(&shards),
-            Event::Wave(wave) => self.opened(wave),
+            Event::Wave(wave) => self.handle_wave(wave),
             Event::Plan(plan) => self.plan = plan,
-            Event::Listed { sent, machines } => self.take_list(sent, machines),
-            Event::Recorded { wave, rev, record } => self.recorded(wave, rev, record),
+            Event::Listed { sent, machines } => self.handle_list(sent, machines),
+            Event::Recorded { wave, rev, record } => self.handle_record(wave, rev, record),
             Event::NotRecorded { wave } => {
                 if let Some(run) = self.waves.get_mut(&wave) {
                     run.busy = false;
@@ -181,12 +182,14 @@
                     run.next_read = now;
                 }
             }
-            Event::Called { wave, machine, result } => self.called(wave, machine, &result),
+            Event::Called { wave, machine, result } => {
+                self.handle_call_result(wave, machine, &result)
+            }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    fn opened(&mut self, wave: Wave) {
+    fn handle_wave(&mut self, wave: Wave) {
         let (number, now) = (wave.number, self.now);
         if let Some(known) = self.waves.get_mut(&number) {
             known.closed &= known.wave == wave;
@@ -194,7 +197,7 @@
             return;
         }
         let (machines, max_down, within_ms) = (wave.machines.len(), wave.max_down, Ms(wave.within));
-        let run = Run {
+        let run = ActiveWave {
             wave,
             since: now,
             record: None,
@@ -207,10 +210,10 @@
         };
         self.waves.insert(number, run);
         let note = Note::WaveOpened { wave: number, machines, max_down, within_ms };
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
-    fn take_list(&mut self, sent: Duration, machines: super::Result<Vec<Machine>>) {
+    fn handle_list(&mut self, sent: Duration, machines: super::Result<Vec<Machine>>) {
         self.listing = false;
         match machines {
             Ok(machines) => {
@@ -219,27 +222,27 @@
             }
             Err(e) => {
                 let reason = e.to_string();
-                self.out.push(Action::Note(Note::MachinesUnknown { reason }));
+                self.actions.push(Action::Note(Note::MachinesUnknown { reason }));
             }
         }
     }
 
-    fn recorded(&mut self, wave: u64, rev: Rev, record: Record) {
+    fn handle_record(&mut self, wave: u64, rev: Rev, record: Record) {
         let Some(run) = self.waves.get_mut(&wave) else { return };
-        run.note_back(&record, self.now, &mut self.out);
+        run.log_returned(&record, self.now, &mut self.actions);
         run.busy = false;
         run.read_at = self.now;
-        run.next_read = self.now + RECORD_EVERY;
+        run.next_read = self.now + RECORD_INTERVAL;
         if record.is_complete(&run.wave) && rev != Rev::ABSENT && !run.closed {
             run.closed = true;
             let took_ms = Ms(self.now.saturating_sub(run.since));
             let machines = run.wave.machines.len();
-            self.out.push(Action::Note(Note::WaveDone { wave, machines, took_ms }));
+            self.actions.push(Action::Note(Note::WaveDone { wave, machines, took_ms }));
         }
         run.record = Some((rev, record));
     }
 
-    fn called(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
+    fn handle_call_result(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
         let now = self.now;
         let Some(run) = self.waves.get_mut(&wave) else { return };
         let call = match result {
@@ -251,7 +254,7 @@
             Ok(()) => Note::MachineDown { wave, machine },
             Err(e) => Note::UpkeepFailed { wave, machine, reason: e.to_string() },
         };
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
         if *result == Err(Error::NotInWave) {
             run.next_read = now;
         }
@@ -260,111 +263,115 @@
     fn tick(&mut self, shards: &[OwnShard]) {
         let mut vacate: IndexMap<String, VacateOrder> = IndexMap::new();
         if self.has_open() && !shards.is_empty() {
-            self.read();
+            self.start_reads();
             let numbers: Vec<u64> = self.waves.keys().copied().collect();
             for number in numbers {
-                if self.go_on(number, shards, &mut vacate) == Known::Old {
-                    // What is being emptied stays so until more is known.
+                if self.advance_wave(number, shards, &mut vacate) == DataAge::Stale {
+                    // Keep the current vacate orders until fresh data arrives.
                     return;
                 }
             }
         }
-        self.tell_vacate(shards, vacate);
+        self.send_vacate_orders(shards, vacate);
     }
 
-    fn read(&mut self) {
+    fn start_reads(&mut self) {
         let now = self.now;
         if !self.listing && now >= self.next_list {
             self.listing = true;
-            self.next_list = now + LIST_EVERY;
-            self.out.push(Action::List);
+            self.next_list = now + LIST_INTERVAL;
+            self.actions.push(Action::List);
         }
         for run in self.waves.values_mut().filter(|run| !run.closed) {
             if !run.busy && now >= run.next_read {
                 run.busy = true;
-                run.next_read = now + RECORD_EVERY;
-                self.out.push(Action::Read { wave: run.wave.number });
+                run.next_read = now + RECORD_INTERVAL;
+                self.actions.push(Action::Read { wave: run.wave.number });
             }
         }
     }
 
-    /// Takes a wave a step on, for the machines of the shards owned here.
-    fn go_on(
+    /// Advances a wave for the machines of the shards owned by this daemon.
+    fn advance_wave(
         &mut self,
         number: u64,
         shards: &[OwnShard],
         vacate: &mut IndexMap<String, VacateOrder>,
-    ) -> Known {
+    ) -> DataAge {
         let now = self.now;
-        let is_fresh = |at: Duration| now.saturating_sub(at) < FRESH;
+        let is_fresh = |at: Duration| now.saturating_sub(at) < MAX_DATA_AGE;
         let Some(run) = self.waves.get_mut(&number).filter(|run| !run.closed) else {
-            return Known::Lately;
+            return DataAge::Fresh;
         };
-        let Some(listed) = self.listed.filter(|at| is_fresh(*at)) else { return Known::Old };
+        let Some(listed) = self.listed.filter(|at| is_fresh(*at)) else { return DataAge::Stale };
         let Some((rev, record)) = run.record.clone().filter(|_| is_fresh(run.read_at)) else {
-            return Known::Old;
+            return DataAge::Stale;
         };
-        let mine = Mine { plan: &self.plan, shards, machines: &self.machines };
+        let owned = OwnedMachines { plan: &self.plan, shards, machines: &self.machines };
         let mut next = record.clone();
-        run.take_back(&mine, listed, &mut next);
-        run.forget_gone(&mine, now, &mut next);
-        run.take_slots(&mine, &mut next);
+        run.mark_returned(&owned, listed, &mut next);
+        run.mark_removed(&owned, now, &mut next);
+        run.reserve_slots(&owned, &mut next);
         if next != record && !run.busy {
             run.busy = true;
             let complete = next.is_complete(&run.wave);
             let state = if complete { WaveState::Done } else { WaveState::Running };
-            self.out.push(Action::Write { wave: number, rev, record: next, state });
+            self.actions.push(Action::Write { wave: number, rev, record: next, state });
         }
-        run.call_down(&mine, &record, &self.holder, now, &mut self.out);
-        run.choose_vacate(&mine, &record, now, vacate);
-        Known::Lately
+        run.order_upkeep(&owned, &record, &self.holder, now, &mut self.actions);
+        run.plan_vacate(&owned, &record, now, vacate);
+        DataAge::Fresh
     }
 
-    /// Tells shards what to empty, as far as that has changed.
-    fn tell_vacate(&mut self, shards: &[OwnShard], mut vacate: IndexMap<String, VacateOrder>) {
-        self.told.retain(|(name, fence), _| {
+    /// Sends the shards' vacate orders that have changed.
+    fn send_vacate_orders(
+        &mut self,
+        shards: &[OwnShard],
+        mut vacate: IndexMap<String, VacateOrder>,
+    ) {
+        self.last_orders.retain(|(name, fence), _| {
             shards.iter().any(|shard| shard.name == *name && shard.fence == *fence)
         });
         for shard in shards {
             let key = (shard.name.clone(), shard.fence);
             let wanted = vacate.shift_remove(&shard.name).unwrap_or_default();
-            let told = self.told.get(&key).cloned().unwrap_or_default();
-            if told != wanted {
-                self.told.insert(key, wanted.clone());
-                self.out.push(Action::Vacate { shard: shard.name.clone(), order: wanted });
+            let current = self.last_orders.get(&key).cloned().unwrap_or_default();
+            if current != wanted {
+                self.last_orders.insert(key, wanted.clone());
+                self.actions.push(Action::Vacate { shard: shard.name.clone(), order: wanted });
             }
         }
     }
 }
 
-/// The machines of the shards owned here.
-struct Mine<'a> {
+/// Machines of the shards owned by this daemon.
+struct OwnedMachines<'a> {
     plan: &'a Plan,
     shards: &'a [OwnShard],
     machines: &'a IndexMap<MachineId, Machine>,
 }
 
-impl Mine<'_> {
-    /// A machine of a shard owned here, with that shard.
+impl OwnedMachines<'_> {
+    /// Looks up a machine in an owned shard, together with that shard.
     fn get(&self, id: &MachineId) -> Option<(&Machine, &OwnShard)> {
         let machine = self.machines.get(id)?;
         let name = self.plan.shard_of_rack(&machine.domain, &machine.rack)?;
         Some((machine, self.shards.iter().find(|shard| shard.name == name)?))
     }
 
-    /// Whether this daemon looks after machines that are in no shard.
+    /// Whether this daemon owns the first shard, and so handles machines that are in no shard.
     fn has_first_shard(&self) -> bool {
         let first = self.plan.shards().into_iter().map(|(name, _)| name).min();
         self.shards.iter().any(|shard| Some(&shard.name) == first.as_ref())
     }
 }
 
-impl Run {
-    /// Machines that are back after their upkeep.
-    fn take_back(&self, mine: &Mine<'_>, listed: Duration, next: &mut Record) {
+impl ActiveWave {
+    /// Marks machines as done that are back after their upkeep.
+    fn mark_returned(&self, owned: &OwnedMachines<'_>, listed: Duration, next: &mut Record) {
         let down: Vec<MachineId> = next.down.keys().cloned().collect();
         for id in down {
-            let Some((machine, _)) = mine.get(&id) else { continue };
+            let Some((machine, _)) = owned.get(&id) else { continue };
             let Some(Call::Confirmed(at)) = self.calls.get(&id) else { continue };
             let is_up = machine.state == MachineState::Up && machine.vm.is_some();
             if is_up && listed >= *at + LIST_LAG {
@@ -374,34 +381,34 @@
         }
     }
 
-    /// Notes machines that this daemon sent down and that now count as done.
-    fn note_back(&self, record: &Record, now: Duration, out: &mut Vec<Action>) {
+    /// Logs machines whose upkeep this daemon ordered and that are now done.
+    fn log_returned(&self, record: &Record, now: Duration, actions: &mut Vec<Action>) {
         let Some((_, before)) = &self.record else { return };
         for machine in record.done.difference(&before.done) {
             let Some(Call::Confirmed(at)) = self.calls.get(machine) else { continue };
             let (wave, machine) = (self.wave.number, machine.clone());
             let took_ms = Ms(now.saturating_sub(*at));
-            out.push(Action::Note(Note::MachineBack { wave, machine, took_ms }));
+            actions.push(Action::Note(Note::MachineBack { wave, machine, took_ms }));
         }
     }
 
-    /// Machines that the platform doesn't list any more need nothing.
-    fn forget_gone(&mut self, mine: &Mine<'_>, now: Duration, next: &mut Record) {
+    /// Marks machines as done that the platform no longer lists.
+    fn mark_removed(&mut self, owned: &OwnedMachines<'_>, now: Duration, next: &mut Record) {
         for id in &self.wave.machines {
-            if mine.machines.contains_key(id) || next.done.contains(id) {
+            if owned.machines.contains_key(id) || next.done.contains(id) {
                 self.missing.shift_remove(id);
                 continue;
             }
             let since = *self.missing.entry(id.clone()).or_insert(now);
-            if mine.has_first_shard() && now.saturating_sub(since) >= GONE_AFTER {
+            if owned.has_first_shard() && now.saturating_sub(since) >= REMOVED_AFTER {
                 next.down.shift_remove(id);
                 next.done.insert(id.clone());
             }
         }
     }
 
-    /// Counts empty machines as down, as far as the wave's bound goes.
-    fn take_slots(&self, mine: &Mine<'_>, next: &mut Record) {
+    /// Adds vacated machines to the down list, up to the wave's limit.
+    fn reserve_slots(&self, owned: &OwnedMachines<'_>, next: &mut Record) {
         for id in &self.wave.machines {
             if next.down.len() >= self.wave.max_down {
                 return;
@@ -409,7 +416,7 @@
             if next.down.contains_key(id) || next.done.contains(id) {
                 continue;
             }
-            let Some((machine, shard)) = mine.get(id) else { continue };
+            let Some((machine, shard)) = owned.get(id) else { continue };
             let Some(vm) = machine.vm.as_ref().filter(|vm| shard.vacated.contains(vm)) else {
                 continue;
             };
@@ -419,28 +426,28 @@
         }
     }
 
-    /// Orders the upkeep of machines that durably count as down.
-    fn call_down(
+    /// Orders the upkeep of machines that the stored record lists as down.
+    fn order_upkeep(
         &mut self,
-        mine: &Mine<'_>,
+        owned: &OwnedMachines<'_>,
         record: &Record,
         holder: &str,
         now: Duration,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         for id in record.down.keys() {
-            let Some((machine, shard)) = mine.get(id) else { continue };
+            let Some((machine, shard)) = owned.get(id) else { continue };
             let may_call = match self.calls.get(id) {
                 None => true,
                 Some(Call::Failed { retry }) => now >= *retry,
-                Some(Call::UnderWay | Call::Confirmed(_)) => false,
+                Some(Call::InFlight | Call::Confirmed(_)) => false,
             };
-            // A machine that is down already, or that a call without an answer may have sent down,
-            // is asked for again: that is harmless, and tells that its upkeep was done.
+            // The order is repeated for a machine that is already down or may be down after an
+            // unanswered call: this is harmless and confirms that the upkeep was done.
             let is_empty = machine.vm.as_ref().is_none_or(|vm| shard.vacated.contains(vm));
             if may_call && is_empty {
-                self.calls.insert(id.clone(), Call::UnderWay);
-                out.push(Action::Call(UpkeepReq {
+                self.calls.insert(id.clone(), Call::InFlight);
+                actions.push(Action::Call(UpkeepReq {
                     machine: id.clone(),
                     wave: self.wave.number,
                     holder: holder.to_owned(),
@@ -450,10 +457,10 @@
         }
     }
 
-    /// What each shard is to empty: what counts as down, and some machines ahead.
-    fn choose_vacate(
+    /// Chooses the VMs that each shard vacates: those listed as down, and some ahead of time.
+    fn plan_vacate(
         &self,
-        mine: &Mine<'_>,
+        owned: &OwnedMachines<'_>,
         record: &Record,
         now: Duration,
         vacate: &mut IndexMap<String, VacateOrder>,
@@ -466,7 +473,7 @@
             if record.done.contains(id) || (is_down && confirmed) {
                 continue;
             }
-            if let Some((machine, shard)) = mine.get(id) {
+            if let Some((machine, shard)) = owned.get(id) {
                 open.entry(&shard.name).or_default().push((id, machine));
             }
         }
@@ -489,24 +496,24 @@
         }
     }
 
-    /// Machines that a shard empties at a time, so that all have their upkeep in time.
+    /// Number of machines that a shard vacates at once to meet the wave's deadline.
     fn ahead(&self, machines: usize, time_left: Duration) -> usize {
-        let rounds = (time_left.as_secs_f64() / ROUND.as_secs_f64()).max(1.0);
+        let rounds = (time_left.as_secs_f64() / ROUND_TIME.as_secs_f64()).max(1.0);
         let needed = (machines as f64 / rounds).ceil() as usize;
         needed.clamp(1, self.wave.max_down)
     }
 }
 
-/// From the order to empty a machine until it is back: 1 to 1.5 s of emptying, 2 s of upkeep, and
-/// the time until it is seen to be back.
-const ROUND: Duration = Duration::from_millis(4500);
+/// Time from the order to vacate a machine until it is back: 1 to 1.5 s to vacate it, 2 s of upkeep,
+/// and the time until its return is noticed.
+const ROUND_TIME: Duration = Duration::from_millis(4500);
 
-/// Longest time for work that can't be resumed; most of it takes 1 to 3 s.
-const MOST_PATIENCE: Duration = Duration::from_millis(2500);
+/// Longest wait for tasks that can't be resumed; most of them take 1 to 3 s.
+const MAX_PATIENCE: Duration = Duration::from_millis(2500);
 
-/// Time that such work is left, as far as the wave leaves it.
+/// How long to wait for tasks that can't be resumed, within the wave's deadline.
 fn patience(machines: usize, at_once: usize, time_left: Duration) -> Duration {
     let rounds = machines.div_ceil(at_once.max(1));
     let rounds = u32::try_from(rounds).unwrap_or(u32::MAX).max(1);
-    (time_left / rounds).saturating_sub(ROUND).min(MOST_PATIENCE)
+    (time_left / rounds).saturating_sub(ROUND_TIME).min(MAX_PATIENCE)
 }
