--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep over several daemons, with calls that are lost, late, or not answered.
+//! Tests of upkeep waves over several daemons, with lost, late and unanswered calls.
 
 use indexmap::{IndexMap, IndexSet};
 use rand::rngs::SmallRng;
@@ -16,8 +16,8 @@
 use waxwingstall_standin::machines::MachineTable;
 use waxwingstall_standin::txns::TxnTable;
 
-const UPKEEP: Duration = Duration::from_secs(2);
-const EMPTYING: Duration = Duration::from_millis(1200);
+const UPKEEP_TIME: Duration = Duration::from_secs(2);
+const VACATE_TIME: Duration = Duration::from_millis(1200);
 const TICK: Duration = Duration::from_millis(100);
 const WAVE: u64 = 4;
 const DOMAINS: [&str; 3] = ["kacyiru", "nyamirambo", "remera"];
@@ -31,7 +31,7 @@
     duty: Duty,
     shard: String,
     fence: Fence,
-    /// VMs to be emptied, and when they are empty.
+    /// VMs being vacated, and when each is empty.
     vacating: IndexMap<VmId, Duration>,
 }
 
@@ -43,7 +43,7 @@
 struct World {
     now: Duration,
     rng: SmallRng,
-    /// Calls that are lost, late or unanswered, of 1000.
+    /// Number of calls in 1000 that are lost, late or unanswered.
     faults: u32,
     machines: MachineTable,
     kv: TxnTable,
@@ -52,13 +52,13 @@
     daemons: Vec<Daemon>,
     deliveries: BTreeMap<(Duration, u64), Delivery>,
     next: u64,
-    told: Vec<WaveState>,
+    reported: Vec<WaveState>,
     done_at: Option<Duration>,
 }
 
 impl World {
     fn new(seed: u64, faults: u32, machines: usize, max_down: usize) -> Self {
-        let mut table = MachineTable::new(UPKEEP);
+        let mut table = MachineTable::new(UPKEEP_TIME);
         let mut ids = Vec::new();
         let mut vms = Vec::new();
         for number in 0..machines {
@@ -79,7 +79,7 @@
             daemons: Vec::new(),
             deliveries: BTreeMap::new(),
             next: 0,
-            told: Vec::new(),
+            reported: Vec::new(),
             done_at: None,
         };
         for domain in DOMAINS {
@@ -88,7 +88,7 @@
         world
     }
 
-    /// Another daemon owns a shard from now on, and knows only what is in the store.
+    /// Replaces the owner of a shard by a new daemon, which knows only what is in the store.
     fn replace(&mut self, index: usize) {
         let shard = self.daemons[index].shard.clone();
         self.start(shard);
@@ -117,7 +117,7 @@
                     }
                     Delivery::Event(..) => {}
                     Delivery::LateCall(req) => {
-                        // Nobody waits for the answer any more.
+                        // The caller has already timed out, so the answer is ignored.
                         let _ = self.machines.upkeep(self.now, &req, &self.wave);
                     }
                 }
@@ -146,7 +146,8 @@
         match action {
             Action::Note(_) => {}
             Action::Vacate { order, .. } => {
-                let empty_at = |known: Option<&Duration>| known.copied().unwrap_or(now + EMPTYING);
+                let empty_at =
+                    |known: Option<&Duration>| known.copied().unwrap_or(now + VACATE_TIME);
                 let before = std::mem::take(&mut self.daemons[index].vacating);
                 let vms = order.vms.into_iter().map(|vm| (vm.clone(), empty_at(before.get(&vm))));
                 self.daemons[index].vacating = vms.collect();
@@ -209,7 +210,7 @@
         let lost_after = self.fails();
         let event = match written {
             Some(rev) => {
-                self.told(state);
+                self.record_state(state);
                 if lost_after {
                     Event::NotRecorded { wave }
                 } else {
@@ -221,17 +222,20 @@
         self.answer(index, event);
     }
 
-    /// Operators are told how far the wave has come.
-    fn told(&mut self, state: WaveState) {
+    /// Records the wave's state as reported to operators, and checks a reported end.
+    fn record_state(&mut self, state: WaveState) {
         if state == WaveState::Done {
             self.done_at.get_or_insert(self.now);
             let listed: IndexSet<MachineId> =
                 self.machines.list(self.now).into_iter().map(|machine| machine.id).collect();
             for id in self.wave.machines.iter().filter(|id| listed.contains(*id)) {
-                assert!(self.machines.has_had(id, WAVE), "{id} is said to be done and isn't");
+                assert!(
+                    self.machines.has_had(id, WAVE),
+                    "{id} is reported as done but has had no upkeep"
+                );
             }
         }
-        self.told.push(state);
+        self.reported.push(state);
     }
 
     fn fails(&mut self) -> bool {
@@ -248,7 +252,7 @@
         self.deliveries.insert((self.now + after, self.next), delivery);
     }
 
-    /// No upkeep began while the wave's bound was reached.
+    /// Checks that no upkeep began while the maximum number of machines was down.
     fn check_bound(&self) {
         for begun in &self.machines.begun {
             assert!(begun.down_beside < self.wave.max_down, "{begun:?}");
@@ -269,22 +273,22 @@
     }
 }
 
-// Operators want ten machines down within 20 s, three at a time, over three failure domains. Each is
-// emptied before; the wave is said to run, then to be done, in time.
+// A wave of ten machines in three failure domains, at most three down at once, within 20 s. Every
+// machine is vacated first, and the wave is reported as running and then, in time, as done.
 #[test]
 fn a_wave_is_done_in_time() {
     let mut world = World::new(1, 0, 10, 3);
     world.run_for(Duration::from_secs(20));
     world.check_bound();
     assert_eq!(world.machines.begun.len(), 10);
-    assert_eq!(world.told.first(), Some(&WaveState::Running));
-    assert_eq!(world.told.last(), Some(&WaveState::Done));
-    let emptied = world.machines.begun.iter().all(|b| b.at >= Duration::from_secs(3) + EMPTYING);
+    assert_eq!(world.reported.first(), Some(&WaveState::Running));
+    assert_eq!(world.reported.last(), Some(&WaveState::Done));
+    let emptied = world.machines.begun.iter().all(|b| b.at >= Duration::from_secs(3) + VACATE_TIME);
     assert!(emptied, "{:?}", world.machines.begun);
 }
 
-// Only one machine may be down, and all three owners have one ready at the same moment: one of them
-// gets its turn, the others wait for theirs.
+// Only one machine may be down, and all three owners have one ready at the same time. One owner takes
+// the slot, and the others wait.
 #[test]
 fn one_machine_at_a_time_over_three_owners() {
     let mut world = World::new(2, 0, 6, 1);
@@ -294,10 +298,10 @@
     assert!(world.done_at.is_some());
 }
 
-// An owner sends a machine down and is replaced before it is back. The next owner finds it in the
-// record, orders the upkeep again, which does nothing, and takes the machine back.
+// An owner orders an upkeep and is replaced before the machine is back. The next owner finds the machine
+// in the record, repeats the order, which has no further effect, and marks the machine as done.
 #[test]
-fn the_next_owner_takes_back_what_the_last_one_sent_down() {
+fn the_next_owner_completes_an_upkeep_of_the_previous_one() {
     let mut world = World::new(3, 0, 3, 1);
     while world.machines.begun.is_empty() {
         world.run_for(TICK);
@@ -311,9 +315,9 @@
     assert!(world.done_at.is_some());
 }
 
-// A machine of the wave leaves for good before its turn: the wave is done without it.
+// A machine of the wave is removed before its turn. The wave completes without it.
 #[test]
-fn a_machine_that_is_gone_holds_nothing_up() {
+fn a_removed_machine_does_not_block_the_wave() {
     let mut world = World::new(4, 0, 4, 1);
     world.run_for(ms(300));
     world.machines.remove(&MachineId::new("m-3"));
@@ -323,10 +327,10 @@
 }
 
 // Calls and writes are lost, unanswered, or carried out up to nine seconds late, and owners are
-// replaced. The bound holds at each beginning, nothing is said to be done that isn't, and once the
-// trouble is over the wave is done.
+// replaced. The limit holds at the start of every upkeep, no machine is wrongly reported as done, and the
+// wave completes once the faults stop.
 #[test]
-fn bounds_hold_whatever_is_lost() {
+fn the_limit_holds_whatever_calls_are_lost() {
     for seed in 0..150 {
         println!("seed {seed}");
         let mut world = World::new(seed, 250, 8, 1 + seed as usize % 3);
