--- a/src/trace/entry.rs
+++ b/src/trace/entry.rs
@@ -1,25 +1,25 @@
-//! A line of a daemon's log, read back.
+//! Parsing of log lines.
 
 use serde::Serialize;
 use std::time::{Duration, SystemTime};
 
-/// A line.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// Since 1970, by the daemon's own clock until it is shifted.
+    /// Time since the Unix epoch, by the daemon's own clock until it is shifted.
     #[serde(skip)]
     pub at: Duration,
-    /// As it stands in the line.
+    /// The timestamp as logged.
     pub ts: String,
-    /// The log that it comes from, or what stands before its time.
+    /// Name of the log, or the text before the timestamp if a log collector added one.
     pub source: String,
     pub event: String,
-    /// The pairs after the event, as they stand in the line.
+    /// The key-value pairs after the event, as logged.
     pub text: String,
 }
 
 impl Entry {
-    /// Reads a line; `None` if it isn't whole or not one of a daemon's.
+    /// Parses a line; returns `None` if it is incomplete or not a daemon's log line.
     pub fn parse(source: &str, line: &str) -> Option<Self> {
         let (before, rest) = line.trim_end().split_once("ts=")?;
         let (ts, rest) = rest.split_once(" event=")?;
@@ -35,19 +35,19 @@
         })
     }
 
-    /// The value of a key that isn't quoted.
+    /// The value of a key, if it isn't quoted.
     pub fn value(&self, key: &str) -> Option<&str> {
         let pairs = self.text.split(' ').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(found, _)| *found == key).map(|(_, value)| value).next()
     }
 
-    /// Whether the line is about a job or one of its tasks.
-    pub fn is_about(&self, digits: &str) -> bool {
-        let of = |key| self.value(key).is_some_and(|value| value.starts_with(digits));
+    /// Whether the line is about the job with this id, or one of its tasks.
+    pub fn is_for_job(&self, job_id: &str) -> bool {
+        let of = |key| self.value(key).is_some_and(|value| value.starts_with(job_id));
         of("job") || of("task") || of("victim")
     }
 
-    /// Task and number of the run that the line is about.
+    /// The task and run number that the line is about.
     pub fn run(&self) -> Option<String> {
         Some(format!("{} run {}", self.value("task")?, self.value("run")?))
     }
