--- a/src/note.rs
+++ b/src/note.rs
@@ -179,7 +179,7 @@
     Routine TaskBound = "task-bound" { task: TaskRef, run: RunNumber, vm: VmId, milli_cores: u32, ready_ms: Ms, free_cores: u64, neighbours: usize, }
     /// A VM confirmed the start of a run.
     Routine TaskStarted = "task-started" { task: TaskRef, run: RunNumber, vm: VmId, sends: u32, }
-    /// A run couldn't be started.
+    /// An attempt to start a run failed.
     Telling StartFailed = "start-failed" { task: TaskRef, run: RunNumber, vm: VmId, sends: u32, reason: String, }
     /// A run ended.
     Routine TaskEnded = "task-ended" { task: TaskRef, run: RunNumber, vm: VmId, how: Word, ran_ms: Ms, }
@@ -191,7 +191,7 @@
     Telling TaskGone = "task-gone" { task: TaskRef, run: RunNumber, vm: VmId, worked_ms: Ms, proof: Word, }
     /// A task's speed limit was changed.
     Routine TaskPaced = "task-paced" { task: TaskRef, run: RunNumber, vm: VmId, percent: u8, victim: TaskRef, tail_ms: u32, target_ms: u32, }
-    /// A VM was added to this shard.
+    /// A VM has answered this shard's owner for the first time.
     Telling VmKnown = "vm-known" { vm: VmId, cores: u32, memory_mib: u32, }
     /// A VM doesn't answer.
     Urgent VmSilent = "vm-silent" { vm: VmId, silent_ms: Ms, runs: usize, reason: String, }
@@ -223,7 +223,7 @@
     Telling UpkeepFailed = "upkeep-failed" { wave: u64, machine: MachineId, reason: String, }
     /// The machines couldn't be listed.
     Urgent MachinesUnknown = "machines-unknown" { reason: String, }
-    /// A VM is being vacated for its machine's upkeep, or is now empty.
+    /// The vacating of a VM for its machine's upkeep has begun.
     Telling VmVacating = "vm-vacating" { vm: VmId, runs: usize, outcome: Word, }
     /// A task still delays the vacating of a VM.
     Telling VacateWaits = "vacate-waits" { vm: VmId, task: TaskRef, reason: Word, }
