--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -1,11 +1,12 @@
 //! Upkeep waves: operators list machines that must all go down for upkeep within a deadline, with a
 //! limit on how many may be down at once.
 //!
-//! A machine hosts successive incarnations of a VM. It stays in its rack and therefore in its shard,
-//! whose owner vacates the VM and orders the upkeep. Each wave has one record in the store that
-//! lists the machines that are down. Before ordering an upkeep, an owner adds the machine to the
-//! record with a conditional write, and it removes the machine when it is back. The limit therefore
-//! holds even if owners can't reach each other, and a new owner finds what its predecessor began.
+//! A machine hosts successive incarnations of a VM. It stays in its rack and therefore in its
+//! shard, whose owner vacates the VM and orders the upkeep. Each wave has one record in the store
+//! that lists the machines that are down. Before ordering an upkeep, an owner adds the machine to
+//! the record with a conditional write, and it removes the machine when it is back. The limit
+//! therefore holds even if owners can't reach each other, and a new owner finds what its
+//! predecessor began.
 
 pub mod duty;
 
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -14,8 +14,8 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Interval between reads of the machine list while a wave is open. Reading 500 machines takes 10 ms
-/// of a daemon's CPU and a sixtieth of the platform's capacity per second.
+/// Interval between reads of the machine list while a wave is open. Reading 500 machines takes
+/// 10 ms of a daemon's CPU and a sixtieth of the platform's capacity per second.
 const LIST_INTERVAL: Duration = Duration::from_millis(350);
 
 /// Interval between reads of a wave's record.
@@ -163,7 +163,7 @@
 
     /// Whether any wave is unfinished.
     pub fn has_open(&self) -> bool {
-        self.waves.values().any(|run| !run.closed)
+        self.waves.values().any(|active| !active.closed)
     }
 
     /// Handles an event and returns the actions to perform.
@@ -176,10 +176,10 @@
             Event::Listed { sent, machines } => self.handle_list(sent, machines),
             Event::Recorded { wave, rev, record } => self.handle_record(wave, rev, record),
             Event::NotRecorded { wave } => {
-                if let Some(run) = self.waves.get_mut(&wave) {
-                    run.busy = false;
-                    run.record = None;
-                    run.next_read = now;
+                if let Some(active) = self.waves.get_mut(&wave) {
+                    active.busy = false;
+                    active.record = None;
+                    active.next_read = now;
                 }
             }
             Event::Called { wave, machine, result } => {
@@ -197,7 +197,7 @@
             return;
         }
         let (machines, max_down, within_ms) = (wave.machines.len(), wave.max_down, Ms(wave.within));
-        let run = ActiveWave {
+        let active = ActiveWave {
             wave,
             since: now,
             record: None,
@@ -208,7 +208,7 @@
             missing: IndexMap::new(),
             closed: false,
         };
-        self.waves.insert(number, run);
+        self.waves.insert(number, active);
         let note = Note::WaveOpened { wave: number, machines, max_down, within_ms };
         self.actions.push(Action::Note(note));
     }
@@ -228,35 +228,35 @@
     }
 
     fn handle_record(&mut self, wave: u64, rev: Rev, record: Record) {
-        let Some(run) = self.waves.get_mut(&wave) else { return };
-        run.log_returned(&record, self.now, &mut self.actions);
-        run.busy = false;
-        run.read_at = self.now;
-        run.next_read = self.now + RECORD_INTERVAL;
-        if record.is_complete(&run.wave) && rev != Rev::ABSENT && !run.closed {
-            run.closed = true;
-            let took_ms = Ms(self.now.saturating_sub(run.since));
-            let machines = run.wave.machines.len();
+        let Some(active) = self.waves.get_mut(&wave) else { return };
+        active.log_returned(&record, self.now, &mut self.actions);
+        active.busy = false;
+        active.read_at = self.now;
+        active.next_read = self.now + RECORD_INTERVAL;
+        if record.is_complete(&active.wave) && rev != Rev::ABSENT && !active.closed {
+            active.closed = true;
+            let took_ms = Ms(self.now.saturating_sub(active.since));
+            let machines = active.wave.machines.len();
             self.actions.push(Action::Note(Note::WaveDone { wave, machines, took_ms }));
         }
-        run.record = Some((rev, record));
+        active.record = Some((rev, record));
     }
 
     fn handle_call_result(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
         let now = self.now;
-        let Some(run) = self.waves.get_mut(&wave) else { return };
+        let Some(active) = self.waves.get_mut(&wave) else { return };
         let call = match result {
             Ok(()) => Call::Confirmed(now),
             Err(_) => Call::Failed { retry: now + CALL_RETRY },
         };
-        run.calls.insert(machine.clone(), call);
+        active.calls.insert(machine.clone(), call);
         let note = match result {
             Ok(()) => Note::MachineDown { wave, machine },
             Err(e) => Note::UpkeepFailed { wave, machine, reason: e.to_string() },
         };
         self.actions.push(Action::Note(note));
         if *result == Err(Error::NotInWave) {
-            run.next_read = now;
+            active.next_read = now;
         }
     }
 
@@ -282,11 +282,11 @@
             self.next_list = now + LIST_INTERVAL;
             self.actions.push(Action::List);
         }
-        for run in self.waves.values_mut().filter(|run| !run.closed) {
-            if !run.busy && now >= run.next_read {
-                run.busy = true;
-                run.next_read = now + RECORD_INTERVAL;
-                self.actions.push(Action::Read { wave: run.wave.number });
+        for active in self.waves.values_mut().filter(|active| !active.closed) {
+            if !active.busy && now >= active.next_read {
+                active.busy = true;
+                active.next_read = now + RECORD_INTERVAL;
+                self.actions.push(Action::Read { wave: active.wave.number });
             }
         }
     }
@@ -300,26 +300,26 @@
     ) -> DataAge {
         let now = self.now;
         let is_fresh = |at: Duration| now.saturating_sub(at) < MAX_DATA_AGE;
-        let Some(run) = self.waves.get_mut(&number).filter(|run| !run.closed) else {
+        let Some(active) = self.waves.get_mut(&number).filter(|active| !active.closed) else {
             return DataAge::Fresh;
         };
         let Some(listed) = self.listed.filter(|at| is_fresh(*at)) else { return DataAge::Stale };
-        let Some((rev, record)) = run.record.clone().filter(|_| is_fresh(run.read_at)) else {
+        let Some((rev, record)) = active.record.clone().filter(|_| is_fresh(active.read_at)) else {
             return DataAge::Stale;
         };
         let owned = OwnedMachines { plan: &self.plan, shards, machines: &self.machines };
         let mut next = record.clone();
-        run.mark_returned(&owned, listed, &mut next);
-        run.mark_removed(&owned, now, &mut next);
-        run.reserve_slots(&owned, &mut next);
-        if next != record && !run.busy {
-            run.busy = true;
-            let complete = next.is_complete(&run.wave);
+        active.mark_returned(&owned, listed, &mut next);
+        active.mark_removed(&owned, now, &mut next);
+        active.reserve_slots(&owned, &mut next);
+        if next != record && !active.busy {
+            active.busy = true;
+            let complete = next.is_complete(&active.wave);
             let state = if complete { WaveState::Done } else { WaveState::Running };
             self.actions.push(Action::Write { wave: number, rev, record: next, state });
         }
-        run.order_upkeep(&owned, &record, &self.holder, now, &mut self.actions);
-        run.plan_vacate(&owned, &record, now, vacate);
+        active.order_upkeep(&owned, &record, &self.holder, now, &mut self.actions);
+        active.plan_vacate(&owned, &record, now, vacate);
         DataAge::Fresh
     }
 
@@ -504,8 +504,8 @@
     }
 }
 
-/// Time from the order to vacate a machine until it is back: 1 to 1.5 s to vacate it, 2 s of upkeep,
-/// and the time until its return is noticed.
+/// Time from the order to vacate a machine until it is back: 1 to 1.5 s to vacate it, 2 s of
+/// upkeep, and the time until its return is noticed.
 const ROUND_TIME: Duration = Duration::from_millis(4500);
 
 /// Longest wait for tasks that can't be resumed; most of them take 1 to 3 s.
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -287,8 +287,8 @@
     assert!(emptied, "{:?}", world.machines.begun);
 }
 
-// Only one machine may be down, and all three owners have one ready at the same time. One owner takes
-// the slot, and the others wait.
+// Only one machine may be down, and all three owners have one ready at the same time. One owner
+// takes the slot, and the others wait.
 #[test]
 fn one_machine_at_a_time_over_three_owners() {
     let mut world = World::new(2, 0, 6, 1);
@@ -298,8 +298,9 @@
     assert!(world.done_at.is_some());
 }
 
-// An owner orders an upkeep and is replaced before the machine is back. The next owner finds the machine
-// in the record, repeats the order, which has no further effect, and marks the machine as done.
+// An owner orders an upkeep and is replaced before the machine is back. The next owner finds the
+// machine in the record, repeats the order, which has no further effect, and marks the machine as
+// done.
 #[test]
 fn the_next_owner_completes_an_upkeep_of_the_previous_one() {
     let mut world = World::new(3, 0, 3, 1);
@@ -327,8 +328,8 @@
 }
 
 // Calls and writes are lost, unanswered, or carried out up to nine seconds late, and owners are
-// replaced. The limit holds at the start of every upkeep, no machine is wrongly reported as done, and the
-// wave completes once the faults stop.
+// replaced. The limit holds at the start of every upkeep, no machine is wrongly reported as done,
+// and the wave completes once the faults stop.
 #[test]
 fn the_limit_holds_whatever_calls_are_lost() {
     for seed in 0..150 {
