--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -77,12 +77,12 @@
             claims: Vec::new(),
             handed_over: Vec::new(),
         };
-        harness.tell(Event::Store(StoreReach::Reached));
-        harness.tell(Event::Plan(plan(shards)));
+        harness.step(Event::Store(StoreReach::Reached));
+        harness.step(Event::Plan(plan(shards)));
         harness
     }
 
-    fn tell(&mut self, event: Event) {
+    fn step(&mut self, event: Event) {
         for action in self.ownership.step(self.now, event) {
             match action {
                 Action::Claim { shard, .. } => self.claims.push((self.now, shard)),
@@ -95,14 +95,14 @@
         }
     }
 
-    fn add_peer(&mut self, from: Member, shards: Vec<ShardNews>) {
+    fn set_peer(&mut self, from: Member, shards: Vec<ShardNews>) {
         let hello = Hello { from, store: StoreReach::Reached, config: 1, shards };
         self.others.insert(hello.from.name.clone(), hello);
     }
 
     fn own_shard(&mut self, shard: &str, fence: u64) {
-        self.tell(Event::Offered { shard: shard.to_owned(), from: DaemonId::new("gone@1") });
-        self.tell(Event::Claimed { shard: shard.to_owned(), fence });
+        self.step(Event::Offered { shard: shard.to_owned(), from: DaemonId::new("gone@1") });
+        self.step(Event::Claimed { shard: shard.to_owned(), fence });
         self.claims.clear();
     }
 
@@ -114,22 +114,22 @@
             if self.now >= next_hello {
                 next_hello = self.now + ms(400);
                 for hello in self.others.values().cloned().collect::<Vec<_>>() {
-                    self.tell(Event::Hello(hello));
+                    self.step(Event::Hello(hello));
                 }
             }
-            self.tell(Event::Tick);
+            self.step(Event::Tick);
             self.now += TICK;
         }
     }
 }
 
-// Both daemons of a failure domain see a shard without an owner. The shard would take all of the weak
-// daemon's CPU, so it leaves the strong one time to claim the shard first.
+// Both daemons of a failure domain see a shard without an owner. The shard would take all of the
+// weak daemon's CPU, so it leaves the strong one time to claim the shard first.
 #[test]
 fn the_daemon_with_the_most_cpu_claims_first() {
     let first_claim = |me: Member, other: Member| {
         let mut harness = Harness::new(me, 1);
-        harness.add_peer(other, Vec::new());
+        harness.set_peer(other, Vec::new());
         harness.run_for(ms(2000));
         harness.claims[0].0
     };
@@ -143,7 +143,7 @@
 #[test]
 fn a_strong_daemon_claims_several_shards_before_a_weak_one() {
     let mut strong = Harness::new(member("strong", STRONG), 3);
-    strong.add_peer(member("weak", WEAK), Vec::new());
+    strong.set_peer(member("weak", WEAK), Vec::new());
     strong.own_shard("kacyiru.0", 5);
     strong.own_shard("kacyiru.1", 6);
     strong.run_for(ms(1600));
@@ -157,41 +157,41 @@
 fn a_shard_is_handed_over_to_a_daemon_with_far_more_cpu() {
     let mut weak = Harness::new(member("weak", WEAK), 1);
     weak.own_shard("kacyiru.0", 5);
-    weak.add_peer(member("strong", STRONG), Vec::new());
+    weak.set_peer(member("strong", STRONG), Vec::new());
     weak.run_for(ms(2500));
     assert_eq!(weak.handed_over, [], "the strong daemon may still be starting");
     weak.run_for(ms(1500));
     assert_eq!(weak.handed_over, [("kacyiru.0".to_owned(), "strong".to_owned())]);
 }
 
-// Of two equal daemons, one owns two shards and the other, after a restart, none. One shard moves and
-// the other stays.
+// Of two equal daemons, one owns two shards and the other, after a restart, none. One shard moves
+// and the other stays.
 #[test]
 fn equal_daemons_balance_shards_once() {
     let mut full = Harness::new(member("full", STRONG), 2);
     full.own_shard("kacyiru.0", 5);
     full.own_shard("kacyiru.1", 6);
-    full.add_peer(member("empty", STRONG), Vec::new());
+    full.set_peer(member("empty", STRONG), Vec::new());
     full.run_for(ms(4000));
     assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
     let (handed_over, _) = full.handed_over[0].clone();
-    full.tell(Event::Gone { shard: handed_over.clone(), reason: "handed_over away" });
-    full.add_peer(member("empty", STRONG), vec![news(&handed_over, 9)]);
+    full.step(Event::Gone { shard: handed_over.clone(), reason: "handed over" });
+    full.set_peer(member("empty", STRONG), vec![news(&handed_over, 9)]);
     full.run_for(ms(8000));
     assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
 }
 
-// With forty daemons, those without shards send each other a hello every three seconds and each owner
-// one every second. An owner sends everyone a hello every 400 ms.
+// With forty daemons, those without shards send each other a hello every three seconds and each
+// owner one every second. An owner sends everyone a hello every 400 ms.
 #[test]
 fn daemons_without_shards_rarely_greet_each_other() {
     let mut idle = Harness::new(member("idle", WEAK), 1);
     for number in 0..39 {
-        idle.add_peer(member(&format!("d{number}"), WEAK), Vec::new());
+        idle.set_peer(member(&format!("d{number}"), WEAK), Vec::new());
     }
-    idle.add_peer(member("owner", STRONG), vec![news("kacyiru.0", 5)]);
+    idle.set_peer(member("owner", STRONG), vec![news("kacyiru.0", 5)]);
     idle.run_for(ms(100));
-    let greetings = |harness: &mut Harness| {
+    let hellos = |harness: &mut Harness| {
         let mut count: IndexMap<String, u32> = IndexMap::new();
         for _ in 0..30 {
             harness.run_for(TICK);
@@ -201,66 +201,68 @@
         }
         (count["owner"], count["d7"])
     };
-    assert_eq!(greetings(&mut idle), (3, 1));
+    assert_eq!(hellos(&mut idle), (3, 1));
 
-    idle.add_peer(member("owner", STRONG), Vec::new());
+    idle.set_peer(member("owner", STRONG), Vec::new());
     idle.run_for(ms(100));
     idle.own_shard("kacyiru.0", 6);
     idle.ownership.greet_all();
-    let (_, others) = greetings(&mut idle);
+    let (_, others) = hellos(&mut idle);
     assert!((7..=8).contains(&others), "{others}");
 }
 
-// Guards against a shard moving right after a claim at startup, which refuses callers' jobs for longer.
-// Daemons without shards send each other a hello only every three seconds. One claims a shard, and the
-// other reads the claim from the store before the new owner's first hello. It must not count the silence
-// before the claim, or it would consider the new owner unresponsive and claim the shard again.
+// Guards against a shard moving right after a claim at startup, which refuses callers' jobs for
+// longer. Daemons without shards send each other a hello only every three seconds. One claims a
+// shard, and the other reads the claim from the store before the new owner's first hello. It must
+// not count the silence before the claim, or it would consider the new owner unresponsive and claim
+// the shard again.
 #[test]
 fn a_daemon_that_has_just_become_an_owner_is_not_taken_for_silent() {
     let mut harness = Harness::new(member("strong", STRONG), 1);
-    harness.add_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
-    harness.tell(Event::Registered(vec![member("quiet", STRONG)]));
+    harness.set_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.step(Event::Registered(vec![member("quiet", STRONG)]));
     harness.run_for(ms(3000));
     let before = Head::claim(DaemonId::new("before@1"), None);
     let mut head = Head::claim(DaemonId::new("quiet@1"), Some(&before));
     head.fence = 9;
-    harness.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
+    harness.step(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
     harness.run_for(ms(1200));
     assert_eq!(harness.claims, [], "its first hello is still on its way");
     harness.run_for(ms(800));
     assert_eq!(harness.claims.len(), 1, "it never sends a hello");
 }
 
-/// Time between a claim and the first hello that lists the shard, while a store call takes 0.4 s: half a
-/// call for the claim's answer, one page of jobs, and three pages of their progress, which is kept for as
-/// long as ended jobs are shown.
+/// Time between a claim and the first hello that lists the shard, while a store call takes 0.4 s:
+/// half a call for the claim's answer, one page of jobs, and three pages of their progress, which
+/// is kept for as long as ended jobs are shown.
 const SLOW_CLAIM: Duration = Duration::from_millis(1800);
 
-// Guards against daemons taking a shard from each other for as long as the store is slow, while callers'
-// jobs are refused. A new owner that is still loading the shard sends hellos that don't list it. Another
-// daemon, which has read the claim from the store, must not conclude that the shard was released.
+// Guards against daemons taking a shard from each other for as long as the store is slow, while
+// callers' jobs are refused. A new owner that is still loading the shard sends hellos that don't
+// list it. Another daemon, which has read the claim from the store, must not conclude that the
+// shard was released.
 #[test]
 fn an_owner_that_is_loading_its_shard_has_not_released_it() {
     let mut harness = Harness::new(member("worse", WEAK), 1);
-    harness.add_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
-    harness.add_peer(member("reading", STRONG), Vec::new());
+    harness.set_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.set_peer(member("reading", STRONG), Vec::new());
     harness.run_for(ms(3000));
     harness.others.shift_remove("before");
     let before = Head::claim(DaemonId::new("before@1"), None);
     let mut head = Head::claim(DaemonId::new("reading@1"), Some(&before));
     head.fence = 9;
-    harness.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
+    harness.step(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
     harness.run_for(SLOW_CLAIM);
     assert_eq!(harness.claims, [], "its owner is alive and still loading");
-    harness.add_peer(member("reading", STRONG), vec![news("kacyiru.0", 9)]);
+    harness.set_peer(member("reading", STRONG), vec![news("kacyiru.0", 9)]);
     harness.run_for(ms(2000));
     assert_eq!(harness.claims, []);
 }
 
-// Guards against a claim of a shard whose owner is alive. A daemon's claim fails because another was
-// quicker, and by the time it learns this, a third daemon owns the shard and has sent a hello. The head
-// returned with the failed claim is older and has no fencing token yet. It must not replace the known
-// owner, whose hellos repeat a known token and so wouldn't correct it.
+// Guards against a claim of a shard whose owner is alive. A daemon's claim fails because another
+// was quicker, and by the time it learns this, a third daemon owns the shard and has sent a hello.
+// The head returned with the failed claim is older and has no fencing token yet. It must not
+// replace the known owner, whose hellos repeat a known token and so wouldn't correct it.
 #[test]
 fn a_failed_claim_does_not_replace_a_newer_owner() {
     let mut harness = Harness::new(member("strong", STRONG), 1);
@@ -268,11 +270,11 @@
     assert_eq!(harness.claims.len(), 1, "the shard has no owner");
     harness.claims.clear();
     let quicker = Head::claim(DaemonId::new("quicker@1"), None);
-    harness.add_peer(member("quicker", STRONG), Vec::new());
-    harness.add_peer(member("present", STRONG), vec![news("kacyiru.0", 9)]);
+    harness.set_peer(member("quicker", STRONG), Vec::new());
+    harness.set_peer(member("present", STRONG), vec![news("kacyiru.0", 9)]);
     harness.run_for(ms(100));
     let (shard, reason) = ("kacyiru.0".to_owned(), "quicker@1 was quicker".to_owned());
-    harness.tell(Event::ClaimFailed { shard, head: Some(quicker), reason });
+    harness.step(Event::ClaimFailed { shard, head: Some(quicker), reason });
     harness.run_for(ms(3000));
     assert_eq!(
         harness.ownership.owner("kacyiru.0").map(|owner| owner.name),
@@ -281,52 +283,52 @@
     assert_eq!(harness.claims, [], "its owner sends hellos");
 }
 
-// Guards against a shard moving twice when a daemon restarts. The restarted daemon claims the shard, and
-// another reads the claim from the store before the new process's first hello. It knows only the earlier
-// process under that name, and must not conclude that the new one has ended.
+// Guards against a shard moving twice when a daemon restarts. The restarted daemon claims the
+// shard, and another reads the claim from the store before the new process's first hello. It knows
+// only the earlier process under that name, and must not conclude that the new one has ended.
 #[test]
 fn an_owner_known_only_by_its_earlier_process_is_not_considered_ended() {
     let mut harness = Harness::new(member("strong", STRONG), 1);
-    harness.add_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
-    harness.add_peer(member("anew", STRONG), Vec::new());
+    harness.set_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.set_peer(member("anew", STRONG), Vec::new());
     harness.run_for(ms(3000));
     harness.others.shift_remove("anew");
     let before = Head::claim(DaemonId::new("before@1"), None);
     let mut head = Head::claim(DaemonId::new("anew@2"), Some(&before));
     head.fence = 9;
-    harness.tell(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
+    harness.step(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
     harness.run_for(ms(400));
     assert_eq!(harness.claims, [], "its first hello is still on its way");
 }
 
 // Guards against lasting tasks standing still while daemons are restarted in turn. The last serving
-// daemon is told to stop before the others are back. If it released its shards, they would have no owner
-// for seconds; it keeps them until another daemon serves or until it exits.
+// daemon is told to stop before the others are back. If it released its shards, they would have no
+// owner for seconds; it keeps them until another daemon serves or until it exits.
 #[test]
 fn a_daemon_that_stops_keeps_its_shards_while_nobody_else_serves() {
     let stopping = Member { stage: MemberStage::Draining, ..member("before", STRONG) };
     let mut harness = Harness::new(member("last", STRONG), 2);
-    harness.add_peer(stopping, Vec::new());
+    harness.set_peer(stopping, Vec::new());
     harness.own_shard("kacyiru.0", 5);
     harness.own_shard("kacyiru.1", 6);
-    harness.tell(Event::Drain);
+    harness.step(Event::Drain);
     harness.run_for(ms(2000));
     assert_eq!(harness.handed_over, [], "nobody serves");
-    harness.add_peer(member("anew", STRONG), Vec::new());
+    harness.set_peer(member("anew", STRONG), Vec::new());
     harness.run_for(ms(500));
     let to: Vec<&str> = harness.handed_over.iter().map(|(_, to)| to.as_str()).collect();
     assert_eq!(to, ["anew", "anew"]);
 }
 
-// A draining daemon exits before another one serves. It releases its shards, so that the next daemon
-// doesn't have to wait until it is found to have ended.
+// A draining daemon exits before another one serves. It releases its shards, so that the next
+// daemon doesn't have to wait until it is found to have ended.
 #[test]
 fn a_daemon_that_exits_releases_its_shards() {
     let mut harness = Harness::new(member("last", STRONG), 1);
     harness.own_shard("kacyiru.0", 5);
-    harness.tell(Event::Drain);
+    harness.step(Event::Drain);
     harness.run_for(ms(2000));
     assert_eq!(harness.handed_over, []);
-    harness.tell(Event::GiveUp);
+    harness.step(Event::GiveUp);
     assert_eq!(harness.handed_over, [("kacyiru.0".to_owned(), "last".to_owned())]);
 }
