--- a/src/cluster/ownership/members.rs
+++ b/src/cluster/ownership/members.rs
@@ -13,7 +13,8 @@
 /// Interval between hellos of a daemon that owns no shard.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Largest number of other daemons at which daemons without shards greet each other every second.
+/// Largest number of other daemons at which daemons without shards send each other a hello every
+/// second.
 const SMALL_CLUSTER: usize = 16;
 
 /// Last known state of another daemon.
@@ -45,9 +46,9 @@
             .collect()
     }
 
-    /// The daemons that are due for a hello. Owners send hellos to everyone frequently, since others
-    /// rely on them. Daemons without shards send them to owners less often, and to each other at an
-    /// interval that grows with the size of the cluster.
+    /// The daemons that are due for a hello. Owners send hellos to everyone frequently, since
+    /// others rely on them. Daemons without shards send them to owners less often, and to each
+    /// other at an interval that grows with the size of the cluster.
     pub fn to_greet(&mut self, now: Duration) -> Vec<Member> {
         let owns = !self.held.is_empty();
         let idle_interval = idle_hello_interval(self.members.len());
@@ -174,8 +175,8 @@
 
 /// Interval between hellos among daemons without shards, for this number of other daemons.
 ///
-/// A hello takes 0.2 ms of CPU at each end. With 45 daemons, one hello a second to each used a fifth
-/// of a small daemon's CPU.
+/// A hello takes 0.2 ms of CPU at each end. With 45 daemons, one hello a second to each used a
+/// fifth of a small daemon's CPU.
 pub(super) fn idle_hello_interval(others: usize) -> Duration {
     HELLO_INTERVAL * u32::try_from(others.div_ceil(SMALL_CLUSTER)).unwrap_or(u32::MAX).max(1)
 }
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -17,23 +17,24 @@
 /// probes of 300 ms have failed by then.
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Additional delay before a daemon of another failure domain claims a shard. A partition lasts 4 to
-/// 7 s, and the shard's VMs can't be reached from other domains meanwhile.
+/// Additional delay before a daemon of another failure domain claims a shard. A partition lasts 4
+/// to 7 s, and the shard's VMs can't be reached from other domains meanwhile.
 pub const REMOTE_DOMAIN_DELAY: Duration = Duration::from_secs(6);
 
 /// Delay between the claims of one candidate and the next.
 const RANK_DELAY: Duration = Duration::from_millis(250);
 
-/// Time for a change of ownership to become known: a claim, a read of the heads, and the new owner's
-/// hello. Without this delay, daemons took shards from each other ten times a second.
+/// Time for a change of ownership to become known: a claim, a read of the heads, and the new
+/// owner's hello. Without this delay, daemons took shards from each other ten times a second.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(700);
 
-/// Time that a new owner may take to load its shard before it lists the shard in its hellos. Loading
-/// takes five store calls, each 0.4 s while the store is slow; without this grace period the daemons
-/// kept taking the shard from each other for as long as the store was slow.
+/// Time that a new owner may take to load its shard before it lists the shard in its hellos.
+/// Loading takes five store calls, each 0.4 s while the store is slow; without this grace period
+/// the daemons kept taking the shard from each other for as long as the store was slow.
 const RECOVERY_GRACE: Duration = Duration::from_millis(2500);
 
-/// Time after the start in which a daemon learns of owners and other daemons before it claims shards.
+/// Time after the start in which a daemon learns of owners and other daemons before it claims
+/// shards.
 const STARTUP_GRACE: Duration = Duration::from_millis(700);
 
 /// Interval between reads of the heads while a shard has no owner.
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -15,16 +15,17 @@
 const STORE_DOWN_DELAY: Duration = Duration::from_millis(700);
 
 /// How long another daemon must have reached the store before shards are handed over to it for that
-/// reason. When a partition heals, all daemons reach the store again almost at the same time, and no
-/// shard needs to move.
+/// reason. When a partition heals, all daemons reach the store again almost at the same time, and
+/// no shard needs to move.
 const STORE_UP_DELAY: Duration = Duration::from_millis(600);
 
 /// Largest load of the receiver, including the shard, as a fraction of this daemon's load: three
-/// fifths. A hand-over stops the shard for 0.1 to 0.2 s, which isn't worth it for small differences.
+/// fifths. A hand-over stops the shard for 0.1 to 0.2 s, which isn't worth it for small
+/// differences.
 const MAX_LOAD_RATIO: (u64, u64) = (3, 5);
 
-/// Interval between hand-overs that balance load, so that the effect of one is known before the next
-/// is decided.
+/// Interval between hand-overs that balance load, so that the effect of one is known before the
+/// next is decided.
 const REBALANCE_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Ownership {
@@ -86,8 +87,8 @@
             let domain = self.shards.get(&shard).map(|view| view.domain.clone());
             let Some(domain) = domain else { continue };
             let eligible = |known: &&MemberState| self.can_take(known);
-            // The shard stays here if no daemon can take it. When it was released instead, it had no
-            // owner for as long as several daemons were restarting at once.
+            // The shard stays here if no daemon can take it. When it was released instead, it had
+            // no owner for as long as several daemons were restarting at once.
             let Some(to) = self.best_candidate(&shard, &domain, eligible) else { continue };
             self.hand_over(shard, to, HandOver::Settled);
         }
@@ -143,8 +144,8 @@
             .map(|known| known.member.clone())
     }
 
-    /// Rank of a daemon as the owner of a shard; lower is better. Daemons in the shard's failure domain
-    /// come first, then those with the most CPU per shard.
+    /// Rank of a daemon as the owner of a shard; lower is better. Daemons in the shard's failure
+    /// domain come first, then those with the most CPU per shard.
     pub(super) fn rank(
         &self,
         shard: &str,
--- a/src/cluster/plan.rs
+++ b/src/cluster/plan.rs
@@ -13,8 +13,8 @@
 /// Key of the plan in the store.
 pub const PLAN_KEY: &str = "plan";
 
-/// Target number of VMs in a shard. A poll of a VM costs about 0.15 ms of CPU, and so does an order;
-/// at 3 polls and 2 orders a second for each VM, 32 VMs take about 25 ms of CPU a second.
+/// Target number of VMs in a shard. A poll of a VM costs about 0.15 ms of CPU, and so does an
+/// order; at 3 polls and 2 orders a second for each VM, 32 VMs take about 25 ms of CPU a second.
 pub const SHARD_VMS: usize = 32;
 
 /// Shard numbers of all racks, by failure domain.
