--- a/src/job.rs
+++ b/src/job.rs
@@ -158,7 +158,8 @@
     pub image: Option<Image>,
     /// Target for the tail latency that a serving task gives its users.
     pub tail_target: Option<Duration>,
-    /// Maximum number of tasks that the scheduler itself may keep down at once; `None` for no limit.
+    /// Maximum number of tasks that the scheduler itself may keep down at once; `None` for no
+    /// limit.
     pub max_away: Option<u32>,
 }
 
--- a/src/job/check.rs
+++ b/src/job/check.rs
@@ -45,8 +45,8 @@
     WaitsForLasting(usize),
 }
 
-/// Distinct VM shapes of each service. Includes all shapes listed so far, since a VM that is missing
-/// now may come back.
+/// Distinct VM shapes of each service. Includes all shapes listed so far, since a VM that is
+/// missing now may come back.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shapes {
     of: IndexMap<ServiceName, IndexSet<Shape>>,
--- a/src/job/progress.rs
+++ b/src/job/progress.rs
@@ -37,8 +37,8 @@
     pub begun: u32,
     /// Occurrences that have started and not ended.
     pub open: Vec<OccurrenceProgress>,
-    /// Tasks that VMs crashed under. Encoded after the rest of the record, and only if not empty, so
-    /// that releases without this field can still decode the record.
+    /// Tasks that VMs crashed under. Encoded after the rest of the record, and only if not empty,
+    /// so that releases without this field can still decode the record.
     #[serde(skip)]
     pub crashes: Vec<CrashRow>,
 }
--- a/src/job/progress/tests.rs
+++ b/src/job/progress/tests.rs
@@ -19,7 +19,8 @@
     Progress { crashes, ..progress() }
 }
 
-// During a rolling upgrade, daemons of different releases must be able to decode each other's records.
+// During a rolling upgrade, daemons of different releases must be able to decode each other's
+// records.
 #[test]
 fn records_are_compatible_with_the_earlier_release() {
     let before: Progress =
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,9 +1,9 @@
 //! Reconstructs the history of one job from the logs of several daemons.
 //!
-//! The logs allow a job to be traced even if the daemons that handled it have ended. Lines are sorted
-//! by time. If clock skew makes an effect appear before its cause, the lines of the daemon that logged
-//! the effect are shifted, and the result reports by how much. It also reports gaps: dropped lines,
-//! events without the preceding event of the same run, and logs that end too early.
+//! The logs allow a job to be traced even if the daemons that handled it have ended. Lines are
+//! sorted by time. If clock skew makes an effect appear before its cause, the lines of the daemon
+//! that logged the effect are shifted, and the result reports by how much. It also reports gaps:
+//! dropped lines, events without the preceding event of the same run, and logs that end too early.
 
 mod entry;
 
@@ -117,7 +117,8 @@
     }
 
     fn count_unreadable(&mut self, source: &str) {
-        // The line has no timestamp, for instance because it was truncated when the daemon was killed.
+        // The line has no timestamp, for instance because it was truncated when the daemon was
+        // killed.
         let none = Span { first: Duration::MAX, last: Duration::ZERO, unreadable: 0 };
         self.sources.entry(source.to_owned()).or_insert(none).unreadable += 1;
     }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -30,8 +30,8 @@
 ts=2026-12-03T05:00:00.190Z event=vm-leaving vm=i-8 runs=1 left_ms=5000
 ";
 
-// The daemon that accepted the job is killed, another completes it, and a third answers the caller. The
-// trace merges their logs. It includes events of the job's VM but none of other jobs and VMs.
+// The daemon that accepted the job is killed, another completes it, and a third answers the caller.
+// The trace merges their logs. It includes events of the job's VM but none of other jobs and VMs.
 #[test]
 fn logs_of_several_daemons_are_merged() {
     let next = "\
@@ -58,8 +58,9 @@
     assert_eq!(story.gaps, []);
 }
 
-// The clock of the daemon that took the job over is two seconds behind, so the end of a run appears before
-// its start. Its lines are shifted by the smallest amount that restores the order, and the trace reports it.
+// The clock of the daemon that took the job over is two seconds behind, so the end of a run appears
+// before its start. Its lines are shifted by the smallest amount that restores the order, and the
+// trace reports it.
 #[test]
 fn entries_are_shifted_if_a_daemons_clock_is_behind() {
     let behind = "\
@@ -73,9 +74,9 @@
     assert_eq!(shifts, [("behind", 2000)]);
 }
 
-// One log is truncated because its daemon was killed, another daemon dropped routine lines under load, and
-// the start of a run is missing. Each gap is reported, so that a missing line isn't taken as evidence that
-// nothing happened.
+// One log is truncated because its daemon was killed, another daemon dropped routine lines under
+// load, and the start of a run is missing. Each gap is reported, so that a missing line isn't taken
+// as evidence that nothing happened.
 #[test]
 fn gaps_in_the_logs_are_reported() {
     let cut = "\
@@ -102,8 +103,8 @@
     }
 }
 
-// A log collector has merged the logs and prefixed each line with the name of its daemon. A job without log
-// lines has no trace.
+// A log collector has merged the logs and prefixed each line with the name of its daemon. A job
+// without log lines has no trace.
 #[test]
 fn prefixes_of_a_log_collector_name_the_source() {
     let merged: String =
