--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::job::check::{self, Fault};
 use crate::job::{Image, Job, JobId, Life, QueueName, Share, ShownState};
-use crate::shard::{Answer, Summary, Urge};
+use crate::shard::{AdmissionMode, Answer, Summary};
 use actix::prelude::*;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 /// A request that the owner of a shard answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
-    Submit(Box<Job>, Urge),
+    Submit(Box<Job>, AdmissionMode),
     Cancel(JobId),
     Show(JobId),
 }
@@ -136,15 +136,15 @@
         let mut refusals = Refusals::default();
         let mut last = not_run("no shard has an owner at the moment", RETRY_AFTER_NO_OWNER);
         loop {
-            let cached = self.cached_shard(job.id).map(|shard| (shard, Urge::Always));
+            let cached = self.cached_shard(job.id).map(|shard| (shard, AdmissionMode::Always));
             let is_cached = cached.is_some();
-            let Some((shard, urge)) = cached.or_else(|| self.choose(&job, &refusals)) else {
+            let Some((shard, mode)) = cached.or_else(|| self.choose(&job, &refusals)) else {
                 if refusals.unconditional.is_empty() && self.wait_to_retry(deadline).await {
                     continue;
                 }
                 return last;
             };
-            match self.attempt(&shard, Call::Submit(Box::new(job.clone()), urge), deadline).await {
+            match self.attempt(&shard, Call::Submit(Box::new(job.clone()), mode), deadline).await {
                 Attempt::Answered(Answer::Accepted) => {
                     self.remember_shard(job.id, &shard);
                     return Answer::Accepted;
@@ -156,7 +156,7 @@
                     if is_cached && !self.wait_to_retry(deadline).await {
                         return last;
                     }
-                    refusals.add(shard, urge);
+                    refusals.add(shard, mode);
                 }
                 Attempt::Answered(answer) => return answer,
                 Attempt::Uncertain(reason) => return Answer::Unknown { reason },
@@ -295,7 +295,7 @@
     }
 
     /// Chooses the shard with the lowest estimated cost for a job.
-    fn choose(&self, job: &Job, refusals: &Refusals) -> Option<(String, Urge)> {
+    fn choose(&self, job: &Job, refusals: &Refusals) -> Option<(String, AdmissionMode)> {
         let (view, now) = (self.view(), self.clock.now());
         let demand = Demand::of(job, refusals);
         let is_candidate = |(_, shard): &(&String, &ShardView)| {
@@ -313,21 +313,22 @@
                 (name, shard, load.unwrap_or_default())
             })
             .collect();
-        let best = |urge| {
+        let best = |mode| {
             let costs = candidates.iter().filter_map(|(name, shard, load)| {
-                let cost = demand.cost(name, &shard.summary, load, urge)?;
+                let cost = demand.cost(name, &shard.summary, load, mode)?;
                 Some((*name, *shard, cost))
             });
-            costs.min_by(|(_, _, a), (_, _, b)| a.total_cmp(b)).map(|best| (best, urge))
+            costs.min_by(|(_, _, a), (_, _, b)| a.total_cmp(b)).map(|best| (best, mode))
         };
-        let ((name, shard, _), urge) = best(Urge::IfRoom).or_else(|| best(Urge::Always))?;
+        let ((name, shard, _), mode) =
+            best(AdmissionMode::IfRoom).or_else(|| best(AdmissionMode::Always))?;
         let entry = unreported.entry(name.clone()).or_default();
         if entry.summary_at != shard.at {
             *entry = UnreportedLoad { summary_at: shard.at, ..UnreportedLoad::default() };
         }
         entry.reserved += demand.reserved;
         entry.leftover_work += demand.leftover_work;
-        Some((name.clone(), urge))
+        Some((name.clone(), mode))
     }
 
     fn cached_shard(&self, id: JobId) -> Option<String> {
@@ -383,23 +384,23 @@
 /// Shards that refused a job.
 #[derive(Debug, Default)]
 struct Refusals {
-    /// Refused because they had little room; they may take the job under [`Urge::Always`].
+    /// Refused because they had little room; they may take the job under [`AdmissionMode::Always`].
     lacking_room: Vec<String>,
     /// Refused regardless of room.
     unconditional: Vec<String>,
 }
 
 impl Refusals {
-    fn add(&mut self, shard: String, urge: Urge) {
-        match urge {
-            Urge::IfRoom => self.lacking_room.push(shard),
-            Urge::Always => self.unconditional.push(shard),
+    fn add(&mut self, shard: String, mode: AdmissionMode) {
+        match mode {
+            AdmissionMode::IfRoom => self.lacking_room.push(shard),
+            AdmissionMode::Always => self.unconditional.push(shard),
         }
     }
 
-    fn contains(&self, shard: &str, urge: Urge) -> bool {
+    fn contains(&self, shard: &str, mode: AdmissionMode) -> bool {
         let lists = |shards: &[String]| shards.iter().any(|name| name == shard);
-        lists(&self.unconditional) || (urge == Urge::IfRoom && lists(&self.lacking_room))
+        lists(&self.unconditional) || (mode == AdmissionMode::IfRoom && lists(&self.lacking_room))
     }
 }
 
@@ -435,9 +436,9 @@
         name: &str,
         summary: &Summary,
         load: &UnreportedLoad,
-        urge: Urge,
+        mode: AdmissionMode,
     ) -> Option<f64> {
-        if self.refusals.contains(name, urge) {
+        if self.refusals.contains(name, mode) {
             return None;
         }
         let capacity = (summary.capacity as f64).max(1.0);
@@ -453,20 +454,20 @@
             return Some(summary.waiting_work as f64 / capacity - free / capacity);
         };
         let lasting = summary.lasting as f64 + load.reserved + self.reserved;
-        match urge {
-            Urge::IfRoom if summary.is_full_with(lasting, urge) => None,
+        match mode {
+            AdmissionMode::IfRoom if summary.is_full_with(lasting, mode) => None,
             // The shard with the most room for lasting tasks was tried first and refused. Trying
             // hundreds of shards with less room one by one would use up the call's time.
-            Urge::Always
+            AdmissionMode::Always
                 if !self.refusals.unconditional.is_empty()
-                    && summary.is_full_with(lasting, urge) =>
+                    && summary.is_full_with(lasting, mode) =>
             {
                 None
             }
             // The hash sends all lasting tasks of an image to the same shard, whichever daemon
             // chooses. Less leftover work is then left without a VM where it disturbs no image.
-            Urge::IfRoom => Some(xxh3_64(format!("{image}/{name}").as_bytes()) as f64),
-            Urge::Always => Some(lasting / capacity),
+            AdmissionMode::IfRoom => Some(xxh3_64(format!("{image}/{name}").as_bytes()) as f64),
+            AdmissionMode::Always => Some(lasting / capacity),
         }
     }
 
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -11,7 +11,7 @@
 use crate::note::Weight;
 use crate::permit::{self, PermitReq, PermitResp};
 use crate::shard::loan::LoanMsg;
-use crate::shard::{Lapse, Settings, Summary, Urge};
+use crate::shard::{AdmissionMode, Lapse, Settings, Summary};
 use crate::units::Resources;
 use crate::vm::Fence;
 use actix::prelude::*;
@@ -213,10 +213,15 @@
     let job = lasting();
     let full = Summary { capacity: 8000, lasting: 7000, vms: 1, ..Summary::default() };
     let cost = |refusals: &Refusals| {
-        Demand::of(&job, refusals).cost(SHARD, &full, &UnreportedLoad::default(), Urge::Always)
+        Demand::of(&job, refusals).cost(
+            SHARD,
+            &full,
+            &UnreportedLoad::default(),
+            AdmissionMode::Always,
+        )
     };
     assert!(cost(&Refusals::default()).is_some());
     let mut refusals = Refusals::default();
-    refusals.add("kacyiru/1".to_owned(), Urge::Always);
+    refusals.add("kacyiru/1".to_owned(), AdmissionMode::Always);
     assert_eq!(cost(&refusals), None);
 }
--- a/src/jobs/claim.rs
+++ b/src/jobs/claim.rs
@@ -7,7 +7,7 @@
 use crate::job::progress::{Progress, decode, encode};
 use crate::job::{Job, JobId};
 use crate::kv::{Condition, Error, Freshness, Item, Kv, Put, Rev, Txn};
-use crate::shard::{CommitResult, Keys, Landed, Previous, Recovered, SilentVm};
+use crate::shard::{CommitResult, Keys, Previous, Recovered, SilentVm, WriteOutcome};
 use crate::vm::Fence;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -240,7 +240,7 @@
     ) -> ConflictOutcome {
         let present = items.iter().find(|item| item.key == self.key);
         let Some((rev, present)) = present.and_then(|i| Some((i.rev, decode_head(i).ok()?))) else {
-            return ConflictOutcome::Result(CommitResult::Superseded(Landed::Unknown));
+            return ConflictOutcome::Result(CommitResult::Superseded(WriteOutcome::Unknown));
         };
         if present == *head {
             return ConflictOutcome::Applied(rev);
@@ -250,14 +250,14 @@
             let known = known.filter_map(|item| item.key.rsplit('/').next()?.parse().ok());
             return ConflictOutcome::Result(CommitResult::JobExists(known.collect()));
         }
-        let landed = match &present.before {
-            _ if earlier == EarlierAttempts::Answered => Landed::No,
+        let outcome = match &present.before {
+            _ if earlier == EarlierAttempts::Answered => WriteOutcome::No,
             Some(before) if before.owner == self.head.owner && before.seq >= head.seq => {
-                Landed::Yes
+                WriteOutcome::Yes
             }
-            Some(before) if before.owner == self.head.owner => Landed::No,
-            _ => Landed::Unknown,
+            Some(before) if before.owner == self.head.owner => WriteOutcome::No,
+            _ => WriteOutcome::Unknown,
         };
-        ConflictOutcome::Result(CommitResult::Superseded(landed))
+        ConflictOutcome::Result(CommitResult::Superseded(outcome))
     }
 }
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -235,7 +235,7 @@
 
     fn execute(&mut self, shard: &Arc<str>, fence: Fence, action: Action, cx: &mut Context<Self>) {
         match action {
-            Action::Look { .. }
+            Action::Poll { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => {
@@ -243,7 +243,7 @@
                 // The push fails only if the orders actor has ended; no order is answered then.
                 let _ = rings.orders.push(Order { shard: shard.clone(), fence, action });
             }
-            Action::Ask(req) => self.ask_permits(shard, fence, req, cx),
+            Action::RequestPermits(req) => self.ask_permits(shard, fence, req, cx),
             Action::Commit { seq, txn } => {
                 if let Some(rings) = &self.rings {
                     rings.commits.do_send(Commit { shard: shard.to_string(), seq, txn });
@@ -254,7 +254,9 @@
                 self.record_accepted_job(shard, &note);
                 self.journal.write(note);
             }
-            Action::Tell { to, fence, msg } => self.send_loan_message(shard, &to, fence, msg, cx),
+            Action::SendLoanMessage { to, fence, msg } => {
+                self.send_loan_message(shard, &to, fence, msg, cx)
+            }
             Action::Fenced => self.drop_shard(shard, "a VM reported a newer owner", cx),
             Action::HandedOver => self.complete_hand_over(shard, cx),
         }
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -9,7 +9,7 @@
 use crate::note::Note;
 use crate::shard::interference::Learned;
 use crate::shard::loan::LoanMsg;
-use crate::shard::{Announcements, Answer, CommitResult, Event, Lapse, Recovered};
+use crate::shard::{Answer, CommitResult, Event, FleetListStatus, Lapse, Recovered};
 use crate::upkeep::{self, Wave};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
@@ -73,7 +73,7 @@
     /// VMs as of some time after `at`; `None` if the time is unknown.
     Fleet {
         vms: Vec<VmEntry>,
-        announcements: Announcements,
+        list_status: FleetListStatus,
         at: Option<Duration>,
     },
     Queues(Box<ReadQueues>),
@@ -124,8 +124,8 @@
                     }
                 }
             }
-            Stored::Fleet { vms, announcements, at } => {
-                self.update_fleet(vms, announcements, at, cx);
+            Stored::Fleet { vms, list_status, at } => {
+                self.update_fleet(vms, list_status, at, cx);
             }
             Stored::Queues(queues) => self.apply_config(*queues, cx),
             Stored::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
@@ -217,7 +217,7 @@
         let ticket = Ticket(self.next_ticket);
         self.tickets.insert(ticket, tx);
         let event = match msg.call {
-            Call::Submit(job, urge) => Event::Submit { ticket, job: Arc::from(job), urge },
+            Call::Submit(job, mode) => Event::Submit { ticket, job: Arc::from(job), mode },
             Call::Cancel(job) => Event::Cancel { ticket, job },
             Call::Show(job) => Event::Show { ticket, job },
         };
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -8,7 +8,7 @@
 use crate::jobs::view::{Owner, Readiness, ShardView, View};
 use crate::note::Note;
 use crate::shard::interference::Learned;
-use crate::shard::{Event, Neighbour};
+use crate::shard::{Event, OtherShard};
 use actix::prelude::*;
 use indexmap::IndexMap;
 use std::sync::Arc;
@@ -27,27 +27,27 @@
     /// Informs each local shard about the other shards.
     pub(super) fn report_neighbours(&mut self, cx: &mut Context<Self>) {
         let now = self.clock.now();
-        let mut known: Vec<Neighbour> = Vec::new();
+        let mut known: Vec<OtherShard> = Vec::new();
         for (name, view) in &self.remote_shards {
             let fresh = now.saturating_sub(view.at) < MAX_NEIGHBOUR_AGE;
             if fresh && self.ownership.owner(name).is_some() && !self.hosted.contains_key(name) {
                 let (name, summary) = (Arc::from(name.as_str()), view.summary.clone());
                 let fence = self.ownership.fence(&name);
-                known.push(Neighbour { name, fence, summary });
+                known.push(OtherShard { name, fence, summary });
             }
         }
         for hosted in self.hosted.values() {
             let (name, summary) = (hosted.name.clone(), hosted.summary.clone());
-            known.push(Neighbour { name, fence: hosted.shard.fence(), summary });
+            known.push(OtherShard { name, fence: hosted.shard.fence(), summary });
         }
         let daemons = self.ownership.members().len() + 1;
         let shards = self.ownership.shards().len().max(1);
-        let askers = u32::try_from(daemons.div_ceil(shards)).unwrap_or(1);
+        let max_requests = u32::try_from(daemons.div_ceil(shards)).unwrap_or(1);
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
-            self.step_shard(&name, Event::Askers(askers), cx);
+            self.step_shard(&name, Event::PermitConcurrency(max_requests), cx);
             let others = known.iter().filter(|other| *other.name != *name).cloned().collect();
-            self.step_shard(&name, Event::Neighbours(others), cx);
+            self.step_shard(&name, Event::OtherShards(others), cx);
         }
     }
 
@@ -187,7 +187,7 @@
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let (from, learned) = (from.to_owned(), learned.clone());
-            self.step_shard(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Interference { from, learned }, cx);
         }
         self.learned.insert(from.to_owned(), learned);
     }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -12,7 +12,7 @@
 use crate::jobs::records::{Claim, Confirm, Confirmation, Forget, ReadHeads};
 use crate::journal::Journal;
 use crate::note::{Ms, Note};
-use crate::shard::{Action, Announcements, Event, Recovered, Shard};
+use crate::shard::{Action, Event, FleetListStatus, Recovered, Shard};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
 use std::sync::{Arc, PoisonError};
@@ -193,7 +193,7 @@
         };
         self.hosted.insert(name.clone(), hosted);
         for (from, learned) in self.learned.clone() {
-            self.step_shard(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Interference { from, learned }, cx);
         }
         self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
         self.step_shard(&name, Event::Tick, cx);
@@ -260,20 +260,20 @@
     pub(super) fn update_fleet(
         &mut self,
         vms: Vec<VmEntry>,
-        announcements: Announcements,
+        list_status: FleetListStatus,
         at: Option<Duration>,
         cx: &mut Context<Self>,
     ) {
-        if announcements == Announcements::Complete {
+        if list_status == FleetListStatus::Complete {
             Arc::make_mut(&mut self.shapes).add(&vms);
         }
-        if announcements == Announcements::Complete || !vms.is_empty() {
+        if list_status == FleetListStatus::Complete || !vms.is_empty() {
             self.fleet = vms;
         }
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let vms = self.shard_vms(&name);
-            self.step_shard(&name, Event::Fleet { vms, announcements, at }, cx);
+            self.step_shard(&name, Event::Fleet { vms, list_status, at }, cx);
         }
     }
 
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -16,7 +16,7 @@
 use crate::jobs::{Platform, Unreadable};
 use crate::kv::{Change, Freshness, Item, Kv, Result, Rev, Watch};
 use crate::note::{Ms, Note};
-use crate::shard::Announcements;
+use crate::shard::FleetListStatus;
 use crate::vm::VmEntry;
 use indexmap::{IndexMap, IndexSet};
 use std::cell::Cell;
@@ -250,26 +250,26 @@
 }
 
 impl<P: Platform> FollowContext<P> {
-    fn announcements(&self) -> Announcements {
+    fn list_status(&self) -> FleetListStatus {
         let (now, reach) = (self.store.clock().now(), self.store.reach());
         let since_regained = now.saturating_sub(reach.regained());
         let recently_regained =
             reach.regained() > Duration::ZERO && since_regained < REANNOUNCE_WINDOW;
         match reach.state(now) {
-            StoreReach::Reached if !recently_regained => Announcements::Complete,
-            _ => Announcements::Recovering,
+            StoreReach::Reached if !recently_regained => FleetListStatus::Complete,
+            _ => FleetListStatus::Recovering,
         }
     }
 
     fn publish_fleet(&self, fleet: &Fleet) {
-        let announcements = self.announcements();
+        let list_status = self.list_status();
         let vms = fleet.vms.values().cloned().collect();
-        self.control.do_send(Stored::Fleet { vms, announcements, at: fleet.requested_at });
+        self.control.do_send(Stored::Fleet { vms, list_status, at: fleet.requested_at });
     }
 
     fn publish_unread(&self) {
-        let announcements = Announcements::Unread;
-        self.control.do_send(Stored::Fleet { vms: Vec::new(), announcements, at: None });
+        let list_status = FleetListStatus::Unread;
+        self.control.do_send(Stored::Fleet { vms: Vec::new(), list_status, at: None });
     }
 
     fn report_lag(&self, fleet: &Fleet, changes: usize, newest: Rev) {
--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -74,10 +74,10 @@
 
 async fn call_vm(vms: &impl VmPort, action: Action, clock: &dyn Clock) -> Option<Event> {
     match action {
-        Action::Look { vm, req } => {
+        Action::Poll { vm, req } => {
             let sent = clock.now();
             let result = vms.look(&vm, req).await;
-            Some(Event::Looked { vm: vm.id, sent, result })
+            Some(Event::Polled { vm: vm.id, sent, result })
         }
         Action::Start { vm, req } => {
             let (task, run) = (req.task, req.run);
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -39,8 +39,8 @@
 mod waiting;
 
 pub use event::{
-    Action, Announcements, Answer, CommitResult, Event, Landed, Neighbour, Now, Summary, Urge,
-    VacateOrder,
+    Action, AdmissionMode, Answer, CommitResult, Event, FleetListStatus, Now, OtherShard, Summary,
+    VacateOrder, WriteOutcome,
 };
 pub use log::Keys;
 pub use recover::{Lapse, Previous, Recovered};
@@ -136,8 +136,8 @@
         match event {
             Event::Tick => {}
             Event::Queues(queues) => self.configure(queues),
-            Event::Fleet { vms, announcements, at } => self.announced(vms, announcements, at),
-            Event::Looked { vm, sent, result } => self.looked(&vm, sent, result),
+            Event::Fleet { vms, list_status, at } => self.announced(vms, list_status, at),
+            Event::Polled { vm, sent, result } => self.looked(&vm, sent, result),
             Event::Started { vm, task, run, result } => {
                 self.start_answered(&vm, task, run, &result)
             }
@@ -149,13 +149,13 @@
                 self.permitted(step, &vms, sent, result);
             }
             Event::Committed { seq, result } => self.committed(seq, result),
-            Event::Submit { ticket, job, urge } => self.submit(ticket, job, urge),
+            Event::Submit { ticket, job, mode } => self.submit(ticket, job, mode),
             Event::Cancel { ticket, job } => self.cancel(ticket, job),
             Event::Show { ticket, job } => self.show(ticket, job),
-            Event::Learned { from, learned } => self.effects.merge(&from, &learned),
-            Event::Neighbours(neighbours) => self.loans.know(neighbours),
+            Event::Interference { from, learned } => self.effects.merge(&from, &learned),
+            Event::OtherShards(other_shards) => self.loans.set_other_shards(other_shards),
             Event::Vacate(order) => self.vacate(order),
-            Event::Askers(askers) => self.set_askers(askers),
+            Event::PermitConcurrency(max_requests) => self.set_max_permit_requests(max_requests),
             Event::Message { from, to, msg } => {
                 // The message is for another owner, which may have answered it and settled the
                 // matter since.
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -34,33 +34,33 @@
     Queues(Arc<Queues>),
     /// All VMs of the shard that the platform lists, whether a VM's absence from the list is
     /// meaningful, and when the list was requested; `None` if its age is unknown.
-    Fleet { vms: Vec<VmEntry>, announcements: Announcements, at: Option<Duration> },
-    /// Response to [`Action::Look`].
-    Looked { vm: VmId, sent: Duration, result: vm::Result<LookResp> },
+    Fleet { vms: Vec<VmEntry>, list_status: FleetListStatus, at: Option<Duration> },
+    /// Response to [`Action::Poll`].
+    Polled { vm: VmId, sent: Duration, result: vm::Result<LookResp> },
     /// Response to [`Action::Start`].
     Started { vm: VmId, task: TaskRef, run: RunNumber, result: vm::Result<VmTime> },
     /// Response to [`Action::Stop`].
     Stopped { vm: VmId, task: TaskRef, run: RunNumber, result: vm::Result<VmTime> },
     /// Response to [`Action::Pace`].
     Paced { vm: VmId, task: TaskRef, run: RunNumber, percent: u8, result: vm::Result<VmTime> },
-    /// Response to [`Action::Ask`].
+    /// Response to [`Action::RequestPermits`].
     Permitted { step: StepRef, vms: Vec<VmId>, sent: Duration, result: permit::Result<PermitResp> },
     /// Result of [`Action::Commit`].
     Committed { seq: u64, result: CommitResult },
     /// A caller submits a job.
-    Submit { ticket: Ticket, job: Arc<Job>, urge: Urge },
+    Submit { ticket: Ticket, job: Arc<Job>, mode: AdmissionMode },
     /// A caller cancels a job.
     Cancel { ticket: Ticket, job: JobId },
     /// A caller queries a job's state.
     Show { ticket: Ticket, job: JobId },
     /// Interference between images, as measured by another shard.
-    Learned { from: String, learned: Vec<Learned> },
+    Interference { from: String, learned: Vec<Learned> },
     /// Last known state of the other shards.
-    Neighbours(Vec<Neighbour>),
+    OtherShards(Vec<OtherShard>),
     /// VMs to drain now, and VMs to drain later.
     Vacate(VacateOrder),
     /// Maximum number of concurrent permit requests.
-    Askers(u32),
+    PermitConcurrency(u32),
     /// A message about a loan from another shard's owner.
     Message { from: Arc<str>, to: Fence, msg: LoanMsg },
     /// Planned shutdown of the owner: start nothing new, and wait for the pending commit.
@@ -92,7 +92,7 @@
 
 /// Whether to accept a job even if other shards have more room for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Urge {
+pub enum AdmissionMode {
     /// Refuse the job if the shard has little room for it.
     IfRoom,
     Always,
@@ -100,7 +100,7 @@
 
 /// Completeness of the platform's list of VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Announcements {
+pub enum FleetListStatus {
     Complete,
     /// The store has just recovered from an outage; VMs whose registrations expired during it are
     /// being listed again.
@@ -114,14 +114,14 @@
 pub enum CommitResult {
     Durable,
     /// Another daemon owns the shard; the value tells whether this commit was applied before that.
-    Superseded(Landed),
+    Superseded(WriteOutcome),
     /// These jobs already exist, in this shard or another; nothing was written.
     JobExists(Vec<JobId>),
 }
 
 /// Whether a write was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Landed {
+pub enum WriteOutcome {
     Yes,
     No,
     Unknown,
@@ -130,7 +130,7 @@
 /// An output of a shard, to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Look {
+    Poll {
         vm: VmAddr,
         req: LookReq,
     },
@@ -147,14 +147,14 @@
         req: PaceReq,
     },
     /// Requests permits for the VMs a step may run on.
-    Ask(PermitReq),
+    RequestPermits(PermitReq),
     /// Makes changes durable; at most one commit is in flight.
     Commit {
         seq: u64,
         txn: Txn,
     },
     /// Sends a message about a loan to another shard's owner; dropped if that owner was replaced.
-    Tell {
+    SendLoanMessage {
         to: Arc<str>,
         fence: Fence,
         msg: LoanMsg,
@@ -195,7 +195,7 @@
 
 /// Last known state of another shard.
 #[derive(Clone, Debug)]
-pub struct Neighbour {
+pub struct OtherShard {
     pub name: Arc<str>,
     /// Fencing token of its owner.
     pub fence: Fence,
--- a/src/shard/fleet.rs
+++ b/src/shard/fleet.rs
@@ -1,7 +1,7 @@
 //! The shard's VMs as announced by the platform.
 
 use super::Shard;
-use super::event::Announcements;
+use super::event::FleetListStatus;
 use super::vm_run::{Announced, Silent, Vm};
 use crate::ids::VmId;
 use crate::note::{Ms, Note, Word};
@@ -49,7 +49,7 @@
     pub(super) fn announced(
         &mut self,
         entries: Vec<VmEntry>,
-        announcements: Announcements,
+        list_status: FleetListStatus,
         at: Option<Duration>,
     ) {
         let now = self.now.steady;
@@ -64,10 +64,10 @@
             }
             self.announce(entry);
         }
-        if let Some(at) = at.filter(|_| announcements != Announcements::Unread) {
+        if let Some(at) = at.filter(|_| list_status != FleetListStatus::Unread) {
             self.list = List::Read { at };
         }
-        if announcements != Announcements::Complete {
+        if list_status != FleetListStatus::Complete {
             return;
         }
         for vm in self.vms.values_mut() {
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -1,6 +1,6 @@
 //! Caller requests: submitting a job, cancelling it and querying its state.
 
-use super::event::{Action, Answer, CommitResult, Landed, Urge};
+use super::event::{Action, AdmissionMode, Answer, CommitResult, WriteOutcome};
 use super::job_run::{Effect, JobRun, RecordState, Started};
 use super::settings::STALLED_COMMIT;
 use super::vm_run::RunKey;
@@ -27,7 +27,7 @@
 const LITTLE_ROOM: (&str, Duration) = ("other shards have more room", Duration::ZERO);
 
 impl Shard {
-    pub(super) fn submit(&mut self, ticket: Ticket, job: Arc<Job>, urge: Urge) {
+    pub(super) fn submit(&mut self, ticket: Ticket, job: Arc<Job>, mode: AdmissionMode) {
         let id = job.id;
         if self.closed.contains_key(&id) {
             return self.reply(ticket, Answer::Accepted);
@@ -45,7 +45,7 @@
             return;
         }
         if let Some((reason, retry_after)) =
-            self.unavailable().or_else(|| self.capacity_refusal(&job, urge))
+            self.unavailable().or_else(|| self.capacity_refusal(&job, mode))
         {
             let note = Note::JobRefused {
                 job: id,
@@ -77,16 +77,16 @@
 
     /// Refuses a job whose long-running tasks would take the capacity reserved for jobs that must
     /// start immediately.
-    fn capacity_refusal(&self, job: &Job, urge: Urge) -> Option<(&'static str, Duration)> {
+    fn capacity_refusal(&self, job: &Job, mode: AdmissionMode) -> Option<(&'static str, Duration)> {
         let lasting = lasting_cores(job);
         if lasting == 0 {
             return None;
         }
         let summary = self.summary();
-        let full = summary.is_full_with((summary.lasting + lasting) as f64, urge);
-        full.then_some(match urge {
-            Urge::IfRoom => LITTLE_ROOM,
-            Urge::Always => LASTING_LIMIT_REACHED,
+        let full = summary.is_full_with((summary.lasting + lasting) as f64, mode);
+        full.then_some(match mode {
+            AdmissionMode::IfRoom => LITTLE_ROOM,
+            AdmissionMode::Always => LASTING_LIMIT_REACHED,
         })
     }
 
@@ -149,13 +149,13 @@
                 self.log.redo(commit, &mut self.jobs);
                 known.into_iter().for_each(|id| self.drop_duplicate(id));
             }
-            CommitResult::Superseded(landed) => {
+            CommitResult::Superseded(outcome) => {
                 // The commit may not have been applied, so its effects must not be reported as
                 // durable.
                 self.stage = Stage::HandedOver;
                 for effect in commit.parts.into_iter().flat_map(|part| part.effects) {
                     if let Effect::Reply { ticket, answer } = effect {
-                        self.reply_superseded(ticket, answer, landed);
+                        self.reply_superseded(ticket, answer, outcome);
                     }
                 }
             }
@@ -168,29 +168,29 @@
         let sent: IndexSet<JobId> = parts.iter().map(|part| part.id).collect();
         let mut effects = Vec::new();
         for part in parts {
-            effects.extend(part.effects.into_iter().map(|effect| (Landed::Unknown, effect)));
+            effects.extend(part.effects.into_iter().map(|effect| (WriteOutcome::Unknown, effect)));
         }
         for job in self.jobs.values_mut() {
             // A new job that is not part of any commit was never written.
             let unwritten = job.record == RecordState::New && !sent.contains(&job.id());
-            let landed = if unwritten { Landed::No } else { Landed::Unknown };
-            effects.extend(job.effects.drain(..).map(|effect| (landed, effect)));
+            let outcome = if unwritten { WriteOutcome::No } else { WriteOutcome::Unknown };
+            effects.extend(job.effects.drain(..).map(|effect| (outcome, effect)));
         }
-        for (landed, effect) in effects {
+        for (outcome, effect) in effects {
             if let Effect::Reply { ticket, answer } = effect {
-                self.reply_superseded(ticket, answer, landed);
+                self.reply_superseded(ticket, answer, outcome);
             }
         }
         std::mem::take(&mut self.out)
     }
 
-    fn reply_superseded(&mut self, ticket: Ticket, answer: Answer, landed: Landed) {
+    fn reply_superseded(&mut self, ticket: Ticket, answer: Answer, outcome: WriteOutcome) {
         let retry_after = RETRY_AFTER_HANDOVER;
         let reason = "the shard has another owner".to_owned();
-        let answer = match (landed, answer) {
-            (Landed::Yes, answer) => answer,
-            (Landed::No, Answer::Accepted) => Answer::NotRun { reason, retry_after },
-            (Landed::No | Landed::Unknown, _) => Answer::Unknown { reason },
+        let answer = match (outcome, answer) {
+            (WriteOutcome::Yes, answer) => answer,
+            (WriteOutcome::No, Answer::Accepted) => Answer::NotRun { reason, retry_after },
+            (WriteOutcome::No | WriteOutcome::Unknown, _) => Answer::Unknown { reason },
         };
         self.reply(ticket, answer);
     }
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -13,7 +13,7 @@
 //! fencing token.
 
 use super::Shard;
-use super::event::{Action, FreeRoom, Neighbour, Summary};
+use super::event::{Action, FreeRoom, OtherShard, Summary};
 use super::job_run::{JobRun, Lent, LoanKnown, Occurrence, RecordState, Started, StepRun, Task};
 use super::vm_run::RunKey;
 use crate::job::progress::{Crashes, TaskPhase};
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct Loans {
     /// Latest summaries of other shards, reduced by what was lent to them since.
-    neighbours: IndexMap<Arc<str>, Neighbour>,
+    other_shards: IndexMap<Arc<str>, OtherShard>,
     /// Jobs accepted by this shard that have lent tasks.
     lending: IndexSet<JobId>,
     /// Jobs of other shards with tasks borrowed by this shard.
@@ -131,8 +131,8 @@
 
 impl Loans {
     /// Replaces the summaries of other shards.
-    pub fn know(&mut self, neighbours: Vec<Neighbour>) {
-        self.neighbours = neighbours.into_iter().map(|n| (n.name.clone(), n)).collect();
+    pub fn set_other_shards(&mut self, other_shards: Vec<OtherShard>) {
+        self.other_shards = other_shards.into_iter().map(|n| (n.name.clone(), n)).collect();
     }
 
     /// Sends loan messages at the next opportunity, after a change has become durable.
@@ -141,7 +141,7 @@
     }
 
     fn fence_of(&self, shard: &str) -> Option<Fence> {
-        self.neighbours.get(shard).map(|neighbour| neighbour.fence)
+        self.other_shards.get(shard).map(|other| other.fence)
     }
 
     fn record_ended(&mut self, loan: LoanId, now: Duration) {
@@ -439,14 +439,14 @@
     /// report loans of its successor as unknown.
     fn send_after_commit(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
-            self.log.after_next_commit(Action::Tell { to: to.clone(), fence, msg });
+            self.log.after_next_commit(Action::SendLoanMessage { to: to.clone(), fence, msg });
         }
     }
 
     /// Sends a message to a shard's current owner, if it is known.
     fn send_message(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
-            self.out.push(Action::Tell { to: to.clone(), fence, msg });
+            self.out.push(Action::SendLoanMessage { to: to.clone(), fence, msg });
         }
     }
 
@@ -454,14 +454,14 @@
     /// summary.
     pub(super) fn fits_elsewhere(&self, job: JobId, step: &Step) -> bool {
         let Some(job) = self.jobs.get(&job) else { return false };
-        let mut others = self.loans.neighbours.values();
+        let mut others = self.loans.other_shards.values();
         others.any(|other| fitting_rooms(&other.summary, step, &job.job.service) > 0.0)
     }
 
     /// Lends waiting tasks that do not fit in this shard to shards with room.
     pub(super) fn lend(&mut self, waiting: &[TaskRef]) {
         let now = self.now.steady;
-        if self.loans.neighbours.is_empty() {
+        if self.loans.other_shards.is_empty() {
             return;
         }
         let mut lent: IndexMap<(JobId, Arc<str>), usize> = IndexMap::new();
@@ -509,11 +509,11 @@
             Share::Reserved => fitting_rooms(summary, &step, &service),
             Share::Leftover => leftover_milli_cores(summary, &step, &image),
         };
-        let neighbours = self.loans.neighbours.values();
-        let best = neighbours.map(|neighbour| (&neighbour.name, fits(&neighbour.summary)));
+        let other_shards = self.loans.other_shards.values();
+        let best = other_shards.map(|other| (&other.name, fits(&other.summary)));
         let (name, _) = best.filter(|(_, room)| *room > 0.0).max_by(|a, b| a.1.total_cmp(&b.1))?;
         let name = name.clone();
-        let summary = Arc::make_mut(&mut self.loans.neighbours.get_mut(&name)?.summary);
+        let summary = Arc::make_mut(&mut self.loans.other_shards.get_mut(&name)?.summary);
         subtract_lent(summary, &step, &image);
         Some(name)
     }
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -38,7 +38,7 @@
             let (forget, wait) = (vm.ends.forget(), vm.look_wait());
             vm.contact.looking = Looking::Yes;
             let req = LookReq { fence, forget, keep_until, wait };
-            self.out.push(Action::Look { vm: vm.addr(), req });
+            self.out.push(Action::Poll { vm: vm.addr(), req });
         }
     }
 
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -194,8 +194,8 @@
     }
 
     /// Sets the maximum number of concurrent requests.
-    pub(super) fn set_askers(&mut self, askers: u32) {
-        self.questions.max_in_flight = askers.max(1);
+    pub(super) fn set_max_permit_requests(&mut self, max_requests: u32) {
+        self.questions.max_in_flight = max_requests.max(1);
     }
 
     fn request_permits(&mut self, group: &[TaskRef], times: PermitTimes, rooms: &[Room]) {
@@ -223,7 +223,7 @@
             run.permits.request = RequestState::InFlight;
         }
         self.questions.in_flight += 1;
-        self.out.push(Action::Ask(PermitReq { step, vms, timeout }));
+        self.out.push(Action::RequestPermits(PermitReq { step, vms, timeout }));
     }
 
     /// Selects the VMs for a request, those with room first, until the expected room is enough for
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use super::event::FreeRoom;
-use super::event::{Summary, Urge};
+use super::event::{AdmissionMode, Summary};
 use super::job_run::{Started, Task};
 use super::place::{LASTING_LIMIT, LASTING_SHARE};
 use super::room::{Room, Trial};
@@ -70,13 +70,13 @@
     /// Returns whether the shard refuses a job that would raise the CPU reserved by its
     /// long-running tasks to `lasting` milli-cores.
     ///
-    /// With [`Urge::Always`], the first such job of a shard is accepted whatever its size, since it
-    /// may be larger than the limit of every shard.
-    pub fn is_full_with(&self, lasting: f64, urge: Urge) -> bool {
+    /// With [`AdmissionMode::Always`], the first such job of a shard is accepted whatever its size,
+    /// since it may be larger than the limit of every shard.
+    pub fn is_full_with(&self, lasting: f64, mode: AdmissionMode) -> bool {
         let capacity = self.capacity as f64;
-        match urge {
-            Urge::IfRoom => lasting > capacity * LASTING_SHARE,
-            Urge::Always => self.lasting > 0 && lasting > capacity * LASTING_LIMIT,
+        match mode {
+            AdmissionMode::IfRoom => lasting > capacity * LASTING_SHARE,
+            AdmissionMode::Always => self.lasting > 0 && lasting > capacity * LASTING_LIMIT,
         }
     }
 }
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -21,7 +21,7 @@
 };
 use waxwingstall::permit::{self, PermitPort, PermitReq, PermitResp};
 use waxwingstall::queues::Queues;
-use waxwingstall::shard::{Announcements, Previous};
+use waxwingstall::shard::{FleetListStatus, Previous};
 use waxwingstall::units::Resources;
 use waxwingstall::upkeep::{self, Machine, MachinePort, UpkeepReq, WaveState};
 use waxwingstall::vm::{
@@ -308,8 +308,8 @@
             }
             _ => {}
         }
-        let Stored::Fleet { vms, announcements, at: asked } = msg else { return };
-        if announcements == Announcements::Unread {
+        let Stored::Fleet { vms, list_status, at: asked } = msg else { return };
+        if list_status == FleetListStatus::Unread {
             return;
         }
         let leaves = |vm: &&VmEntry| matches!(vm.state, VmState::Leaving { .. });
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -17,8 +17,8 @@
 use waxwingstall::permit::{self, PermitReq};
 use waxwingstall::queues::{PermitTimes, Queue, Queues};
 use waxwingstall::shard::{
-    Action, Announcements, Answer, CommitResult, Event, Keys, Landed, Lapse, Neighbour, Now,
-    Previous, Recovered, Settings, Shard, ToldLapse, Urge, VacateOrder,
+    Action, AdmissionMode, Answer, CommitResult, Event, FleetListStatus, Keys, Lapse, Now,
+    OtherShard, Previous, Recovered, Settings, Shard, ToldLapse, VacateOrder, WriteOutcome,
 };
 use waxwingstall::units::Resources;
 use waxwingstall::vm::{Error as VmError, Fence, VmAddr, VmEntry, VmState};
@@ -185,7 +185,7 @@
     pub fn submit(&mut self, shard: &str, job: Job) -> Ticket {
         let ticket = self.ticket();
         let job = Arc::new(Job { accepted: EPOCH + self.now, ..job });
-        let event = Event::Submit { ticket, job, urge: Urge::Always };
+        let event = Event::Submit { ticket, job, mode: AdmissionMode::Always };
         self.call(shard, event);
         ticket
     }
@@ -236,7 +236,7 @@
     /// Sends the shard's owner the list of VMs, as requested at `asked`.
     pub fn send_vm_list(&mut self, shard: &str, asked: Duration) {
         let vms = self.fleet_of(shard);
-        let event = Event::Fleet { vms, announcements: Announcements::Complete, at: Some(asked) };
+        let event = Event::Fleet { vms, list_status: FleetListStatus::Complete, at: Some(asked) };
         self.call(shard, event);
     }
 
@@ -526,21 +526,22 @@
             return;
         }
         let back = self.now.saturating_sub(self.store_back) < Duration::from_secs(3);
-        let announcements = if back { Announcements::Recovering } else { Announcements::Complete };
+        let list_status =
+            if back { FleetListStatus::Recovering } else { FleetListStatus::Complete };
         let owners: Vec<(u64, Arc<str>)> =
             self.owners.iter().map(|owner| (owner.number, owner.name.clone())).collect();
         for (number, name) in owners {
             let vms = self.fleet_of(&name);
-            self.step(number, Event::Fleet { vms, announcements, at: Some(self.now) });
-            let neighbours = self.neighbours(&name);
-            self.step(number, Event::Neighbours(neighbours));
+            self.step(number, Event::Fleet { vms, list_status, at: Some(self.now) });
+            let other_shards = self.other_shards(&name);
+            self.step(number, Event::OtherShards(other_shards));
         }
     }
 
-    fn neighbours(&self, name: &str) -> Vec<Neighbour> {
+    fn other_shards(&self, name: &str) -> Vec<OtherShard> {
         let others = self.owners.iter().filter(|owner| &*owner.name != name && !owner.unaware);
         others
-            .map(|owner| Neighbour {
+            .map(|owner| OtherShard {
                 name: owner.name.clone(),
                 fence: owner.shard.fence(),
                 summary: Arc::new(owner.shard.summary()),
@@ -571,7 +572,7 @@
             return;
         };
         if owner.paused_until > self.now {
-            if !matches!(event, Event::Tick | Event::Fleet { .. } | Event::Neighbours(_)) {
+            if !matches!(event, Event::Tick | Event::Fleet { .. } | Event::OtherShards(_)) {
                 let after = owner.paused_until - self.now;
                 self.schedule(after, Delivery::Owner { number, event });
             }
@@ -585,16 +586,16 @@
 
     fn perform(&mut self, number: u64, name: &Arc<str>, action: Action) {
         match action {
-            Action::Look { .. }
+            Action::Poll { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => self.send_command(number, action),
-            Action::Ask(req) => self.request_permits(number, &req),
+            Action::RequestPermits(req) => self.request_permits(number, &req),
             Action::Commit { seq, txn } => self.commit(number, seq, txn),
             Action::Reply { ticket, answer } => {
                 self.answers.insert(ticket, answer);
             }
-            Action::Tell { to, fence, msg } => {
+            Action::SendLoanMessage { to, fence, msg } => {
                 if self.traced {
                     println!("{:?} {name}#{number} tells {to} {fence:?} {msg:?}", self.now);
                 }
@@ -697,7 +698,7 @@
             return Err(VmError::NoPermit);
         }
         match action {
-            Action::Look { req, .. } => vm.table.look(now, req).map(VmResponse::Looked),
+            Action::Poll { req, .. } => vm.table.look(now, req).map(VmResponse::Polled),
             Action::Start { req, .. } => vm.table.start(now, req).map(VmResponse::Clock),
             Action::Stop { req, .. } => vm.table.stop(now, req).map(VmResponse::Clock),
             Action::Pace { req, .. } => vm.table.pace(now, req).map(VmResponse::Clock),
@@ -734,7 +735,7 @@
                     CommitResult::JobExists(known.filter_map(|item| id(&item.key)).collect())
                 } else {
                     owner.unaware = true;
-                    CommitResult::Superseded(Landed::No)
+                    CommitResult::Superseded(WriteOutcome::No)
                 }
             }
             Err(e) => panic!("the store refused a commit: {e}"),
@@ -753,7 +754,7 @@
 }
 
 enum VmResponse {
-    Looked(waxwingstall::vm::LookResp),
+    Polled(waxwingstall::vm::LookResp),
     Clock(waxwingstall::vm::VmTime),
 }
 
@@ -761,16 +762,16 @@
     let clock = |result: Result<VmResponse, VmError>| {
         result.map(|answer| match answer {
             VmResponse::Clock(clock) => clock,
-            VmResponse::Looked(looked) => looked.clock,
+            VmResponse::Polled(looked) => looked.clock,
         })
     };
     match action {
-        Action::Look { vm, .. } => {
+        Action::Poll { vm, .. } => {
             let result = result.map(|answer| match answer {
-                VmResponse::Looked(looked) => looked,
+                VmResponse::Polled(looked) => looked,
                 VmResponse::Clock(_) => unreachable!("a poll gets the response to a poll"),
             });
-            Event::Looked { vm: vm.id, sent, result }
+            Event::Polled { vm: vm.id, sent, result }
         }
         Action::Start { vm, req } => {
             Event::Started { vm: vm.id, task: req.task, run: req.run, result: clock(result) }
@@ -791,7 +792,7 @@
 
 fn poll_wait(action: &Action) -> Duration {
     // A poll is evaluated at once and answered late, so its result is slightly out of date.
-    if let Action::Look { req, .. } = action {
+    if let Action::Poll { req, .. } = action {
         req.wait.min(Duration::from_millis(80))
     } else {
         Duration::ZERO
@@ -800,7 +801,7 @@
 
 fn addr_of(action: &Action) -> VmAddr {
     match action {
-        Action::Look { vm, .. }
+        Action::Poll { vm, .. }
         | Action::Start { vm, .. }
         | Action::Stop { vm, .. }
         | Action::Pace { vm, .. } => vm.clone(),
