--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -349,7 +349,7 @@
         let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
-            vacated: hosted.shard.vacated(),
+            vacated: hosted.shard.drained_vms(),
         };
         let shards = self.hosted.iter().map(to_own_shard).collect();
         self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
@@ -362,7 +362,7 @@
             match action {
                 upkeep::duty::Action::Note(note) => self.journal.write(note),
                 upkeep::duty::Action::Vacate { shard, order } => {
-                    self.step_shard(&shard, Event::Vacate(order), cx);
+                    self.step_shard(&shard, Event::Drain(order), cx);
                 }
                 other => {
                     if let Some(rings) = &self.rings {
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -39,8 +39,8 @@
 mod waiting;
 
 pub use event::{
-    Action, AdmissionMode, Answer, CommitResult, Event, FleetListStatus, Now, OtherShard, Summary,
-    VacateOrder, WriteOutcome,
+    Action, AdmissionMode, Answer, CommitResult, DrainOrder, Event, FleetListStatus, Now,
+    OtherShard, Summary, WriteOutcome,
 };
 pub use log::Keys;
 pub use recover::{Lapse, Previous, Recovered};
@@ -74,7 +74,7 @@
     effects: interference::Effects,
     loans: loan::Loans,
     questions: permits::Questions,
-    vacating: vacate::Vacating,
+    maintenance_drain: vacate::MaintenanceDrain,
     crash_log: crash::CrashLog,
     kept: compact::Kept,
     list: fleet::List,
@@ -154,7 +154,7 @@
             Event::Show { ticket, job } => self.show(ticket, job),
             Event::Interference { from, learned } => self.effects.merge(&from, &learned),
             Event::OtherShards(other_shards) => self.loans.set_other_shards(other_shards),
-            Event::Vacate(order) => self.vacate(order),
+            Event::Drain(order) => self.set_draining_vms(order),
             Event::PermitConcurrency(max_requests) => self.set_max_permit_requests(max_requests),
             Event::Message { from, to, msg } => {
                 // The message is for another owner, which may have answered it and settled the
@@ -176,8 +176,8 @@
         self.begin_due();
         self.remove_expired_runs();
         if self.stage == Stage::Serving {
-            self.empty_leaving();
-            self.empty_vacating();
+            self.stop_runs_on_leaving_vms();
+            self.stop_runs_on_draining_vms();
             if self.knows_who_leaves() && self.has_queues() {
                 self.schedule();
             }
--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -186,7 +186,7 @@
         let free = |room: &&Room| {
             room.service == *service
                 && room.trial == Trial::No
-                && !room.closes
+                && !room.drains_soon
                 && room.suspects == 0
                 && !self.kept.has(&room.vm)
         };
--- a/src/shard/drain.rs
+++ b/src/shard/drain.rs
@@ -23,7 +23,7 @@
 
 impl Shard {
     /// Stops runs on leaving VMs that would not end in time.
-    pub(super) fn empty_leaving(&mut self) {
+    pub(super) fn stop_runs_on_leaving_vms(&mut self) {
         let now = self.now.steady;
         let leaving: Vec<VmId> = self
             .vms
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -58,7 +58,7 @@
     /// Last known state of the other shards.
     OtherShards(Vec<OtherShard>),
     /// VMs to drain now, and VMs to drain later.
-    Vacate(VacateOrder),
+    Drain(DrainOrder),
     /// Maximum number of concurrent permit requests.
     PermitConcurrency(u32),
     /// A message about a loan from another shard's owner.
@@ -81,13 +81,13 @@
 
 /// VMs to drain because their machines go down for maintenance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct VacateOrder {
+pub struct DrainOrder {
     /// VMs to drain immediately.
     pub vms: Vec<VmId>,
     /// VMs to drain in a later wave.
-    pub later: Vec<VmId>,
+    pub upcoming: Vec<VmId>,
     /// How long tasks that can't be resumed may run on before they are stopped.
-    pub patience: Duration,
+    pub finish_timeout: Duration,
 }
 
 /// Whether to accept a job even if other shards have more room for it.
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -48,9 +48,9 @@
 const MIXED_IMAGES_COST: f64 = 3.0;
 const FIRST_SERVING_TASK_COST: f64 = 0.8;
 
-/// Cost of placing a lasting task on a VM that must be vacated soon; exceeds any cost of mixing
+/// Cost of placing a lasting task on a VM that must be drained soon; exceeds any cost of mixing
 /// images.
-const VACATES_SOON_COST: f64 = 10.0;
+const DRAINS_SOON_COST: f64 = 10.0;
 
 /// Cost of placing leftover work on a VM without serving tasks, which is kept for work that is slow
 /// everywhere else. It exceeds the spare cores of any VM but is less than half of the weight of a
@@ -391,8 +391,8 @@
     let mixed = others as f64 / (same + others + 1) as f64;
     let opened = if same + others == 0 { FIRST_SERVING_TASK_COST } else { 0.0 };
     let share = room.lasting_share_with(step);
-    let closes = if room.closes { VACATES_SOON_COST } else { 0.0 };
-    MIXED_IMAGES_COST * mixed + opened + share + closes
+    let drains_soon = if room.drains_soon { DRAINS_SOON_COST } else { 0.0 };
+    MIXED_IMAGES_COST * mixed + opened + share + drains_soon
 }
 
 /// Computes the cost of a lasting task when the shard is crowded. The task goes where the least
@@ -401,8 +401,8 @@
 fn crowded_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
-    let closes = if room.closes { VACATES_SOON_COST } else { 0.0 };
-    closes + room.share_left_with(step) + SAME_STEP_COST * mixed
+    let drains_soon = if room.drains_soon { DRAINS_SOON_COST } else { 0.0 };
+    drains_soon + room.share_left_with(step) + SAME_STEP_COST * mixed
 }
 
 /// Holds the VM where a lasting task can fit soonest, so that finite tasks aren't placed there. The
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -90,7 +90,7 @@
             log: Log::new(keys, recovered.seq, SilenceRecord::new(recovered.silent)),
             loans: super::loan::Loans::default(),
             questions: super::permits::Questions::default(),
-            vacating: super::vacate::Vacating::default(),
+            maintenance_drain: super::vacate::MaintenanceDrain::default(),
             crash_log: super::crash::CrashLog::default(),
             kept: super::compact::Kept::default(),
             effects: super::interference::Effects::default(),
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -42,8 +42,8 @@
     pub is_overloaded: bool,
     /// Number of tasks on the VM that are suspected of crashing their VM.
     pub suspects: usize,
-    /// Whether the VM must be vacated soon.
-    pub closes: bool,
+    /// Whether the VM must be drained soon.
+    pub drains_soon: bool,
     /// Serving tasks on the VM.
     pub served: Vec<ServingTask>,
     /// Processors reserved for lasting tasks, as a share of the VM's processors.
@@ -93,13 +93,13 @@
 impl Shard {
     /// Returns the room on a VM, or `None` if it accepts no work at the moment.
     pub(super) fn room(&self, vm: &Vm) -> Option<Room> {
-        if self.vacating.has(&vm.id) {
+        if self.maintenance_drain.is_draining(&vm.id) {
             return None;
         }
         let mut room = Room::of(vm, self.now.steady)?;
         let now = self.now.steady;
         room.is_kept = self.kept.has(&vm.id);
-        room.closes = self.vacating.comes(&vm.id);
+        room.drains_soon = self.maintenance_drain.is_drain_scheduled(&vm.id);
         room.is_overloaded =
             vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
         let mut lasting = 0.0;
@@ -197,7 +197,7 @@
             is_kept: false,
             is_overloaded: false,
             suspects: 0,
-            closes: false,
+            drains_soon: false,
             served: Vec::new(),
             lasting: 0.0,
             lasting_tasks: 0,
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -6,7 +6,7 @@
 //! stopped. All others get some time to finish, since stopping them discards their work.
 
 use super::Shard;
-use super::event::VacateOrder;
+use super::event::DrainOrder;
 use super::job_run::{JobRun, StepRun, Task};
 use super::vm_run::{Run, RunKey, Vm};
 use crate::ids::VmId;
@@ -23,69 +23,69 @@
 
 /// VMs that are being drained for maintenance.
 #[derive(Debug, Default)]
-pub struct Vacating {
+pub struct MaintenanceDrain {
     /// VMs that are being drained, with the start time.
     vms: IndexMap<VmId, Duration>,
     /// VMs that are drained later: long-running tasks are not started there.
-    later: IndexSet<VmId>,
+    upcoming: IndexSet<VmId>,
     /// Time that tasks without checkpoints get to finish.
-    patience: Duration,
+    finish_timeout: Duration,
     next_check: Duration,
     next_log: Duration,
 }
 
-impl Vacating {
+impl MaintenanceDrain {
     /// Returns whether a VM is being drained, so that nothing may be placed on it.
-    pub fn has(&self, vm: &VmId) -> bool {
+    pub fn is_draining(&self, vm: &VmId) -> bool {
         self.vms.contains_key(vm)
     }
 
     /// Returns whether a VM is going to be drained soon, so that long-running tasks should avoid
     /// it.
-    pub fn comes(&self, vm: &VmId) -> bool {
-        self.later.contains(vm)
+    pub fn is_drain_scheduled(&self, vm: &VmId) -> bool {
+        self.upcoming.contains(vm)
     }
 }
 
 impl Shard {
     /// Applies an order that names the VMs to drain now and those to drain later.
-    pub(super) fn vacate(&mut self, order: VacateOrder) {
-        let VacateOrder { vms, later, patience } = order;
+    pub(super) fn set_draining_vms(&mut self, order: DrainOrder) {
+        let DrainOrder { vms, upcoming, finish_timeout } = order;
         let now = self.now.steady;
-        let before = std::mem::take(&mut self.vacating);
+        let before = std::mem::take(&mut self.maintenance_drain);
         for vm in vms {
             let since = before.vms.get(&vm).copied();
             if since.is_none() {
                 let runs = self.vms.get(&vm).map_or(0, |vm| vm.runs.len());
                 self.note(Note::VmVacating { vm: vm.clone(), runs, outcome: "begun" });
             }
-            self.vacating.vms.insert(vm, since.unwrap_or(now));
+            self.maintenance_drain.vms.insert(vm, since.unwrap_or(now));
         }
-        self.vacating.next_check = before.next_check;
-        self.vacating.next_log = before.next_log;
-        self.vacating.later = later.into_iter().collect();
-        self.vacating.patience = patience;
+        self.maintenance_drain.next_check = before.next_check;
+        self.maintenance_drain.next_log = before.next_log;
+        self.maintenance_drain.upcoming = upcoming.into_iter().collect();
+        self.maintenance_drain.finish_timeout = finish_timeout;
         self.replan();
     }
 
     /// Returns the VMs that have been drained: they respond and have no runs.
-    pub fn vacated(&self) -> Vec<VmId> {
+    pub fn drained_vms(&self) -> Vec<VmId> {
         let now = self.now.steady;
         let is_empty = |vm: &&Vm| vm.runs.is_empty() && vm.is_heard(now);
-        let vms = self.vacating.vms.keys().filter_map(|id| self.vms.get(id));
+        let vms = self.maintenance_drain.vms.keys().filter_map(|id| self.vms.get(id));
         vms.filter(is_empty).map(|vm| vm.id.clone()).collect()
     }
 
     /// Stops the runs on draining VMs that may be stopped now.
-    pub(super) fn empty_vacating(&mut self) {
+    pub(super) fn stop_runs_on_draining_vms(&mut self) {
         let now = self.now.steady;
-        if self.vacating.vms.is_empty() || now < self.vacating.next_check {
+        if self.maintenance_drain.vms.is_empty() || now < self.maintenance_drain.next_check {
             return;
         }
-        self.vacating.next_check = now + CHECK_INTERVAL;
-        let vacating: Vec<(VmId, Duration)> =
-            self.vacating.vms.iter().map(|(vm, since)| (vm.clone(), *since)).collect();
-        for (vm, since) in vacating {
+        self.maintenance_drain.next_check = now + CHECK_INTERVAL;
+        let draining: Vec<(VmId, Duration)> =
+            self.maintenance_drain.vms.iter().map(|(vm, since)| (vm.clone(), *since)).collect();
+        for (vm, since) in draining {
             for key in self.runs_on(&vm) {
                 // Each stop reduces the number of further tasks of the step that may be stopped.
                 match self.stop_blocker(&vm, key, since) {
@@ -98,8 +98,8 @@
 
     fn log_blocked_stop(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let now = self.now.steady;
-        if now >= self.vacating.next_log {
-            self.vacating.next_log = now + LOG_INTERVAL;
+        if now >= self.maintenance_drain.next_log {
+            self.maintenance_drain.next_log = now + LOG_INTERVAL;
             self.note(Note::VacateWaits { vm: vm.clone(), task: key.task, reason });
         }
     }
@@ -127,7 +127,8 @@
                 Some("no other VM has room for it")
             }
             (Life::Finite, Resume::FromStart)
-                if now.saturating_sub(since) < self.vacating.patience || ends_soon(run, now) =>
+                if now.saturating_sub(since) < self.maintenance_drain.finish_timeout
+                    || ends_soon(run, now) =>
             {
                 Some("it may finish on its own")
             }
@@ -165,7 +166,7 @@
         self.vms.values().any(|vm| {
             vm.entry.service == job.job.service
                 && vm.takes_work(now)
-                && !self.vacating.has(&vm.id)
+                && !self.maintenance_drain.is_draining(&vm.id)
                 && step.reserved().fits_in(&vm.free())
                 && self.has_label(&vm.id, step)
         })
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -8,7 +8,7 @@
 use crate::ids::VmId;
 use crate::kv::Rev;
 use crate::note::{Ms, Note};
-use crate::shard::VacateOrder;
+use crate::shard::DrainOrder;
 use crate::vm::Fence;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -91,7 +91,7 @@
     /// Empties VMs of a shard.
     Vacate {
         shard: String,
-        order: VacateOrder,
+        order: DrainOrder,
     },
     Note(Note),
 }
@@ -139,7 +139,7 @@
     listing: bool,
     next_list: Duration,
     /// What shards' present owners were last told to empty.
-    told: IndexMap<(String, Fence), VacateOrder>,
+    told: IndexMap<(String, Fence), DrainOrder>,
     out: Vec<Action>,
 }
 
@@ -258,7 +258,7 @@
     }
 
     fn tick(&mut self, shards: &[OwnShard]) {
-        let mut vacate: IndexMap<String, VacateOrder> = IndexMap::new();
+        let mut vacate: IndexMap<String, DrainOrder> = IndexMap::new();
         if self.has_open() && !shards.is_empty() {
             self.read();
             let numbers: Vec<u64> = self.waves.keys().copied().collect();
@@ -293,7 +293,7 @@
         &mut self,
         number: u64,
         shards: &[OwnShard],
-        vacate: &mut IndexMap<String, VacateOrder>,
+        vacate: &mut IndexMap<String, DrainOrder>,
     ) -> Known {
         let now = self.now;
         let is_fresh = |at: Duration| now.saturating_sub(at) < FRESH;
@@ -321,7 +321,7 @@
     }
 
     /// Tells shards what to empty, as far as that has changed.
-    fn tell_vacate(&mut self, shards: &[OwnShard], mut vacate: IndexMap<String, VacateOrder>) {
+    fn tell_vacate(&mut self, shards: &[OwnShard], mut vacate: IndexMap<String, DrainOrder>) {
         self.told.retain(|(name, fence), _| {
             shards.iter().any(|shard| shard.name == *name && shard.fence == *fence)
         });
@@ -456,7 +456,7 @@
         mine: &Mine<'_>,
         record: &Record,
         now: Duration,
-        vacate: &mut IndexMap<String, VacateOrder>,
+        vacate: &mut IndexMap<String, DrainOrder>,
     ) {
         let time_left = (self.since + self.wave.within).saturating_sub(now);
         let mut open: IndexMap<&str, Vec<(&MachineId, &Machine)>> = IndexMap::new();
@@ -473,7 +473,7 @@
         for (shard, machines) in open {
             let order = vacate.entry(shard.to_owned()).or_default();
             let mut ahead = self.ahead(machines.len(), time_left);
-            order.patience = patience(machines.len(), ahead, time_left);
+            order.finish_timeout = patience(machines.len(), ahead, time_left);
             for (id, machine) in machines {
                 let Some(vm) = machine.vm.clone() else { continue };
                 let is_next = ahead > 0 && machine.state == MachineState::Up;
@@ -483,7 +483,7 @@
                     ahead -= 1;
                     order.vms.push(vm);
                 } else {
-                    order.later.push(vm);
+                    order.upcoming.push(vm);
                 }
             }
         }
--- a/tests/shards/vacate.rs
+++ b/tests/shards/vacate.rs
@@ -37,11 +37,11 @@
     world.run_for(seconds(2));
     let there = world.runs_on(0);
     assert!((1..4).contains(&there), "{there} tasks are on the first VM");
-    world.vacate(SHARD, 0, Duration::ZERO);
+    world.drain_vm(SHARD, 0, Duration::ZERO);
     world.run_for(seconds(6));
     assert_eq!(world.runs_on(0), 0);
     assert_eq!(world.runs_on(1), 4);
-    assert_eq!(world.vacated(SHARD), [world.vms[0].entry.id.clone()]);
+    assert_eq!(world.drained_vms(SHARD), [world.vms[0].entry.id.clone()]);
     check(&mut world, &known(&[job]), SIZE);
     assert_apart(&world, there);
 }
@@ -66,7 +66,7 @@
 }
 
 // Two jobs run on a VM that is drained. The resumable one must stop at once; the other must be
-// allowed to finish within the patience of the order. Neither may run twice, and no new task may
+// allowed to finish within the timeout of the order. Neither may run twice, and no new task may
 // start on the VM.
 #[test]
 fn a_drained_vm_lets_unresumable_tasks_finish() {
@@ -77,7 +77,7 @@
     world.submit(SHARD, resumable.clone());
     world.submit(SHARD, fixed.clone());
     world.run_for(Duration::from_millis(500));
-    world.vacate(SHARD, 0, seconds(3));
+    world.drain_vm(SHARD, 0, seconds(3));
     world.submit(SHARD, chain(3, 1, 1, work(200, 1)));
     world.run_for(seconds(2));
     assert_eq!(world.runs_on(0), 0);
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -17,8 +17,8 @@
 use waxwingstall::permit::{self, PermitReq};
 use waxwingstall::queues::{PermitTimes, Queue, Queues};
 use waxwingstall::shard::{
-    Action, AdmissionMode, Answer, CommitResult, Event, FleetListStatus, Keys, Lapse, Now,
-    OtherShard, Previous, Recovered, Settings, Shard, ToldLapse, VacateOrder, WriteOutcome,
+    Action, AdmissionMode, Answer, CommitResult, DrainOrder, Event, FleetListStatus, Keys, Lapse,
+    Now, OtherShard, Previous, Recovered, Settings, Shard, ToldLapse, WriteOutcome,
 };
 use waxwingstall::units::Resources;
 use waxwingstall::vm::{Error as VmError, Fence, VmAddr, VmEntry, VmState};
@@ -334,16 +334,16 @@
     }
 
     /// Orders a shard to drain a VM.
-    pub fn vacate(&mut self, shard: &str, index: usize, patience: Duration) {
+    pub fn drain_vm(&mut self, shard: &str, index: usize, finish_timeout: Duration) {
         let vms = vec![self.vms[index].entry.id.clone()];
-        let order = VacateOrder { vms, later: Vec::new(), patience };
-        self.call(shard, Event::Vacate(order));
+        let order = DrainOrder { vms, upcoming: Vec::new(), finish_timeout };
+        self.call(shard, Event::Drain(order));
     }
 
     /// The VMs that a shard reports as drained.
-    pub fn vacated(&self, shard: &str) -> Vec<VmId> {
+    pub fn drained_vms(&self, shard: &str) -> Vec<VmId> {
         let owner = self.owners.iter().rev().find(|owner| &*owner.name == shard);
-        owner.expect("the shard has an owner").shard.vacated()
+        owner.expect("the shard has an owner").shard.drained_vms()
     }
 
     /// Makes the store unavailable for a while.
