--- a/src/permit.rs
+++ b/src/permit.rs
@@ -14,8 +14,8 @@
 /// Result of a question.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Most VMs that one question may name.
-pub const MAX_ASKED: usize = 100;
+/// Most VMs that one request may name.
+pub const MAX_VMS_PER_REQUEST: usize = 100;
 
 /// Lets tasks of a step start on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitReq {
     pub step: StepRef,
-    /// At most [`MAX_ASKED`].
+    /// At most [`MAX_VMS_PER_REQUEST`].
     pub vms: Vec<VmId>,
     /// Time for the answer.
     pub timeout: Duration,
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -42,8 +42,8 @@
 /// Times of the service that permits steps on VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitTimes {
-    /// For a question, and for each VM that it names.
-    pub question: Duration,
+    /// For a request, and for each VM that it names.
+    pub base_time: Duration,
     pub each_vm: Duration,
     /// How long a permit is valid.
     pub valid: Duration,
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -73,7 +73,7 @@
     log: Log,
     effects: interference::Effects,
     loans: loan::Loans,
-    questions: permits::Questions,
+    permit_requests: permits::PermitRequests,
     maintenance_drain: vacate::MaintenanceDrain,
     crash_log: crash::CrashLog,
     kept: compact::Kept,
@@ -146,7 +146,7 @@
                 self.pace_answered(&vm, task, run, percent, &result);
             }
             Event::Permitted { step, vms, sent, result } => {
-                self.permitted(step, &vms, sent, result);
+                self.handle_permit_response(step, &vms, sent, result);
             }
             Event::Committed { seq, result } => self.committed(seq, result),
             Event::Submit { ticket, job, mode } => self.submit(ticket, job, mode),
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -62,7 +62,7 @@
         if vm.is_over() {
             return self.give_up(id, key, "the VM no longer has room for the task");
         }
-        let permit = match self.permits_of(key.task).map(|permits| permits.valid(id, now)) {
+        let permit = match self.permits_of(key.task).map(|permits| permits.valid_permit(id, now)) {
             None => None,
             Some(Some(permit)) => Some(permit.clone()),
             Some(None) => return self.give_up(id, key, "the permit has expired"),
@@ -144,7 +144,7 @@
             Err(vm::Error::NoPermit) => {
                 let step = self.jobs.get_mut(&task.job).and_then(|job| job.step_run_mut(task));
                 if let Some(step) = step {
-                    step.permits.lapse(id);
+                    step.permits.mark_expired(id);
                 }
                 self.give_up(id, key, "the VM rejected the permit");
             }
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -15,7 +15,7 @@
 use crate::ids::VmId;
 use crate::job::{QueueName, Step, StepRef, TaskRef};
 use crate::note::{Ms, Note};
-use crate::permit::{Error, MAX_ASKED, Permit, PermitReq, PermitResp, Result};
+use crate::permit::{Error, MAX_VMS_PER_REQUEST, Permit, PermitReq, PermitResp, Result};
 use crate::queues::PermitTimes;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -86,7 +86,7 @@
 
 /// Permit requests of a shard and the grant rates seen so far.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct PermitRequests {
     in_flight: u32,
     /// Maximum number of concurrent requests; zero counts as one.
     max_in_flight: u32,
@@ -102,7 +102,7 @@
 
 impl StepPermits {
     /// Returns the permit for a VM if it will still be valid when a start request arrives there.
-    pub fn valid(&self, vm: &VmId, now: Duration) -> Option<&Permit> {
+    pub fn valid_permit(&self, vm: &VmId, now: Duration) -> Option<&Permit> {
         match self.verdicts.get(vm)? {
             Verdict::Permitted { permit, until } if now + PERMIT_EXPIRY_MARGIN < *until => {
                 Some(permit)
@@ -112,7 +112,7 @@
     }
 
     /// Marks a permit as expired after its VM refused it.
-    pub fn lapse(&mut self, vm: &VmId) {
+    pub fn mark_expired(&mut self, vm: &VmId) {
         if let Some(Verdict::Permitted { until, .. }) = self.verdicts.get_mut(vm) {
             *until = Duration::ZERO;
         }
@@ -158,14 +158,14 @@
     }
 
     /// Requests permits for the most urgent steps with tasks that fit on no permitted VM.
-    pub(super) fn ask_permits(&mut self, candidates: &[Candidate], rooms: &[Room]) {
+    pub(super) fn request_missing_permits(&mut self, candidates: &[Candidate], rooms: &[Room]) {
         for candidate in candidates {
             let Some(times) = self.jobs.get(&candidate.id).and_then(|job| self.queue(job)?.permits)
             else {
                 continue;
             };
             for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
-                if !self.questions.may_send_request() {
+                if !self.permit_requests.may_send_request() {
                     return;
                 }
                 self.request_permits(group, times, rooms);
@@ -186,7 +186,7 @@
             })
             .collect();
         for (group, times) in next {
-            if !self.questions.may_send_request() {
+            if !self.permit_requests.may_send_request() {
                 return;
             }
             self.request_permits(&group, times, rooms);
@@ -195,7 +195,7 @@
 
     /// Sets the maximum number of concurrent requests.
     pub(super) fn set_max_permit_requests(&mut self, max_requests: u32) {
-        self.questions.max_in_flight = max_requests.max(1);
+        self.permit_requests.max_in_flight = max_requests.max(1);
     }
 
     fn request_permits(&mut self, group: &[TaskRef], times: PermitTimes, rooms: &[Room]) {
@@ -207,22 +207,23 @@
         if waiting == 0 || !run.permits.may_be_requested(now) {
             return;
         }
-        let grant_rate = self.questions.grant_rate(&job.job.queue);
-        let affordable = times.question.as_micros() / times.each_vm.as_micros().max(1);
-        let extra = usize::try_from(affordable).unwrap_or(MAX_ASKED) / EXTRA_TIME_DIVISOR as usize;
-        let min_vms = extra.clamp(MIN_VMS_PER_REQUEST, MAX_ASKED);
+        let grant_rate = self.permit_requests.grant_rate(&job.job.queue);
+        let affordable = times.base_time.as_micros() / times.each_vm.as_micros().max(1);
+        let extra = usize::try_from(affordable).unwrap_or(MAX_VMS_PER_REQUEST)
+            / EXTRA_TIME_DIVISOR as usize;
+        let min_vms = extra.clamp(MIN_VMS_PER_REQUEST, MAX_VMS_PER_REQUEST);
         let wanted = VmSelection { tasks: waiting, grant_rate, min_vms };
         let vms = self.select_vms(step, &run.permits, &wanted, rooms, &job.job.service);
         if vms.is_empty() {
             return;
         }
         let step = group[0].of_step();
-        let time = times.question + times.each_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
+        let time = times.base_time + times.each_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
         let timeout = time * TIMEOUT_FACTOR + TIMEOUT_MARGIN;
         if let Some(run) = self.step_run_mut(step) {
             run.permits.request = RequestState::InFlight;
         }
-        self.questions.in_flight += 1;
+        self.permit_requests.in_flight += 1;
         self.out.push(Action::RequestPermits(PermitReq { step, vms, timeout }));
     }
 
@@ -241,7 +242,7 @@
             room.service == *service
                 && self.has_label(&room.vm, step)
                 && !permits.is_denied(&room.vm)
-                && permits.valid(&room.vm, now).is_none()
+                && permits.valid_permit(&room.vm, now).is_none()
         };
         let mut open: Vec<(usize, &Room)> =
             rooms.iter().filter(fits).map(|room| (room.fitting(step), room)).collect();
@@ -257,7 +258,7 @@
         let mut vms = Vec::new();
         for (fitting, room) in open {
             let enough = expected >= wanted.tasks as f64 && vms.len() >= wanted.min_vms;
-            if enough || vms.len() >= MAX_ASKED {
+            if enough || vms.len() >= MAX_VMS_PER_REQUEST {
                 break;
             }
             let probability = if permits.has_verdict(&room.vm) { 1.0 } else { wanted.grant_rate };
@@ -268,7 +269,7 @@
         if expected > 0.0 { vms } else { Vec::new() }
     }
 
-    pub(super) fn permitted(
+    pub(super) fn handle_permit_response(
         &mut self,
         step: StepRef,
         vms: &[VmId],
@@ -276,7 +277,7 @@
         result: Result<PermitResp>,
     ) {
         let now = self.now.steady;
-        self.questions.in_flight = self.questions.in_flight.saturating_sub(1);
+        self.permit_requests.in_flight = self.permit_requests.in_flight.saturating_sub(1);
         self.replan();
         let queue = self.jobs.get(&step.job).map(|job| job.job.queue.clone());
         let Some(run) = self.step_run_mut(step) else { return };
@@ -297,7 +298,7 @@
             run.permits.verdicts.insert(vm, Verdict::Permitted { permit, until });
         }
         if let Some(queue) = queue {
-            self.questions.record_verdicts(queue, vms.len(), permitted);
+            self.permit_requests.record_verdicts(queue, vms.len(), permitted);
         }
         let took_ms = Ms(now.saturating_sub(sent));
         let (job, step, asked) = (step.job, step.step, vms.len());
@@ -336,7 +337,7 @@
     next
 }
 
-impl Questions {
+impl PermitRequests {
     fn may_send_request(&self) -> bool {
         self.in_flight < self.max_in_flight.max(1)
     }
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -169,7 +169,7 @@
             self.place_job(candidate, &mut pass);
         }
         self.move_slowed(slowed, &mut pass);
-        self.ask_permits(&candidates, &pass.rooms);
+        self.request_missing_permits(&candidates, &pass.rooms);
         let waits = |task: &&TaskRef| {
             let task = self.jobs.get(&task.job).and_then(|job| job.task(**task));
             task.is_some_and(super::job_run::Task::is_waiting)
@@ -261,7 +261,7 @@
             .enumerate()
             .filter(fits)
             .filter(|(_, room)| self.has_label(&room.vm, step))
-            .filter(|(_, room)| permits.is_none_or(|p| p.valid(&room.vm, now).is_some()))
+            .filter(|(_, room)| permits.is_none_or(|p| p.valid_permit(&room.vm, now).is_some()))
             .filter_map(|(index, room)| {
                 let cost = self.cost(room, step, shape.image, need)?;
                 let cost = cost + penalty(room, key, step, failed_on.as_ref());
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -89,7 +89,7 @@
             gone: IndexSet::new(),
             log: Log::new(keys, recovered.seq, SilenceRecord::new(recovered.silent)),
             loans: super::loan::Loans::default(),
-            questions: super::permits::Questions::default(),
+            permit_requests: super::permits::PermitRequests::default(),
             maintenance_drain: super::vacate::MaintenanceDrain::default(),
             crash_log: super::crash::CrashLog::default(),
             kept: super::compact::Kept::default(),
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -42,7 +42,7 @@
 const CRASH_DOWNTIME: Duration = Duration::from_secs(3);
 /// Response times and permit lifetime of the permit service.
 const PERMIT_TIMES: PermitTimes = PermitTimes {
-    question: Duration::from_millis(20),
+    base_time: Duration::from_millis(20),
     each_vm: Duration::from_millis(2),
     valid: Duration::from_secs(3),
 };
@@ -633,7 +633,7 @@
     fn request_permits(&mut self, number: u64, req: &PermitReq) {
         let (sent, step, vms) = (self.now, req.step, req.vms.clone());
         let named = u32::try_from(vms.len()).expect("a hundred at the most");
-        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.question + PERMIT_TIMES.each_vm * named;
+        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.base_time + PERMIT_TIMES.each_vm * named;
         let result = match self.faults.message_outcome(sent) {
             Outcome::Delivered => {
                 let table = self.permits.as_mut().expect("permits are requested only if required");
