--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -102,7 +102,7 @@
                 self.reply(ticket, Reply::NotOwner);
             }
         }
-        for action in hosted.shard.abandon() {
+        for action in hosted.shard.reply_to_all_on_loss() {
             if let Action::Reply { ticket, answer } = action {
                 self.reply(ticket, Reply::Answer(answer));
             }
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -69,7 +69,7 @@
     closed: IndexMap<JobId, Closed>,
     vms: IndexMap<VmId, Vm>,
     /// VM instances that have ended; later announcements of them are ignored.
-    gone: IndexSet<VmId>,
+    ended_vms: IndexSet<VmId>,
     log: Log,
     effects: interference::Effects,
     loans: loan::Loans,
@@ -77,16 +77,16 @@
     maintenance_drain: vacate::MaintenanceDrain,
     crash_log: crash::CrashLog,
     kept: compact::Kept,
-    list: fleet::List,
+    vm_list: fleet::VmListSource,
     /// Latest time until which VMs that this owner hasn't reached may keep running tasks started by
     /// earlier owners.
-    inherited_until: Duration,
+    inherited_runs_until: Duration,
     stage: Stage,
     now: Now,
     last_schedule: Duration,
     next_schedule: Duration,
     next_report: Duration,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 /// A finished job of which only the final state is kept.
@@ -114,7 +114,7 @@
         self.now = now;
         self.handle(event);
         self.follow_up();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the shard's name.
@@ -136,19 +136,21 @@
         match event {
             Event::Tick => {}
             Event::Queues(queues) => self.configure(queues),
-            Event::Fleet { vms, list_status, at } => self.announced(vms, list_status, at),
-            Event::Polled { vm, sent, result } => self.looked(&vm, sent, result),
+            Event::Fleet { vms, list_status, at } => self.update_vm_list(vms, list_status, at),
+            Event::Polled { vm, sent, result } => self.handle_poll_response(&vm, sent, result),
             Event::Started { vm, task, run, result } => {
-                self.start_answered(&vm, task, run, &result)
+                self.handle_start_response(&vm, task, run, &result)
+            }
+            Event::Stopped { vm, task, run, result } => {
+                self.handle_stop_response(&vm, task, run, &result)
             }
-            Event::Stopped { vm, task, run, result } => self.stop_answered(&vm, task, run, &result),
             Event::Paced { vm, task, run, percent, result } => {
-                self.pace_answered(&vm, task, run, percent, &result);
+                self.handle_pace_response(&vm, task, run, percent, &result);
             }
             Event::Permitted { step, vms, sent, result } => {
                 self.handle_permit_response(step, &vms, sent, result);
             }
-            Event::Committed { seq, result } => self.committed(seq, result),
+            Event::Committed { seq, result } => self.handle_commit_result(seq, result),
             Event::Submit { ticket, job, mode } => self.submit(ticket, job, mode),
             Event::Cancel { ticket, job } => self.cancel(ticket, job),
             Event::Show { ticket, job } => self.show(ticket, job),
@@ -173,17 +175,17 @@
         if self.stage == Stage::HandedOver {
             return;
         }
-        self.begin_due();
+        self.start_due_occurrences();
         self.remove_expired_runs();
         if self.stage == Stage::Serving {
             self.stop_runs_on_leaving_vms();
             self.stop_runs_on_draining_vms();
-            if self.knows_who_leaves() && self.has_queues() {
+            if self.has_recent_vm_list() && self.has_queues() {
                 self.schedule();
             }
             self.tell_loans();
             self.send_orders();
-            self.look();
+            self.poll_due_vms();
         }
         self.expire_closed();
         self.record_silence();
@@ -191,7 +193,7 @@
         self.report();
         if self.stage == Stage::HandingOver && self.log.is_settled() {
             self.stage = Stage::HandedOver;
-            self.out.push(Action::HandedOver);
+            self.actions.push(Action::HandedOver);
         }
     }
 
@@ -217,12 +219,12 @@
     }
 
     fn note(&mut self, note: Note) {
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
     fn commit(&mut self) {
         if let Some((seq, txn)) = self.log.next(&mut self.jobs, self.now.steady) {
-            self.out.push(Action::Commit { seq, txn });
+            self.actions.push(Action::Commit { seq, txn });
         }
     }
 
@@ -243,7 +245,7 @@
         self.next_report = self.now.steady + REPORT_EVERY;
         let tasks = || self.jobs.values().flat_map(JobRun::tasks);
         let summary = self.summary();
-        self.out.push(Action::Note(Note::ShardState {
+        self.actions.push(Action::Note(Note::ShardState {
             shard: self.name.clone(),
             fence: self.fence.0,
             vms: self.vms.len(),
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -174,7 +174,7 @@
     }
 
     /// Handles a VM crash: counts it for the tasks on the VM and fails those that are to blame.
-    pub(super) fn vm_crashed(&mut self, id: &VmId) {
+    pub(super) fn handle_vm_crash(&mut self, id: &VmId) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return };
         if vm.leaving.is_some() || self.maintenance_drain.is_draining(id) {
@@ -229,7 +229,7 @@
     }
 
     /// Resets the crash counts of a task whose run has worked for long enough.
-    pub(super) fn note_worked(&mut self, key: RunKey, worked: Duration) {
+    pub(super) fn reset_crash_counts(&mut self, key: RunKey, worked: Duration) {
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
         let lasting = job.step(key.task).is_some_and(lasts);
         let Some(task) = job.task_mut(key.task) else { return };
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The end of a run as reported by a VM.
-pub(super) struct End {
+pub(super) struct RunEnd {
     pub vm: VmId,
     pub key: RunKey,
     pub how: EndKind,
@@ -22,7 +22,7 @@
 
 impl Shard {
     /// Handles the end of a run that a VM reported.
-    pub(super) fn run_ended(&mut self, end: End) {
+    pub(super) fn handle_run_end(&mut self, end: RunEnd) {
         let run = self.vms.get_mut(&end.vm).and_then(|vm| vm.runs.shift_remove(&end.key));
         let ran = run.and_then(|run| run.running_since);
         let ran_ms = Ms(ran.map_or_else(Default::default, |at| self.now.steady.saturating_sub(at)));
@@ -36,7 +36,7 @@
         });
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.take_effect(Effect::Forget { vm: end.vm, number: end.number });
+            return self.apply_effect(Effect::Forget { vm: end.vm, number: end.number });
         };
         let state = job.state;
         if let Some(known) = job.task_mut(task) {
@@ -98,7 +98,7 @@
         let failed = if step.members.as_one() { whole } else { own };
         let (run, vm_id) = (key.run, vm.clone());
         self.note(Note::TaskFailed { task, run, vm: vm_id, failed, attempts, ran_ms });
-        self.blame(vm, earlier.as_ref(), task);
+        self.record_failure(vm, earlier.as_ref(), task);
         if failed >= attempts && !lasts(&step) {
             self.fail_task(task);
         }
@@ -106,12 +106,12 @@
 
     /// Counts a failure against the health of a VM. If the task failed on another VM before, the
     /// task is the likely cause, and that failure no longer counts against the other VM.
-    pub(super) fn blame(&mut self, vm: &VmId, earlier: Option<&VmId>, task: TaskRef) {
+    pub(super) fn record_failure(&mut self, vm: &VmId, earlier: Option<&VmId>, task: TaskRef) {
         let now = self.now.steady;
         if let Some(other) = earlier.filter(|other| *other != vm)
             && let Some(other) = self.vms.get_mut(other)
         {
-            other.health.excuse(task);
+            other.health.disregard_failure(task);
         }
         let Some(known) = self.vms.get_mut(vm) else { return };
         if !known.health.failed(task, now) {
@@ -144,7 +144,7 @@
 
     /// Updates a job after one of its runs has ended.
     pub(super) fn advance(&mut self, id: JobId) {
-        self.replan();
+        self.request_schedule();
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.is_final() && !job.is_guest() && job.all_succeeded() {
@@ -154,7 +154,7 @@
     }
 
     /// Starts the occurrences of repeated jobs that are due.
-    pub(super) fn begin_due(&mut self) {
+    pub(super) fn start_due_occurrences(&mut self) {
         let now = self.now;
         let mut begun = Vec::new();
         for job in self.jobs.values_mut() {
@@ -168,7 +168,7 @@
             }
         }
         if !begun.is_empty() {
-            self.replan();
+            self.request_schedule();
         }
         begun.into_iter().for_each(|id| self.log.touch(id));
     }
@@ -214,7 +214,7 @@
     }
 
     /// Removes a run that is certain to have ended on its VM, although the end was never reported.
-    pub(super) fn run_gone(&mut self, vm: &VmId, key: RunKey, proof: Word) {
+    pub(super) fn remove_vanished_run(&mut self, vm: &VmId, key: RunKey, proof: Word) {
         let RunKey { task, run } = key;
         let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.worked(key)));
         self.note(Note::TaskGone { task, run, vm: vm.clone(), worked_ms, proof });
@@ -223,7 +223,7 @@
 
     /// Abandons the start of a run: drops the run if no start order can still be carried out by the
     /// VM, and otherwise stops it, which also prevents a delayed start.
-    pub(super) fn give_up(&mut self, vm: &VmId, key: RunKey, reason: Word) {
+    pub(super) fn abandon_start(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let Some(run) = self.vms.get(vm).and_then(|vm| vm.runs.get(&key)) else { return };
         if run.unanswered == Unanswered::No {
             return self.drop_run(vm, key);
@@ -232,7 +232,7 @@
     }
 
     /// Marks a job as started.
-    pub(super) fn note_began(&mut self, id: JobId) {
+    pub(super) fn mark_started(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.started = super::job_run::Started::Yes;
         if job.state == ShownState::Queued {
--- a/src/shard/health.rs
+++ b/src/shard/health.rs
@@ -81,7 +81,7 @@
 
     /// Disregards the failure of a task that failed on another VM as well, since the task is at
     /// fault and not this VM.
-    pub fn excuse(&mut self, task: TaskRef) {
+    pub fn disregard_failure(&mut self, task: TaskRef) {
         self.results.retain(|r| r.succeeded || r.task != task);
     }
 
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -133,16 +133,16 @@
         }
     }
 
-    pub(super) fn committed(&mut self, seq: u64, result: CommitResult) {
+    pub(super) fn handle_commit_result(&mut self, seq: u64, result: CommitResult) {
         let Some(commit) = self.log.answered(seq) else { return };
         match result {
             CommitResult::Durable => {
-                self.out.extend(commit.actions);
+                self.actions.extend(commit.actions);
                 self.log.silence.written();
                 self.loans.hurry(self.now.steady);
                 for part in commit.parts {
-                    self.recorded(part.id, part.state, part.record, seq);
-                    part.effects.into_iter().for_each(|effect| self.take_effect(effect));
+                    self.handle_job_committed(part.id, part.state, part.record, seq);
+                    part.effects.into_iter().for_each(|effect| self.apply_effect(effect));
                 }
             }
             CommitResult::JobExists(known) => {
@@ -163,8 +163,8 @@
     }
 
     /// Replies to all waiting callers, because this owner no longer decides for the shard.
-    pub fn abandon(&mut self) -> Vec<Action> {
-        let parts = self.log.abandon().map(|commit| commit.parts).unwrap_or_default();
+    pub fn reply_to_all_on_loss(&mut self) -> Vec<Action> {
+        let parts = self.log.take_in_flight().map(|commit| commit.parts).unwrap_or_default();
         let sent: IndexSet<JobId> = parts.iter().map(|part| part.id).collect();
         let mut effects = Vec::new();
         for part in parts {
@@ -181,7 +181,7 @@
                 self.reply_superseded(ticket, answer, outcome);
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn reply_superseded(&mut self, ticket: Ticket, answer: Answer, outcome: WriteOutcome) {
@@ -209,7 +209,13 @@
         }
     }
 
-    fn recorded(&mut self, id: JobId, state: ShownState, record: RecordState, seq: u64) {
+    fn handle_job_committed(
+        &mut self,
+        id: JobId,
+        state: ShownState,
+        record: RecordState,
+        seq: u64,
+    ) {
         let now = self.now.steady;
         let Some(aim) = self.jobs.get(&id).map(|job| self.aim(job)) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -238,10 +244,10 @@
         }
     }
 
-    pub(super) fn take_effect(&mut self, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { ticket, answer } => self.reply(ticket, answer),
-            Effect::Start { task, run, vm } => self.start_bound(task, run, &vm),
+            Effect::Start { task, run, vm } => self.mark_start_due(task, run, &vm),
             Effect::Forget { vm, number } => {
                 if let Some(vm) = self.vms.get_mut(&vm) {
                     vm.ends.settle(number);
@@ -267,7 +273,7 @@
     }
 
     pub(super) fn reply(&mut self, ticket: Ticket, answer: Answer) {
-        self.out.push(Action::Reply { ticket, answer });
+        self.actions.push(Action::Reply { ticket, answer });
     }
 }
 
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -312,7 +312,7 @@
         names.retain(|name| job.task(*name).is_some_and(|task| task.loan == loan));
         if changed {
             job.advance(now);
-            self.replan();
+            self.request_schedule();
             self.log.touch(id);
         } else if self.log.is_durable(id) && !names.is_empty() {
             let begun = if job.started == Started::Yes { Begun::Yes } else { Begun::No };
@@ -334,7 +334,7 @@
             }
         }
         if begun == Begun::Yes {
-            self.note_began(id);
+            self.mark_started(id);
         }
     }
 
@@ -370,7 +370,7 @@
                 LoanOutcome::GivenBack => {}
             }
             if began {
-                self.note_began(id);
+                self.mark_started(id);
             }
             self.log.touch(id);
         }
@@ -446,7 +446,7 @@
     /// Sends a message to a shard's current owner, if it is known.
     fn send_message(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
-            self.out.push(Action::SendLoanMessage { to: to.clone(), fence, msg });
+            self.actions.push(Action::SendLoanMessage { to: to.clone(), fence, msg });
         }
     }
 
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -227,7 +227,7 @@
     }
 
     /// Takes the commit in flight without waiting for its answer.
-    pub fn abandon(&mut self) -> Option<InFlight> {
+    pub fn take_in_flight(&mut self) -> Option<InFlight> {
         self.in_flight.take()
     }
 
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use super::event::Action;
-use super::finish::End;
+use super::finish::RunEnd;
 use super::interference::LeftoverNeighbour;
 use super::own_load::OwnLoad;
 use super::settings::{LOOK_RETRY, SILENT_AFTER, UNFORGOTTEN_LOOK};
@@ -21,7 +21,7 @@
 
 impl Shard {
     /// Polls the VMs that are due.
-    pub(super) fn look(&mut self) {
+    pub(super) fn poll_due_vms(&mut self) {
         let (now, keep, fence) = (self.now.steady, self.settings.max_keep, self.fence);
         for vm in self.vms.values_mut() {
             if vm.contact.looking == Looking::Yes || now < vm.contact.next_look {
@@ -38,11 +38,16 @@
             let (forget, wait) = (vm.ends.forget(), vm.look_wait());
             vm.contact.looking = Looking::Yes;
             let req = LookReq { fence, forget, keep_until, wait };
-            self.out.push(Action::Poll { vm: vm.addr(), req });
+            self.actions.push(Action::Poll { vm: vm.addr(), req });
         }
     }
 
-    pub(super) fn looked(&mut self, id: &VmId, sent: Duration, result: vm::Result<LookResp>) {
+    pub(super) fn handle_poll_response(
+        &mut self,
+        id: &VmId,
+        sent: Duration,
+        result: vm::Result<LookResp>,
+    ) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.contact.looking = Looking::No;
@@ -63,9 +68,9 @@
                     self.note(Note::VmKnown { vm: id.clone(), cores, memory_mib });
                 }
                 if met {
-                    self.replan();
+                    self.request_schedule();
                 }
-                self.apply_look_response(id, sent, resp);
+                self.apply_poll_response(id, sent, resp);
                 let configured = self.has_queues();
                 if let Some(vm) = self.vms.get_mut(id) {
                     vm.plan_look(now);
@@ -74,22 +79,22 @@
                     }
                 }
             }
-            Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
+            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
             Err(vm::Error::Fenced) => {
                 vm.contact.next_look = now + LOOK_RETRY;
-                self.fenced(id);
+                self.handle_fenced(id);
             }
-            Err(e) => self.look_failed(id, &e),
+            Err(e) => self.handle_poll_failure(id, &e),
         }
     }
 
-    pub(super) fn fenced(&mut self, id: &VmId) {
+    pub(super) fn handle_fenced(&mut self, id: &VmId) {
         self.note(Note::VmFenced { vm: id.clone(), fence: self.fence.0 });
         self.stage = super::Stage::HandedOver;
-        self.out.push(Action::Fenced);
+        self.actions.push(Action::Fenced);
     }
 
-    fn look_failed(&mut self, id: &VmId, error: &vm::Error) {
+    fn handle_poll_failure(&mut self, id: &VmId, error: &vm::Error) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.contact.failures += 1;
@@ -104,7 +109,7 @@
         }
     }
 
-    fn apply_look_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
+    fn apply_poll_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
         let complete = resp.ended.len() < MAX_LISTED_ENDS;
         let mut seen = IndexSet::new();
         for row in &resp.running {
@@ -171,8 +176,8 @@
         let worked = run.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         run.percent = row.percent;
         run.gauge = row.gauge;
-        self.note_began(row.task.job);
-        self.note_worked(key, worked);
+        self.mark_started(row.task.job);
+        self.reset_crash_counts(key, worked);
         let Some(job) = self.jobs.get_mut(&row.task.job) else { return };
         let over = job.is_final();
         let Some(task) = job.task_mut(row.task) else { return };
@@ -222,7 +227,7 @@
         let (bound, number) = (vm.runs.contains_key(&key), row.number);
         if bound || (row.how == EndKind::Succeeded && known) {
             let (vm, how, checkpoint) = (id.clone(), row.how, row.checkpoint);
-            self.run_ended(End { vm, key, how, checkpoint, number });
+            self.handle_run_end(RunEnd { vm, key, how, checkpoint, number });
         } else {
             vm.ends.settle(number);
         }
@@ -245,7 +250,7 @@
             .collect();
         for (key, absence) in absent {
             match absence {
-                Absence::Proven(proof) => self.run_gone(id, key, proof),
+                Absence::Proven(proof) => self.remove_vanished_run(id, key, proof),
                 Absence::Unexpected => self.stop_run(id, key, "VM does not list the run"),
             }
         }
@@ -269,7 +274,7 @@
         let Some(vm) = self.vms.get(id) else { return };
         let keys: Vec<RunKey> = vm.runs.keys().copied().collect();
         for key in keys {
-            self.run_gone(id, key, proof);
+            self.remove_vanished_run(id, key, proof);
         }
     }
 }
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -11,7 +11,7 @@
 
 impl Shard {
     /// Allows the start to be sent once the binding is durable.
-    pub(super) fn start_bound(&mut self, task: TaskRef, run: RunNumber, vm: &VmId) {
+    pub(super) fn mark_start_due(&mut self, task: TaskRef, run: RunNumber, vm: &VmId) {
         let now = self.now.steady;
         let key = RunKey { task, run };
         if let Some(run) = self.vms.get_mut(vm).and_then(|vm| vm.runs.get_mut(&key))
@@ -26,7 +26,7 @@
     /// store was unavailable while their bindings were being committed.
     pub(super) fn send_orders(&mut self) {
         let now = self.now.steady;
-        let may_start = self.knows_who_leaves();
+        let may_start = self.has_recent_vm_list();
         let mut starts = Vec::new();
         for vm in self.vms.values_mut() {
             let addr = vm.addr();
@@ -39,7 +39,7 @@
                         *send = None;
                         let RunKey { task, run } = *key;
                         let req = RunReq { fence: self.fence, task, run };
-                        self.out.push(Action::Stop { vm: addr.clone(), req });
+                        self.actions.push(Action::Stop { vm: addr.clone(), req });
                     }
                     _ => {}
                 }
@@ -56,16 +56,16 @@
         let wanted = self.jobs.get(&key.task.job).is_some_and(|job| !job.is_final());
         let Some(vm) = self.vms.get_mut(id) else { return };
         if !wanted || vm.leaving.is_some() {
-            return self.give_up(id, key, "the job has ended or the VM is leaving");
+            return self.abandon_start(id, key, "the job has ended or the VM is leaving");
         }
         // The VM may have shrunk since the task was bound: the commit can be delayed by the store.
         if vm.is_over() {
-            return self.give_up(id, key, "the VM no longer has room for the task");
+            return self.abandon_start(id, key, "the VM no longer has room for the task");
         }
         let permit = match self.permits_of(key.task).map(|permits| permits.valid_permit(id, now)) {
             None => None,
             Some(Some(permit)) => Some(permit.clone()),
-            Some(None) => return self.give_up(id, key, "the permit has expired"),
+            Some(None) => return self.abandon_start(id, key, "the permit has expired"),
         };
         // A start extends the deadline of every task on the VM; see `silence`.
         if !self.log.silence.may_extend(id) {
@@ -88,10 +88,10 @@
             resume,
             permit,
         };
-        self.out.push(Action::Start { vm: addr, req });
+        self.actions.push(Action::Start { vm: addr, req });
     }
 
-    pub(super) fn start_answered(
+    pub(super) fn handle_start_response(
         &mut self,
         id: &VmId,
         task: TaskRef,
@@ -106,7 +106,7 @@
         let starting = matches!(known.stage, Stage::Starting { .. });
         if let Err(e) = result {
             let (vm, reason) = (id.clone(), e.to_string());
-            self.out.push(Action::Note(Note::StartFailed { task, run, vm, sends, reason }));
+            self.actions.push(Action::Note(Note::StartFailed { task, run, vm, sends, reason }));
         }
         match result {
             Ok(clock) => {
@@ -116,11 +116,11 @@
                     known.since = now;
                 }
                 vm.read_clock(*clock, now);
-                self.note_began(task.job);
+                self.mark_started(task.job);
                 self.note(Note::TaskStarted { task, run, vm: id.clone(), sends });
             }
-            Err(vm::Error::Fenced) => self.fenced(id),
-            Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
+            Err(vm::Error::Fenced) => self.handle_fenced(id),
+            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
             Err(vm::Error::OldRun) => {
                 // This run or a later one has already ended or been stopped there; the next
                 // status poll tells which.
@@ -138,18 +138,18 @@
                 self.retry_start(id, key, "the VM did not answer");
             }
             Err(vm::Error::Unwell { .. }) => {
-                self.blame(id, None, task);
-                self.give_up(id, key, "the VM refused the start");
+                self.record_failure(id, None, task);
+                self.abandon_start(id, key, "the VM refused the start");
             }
             Err(vm::Error::NoPermit) => {
                 let step = self.jobs.get_mut(&task.job).and_then(|job| job.step_run_mut(task));
                 if let Some(step) = step {
                     step.permits.mark_expired(id);
                 }
-                self.give_up(id, key, "the VM rejected the permit");
+                self.abandon_start(id, key, "the VM rejected the permit");
             }
             Err(vm::Error::NoRoom | vm::Error::Malformed { .. }) => {
-                self.give_up(id, key, "the VM refused the start");
+                self.abandon_start(id, key, "the VM refused the start");
             }
         }
     }
@@ -161,12 +161,12 @@
             return;
         }
         if run.sends >= START_TRIES {
-            return self.give_up(id, key, reason);
+            return self.abandon_start(id, key, reason);
         }
         run.stage = Stage::Starting { next_send: Some(now + START_RETRY) };
     }
 
-    pub(super) fn stop_answered(
+    pub(super) fn handle_stop_response(
         &mut self,
         id: &VmId,
         task: TaskRef,
@@ -183,8 +183,8 @@
                 vm.read_clock(*clock, now);
                 vm.contact.next_look = vm.contact.next_look.min(now);
             }
-            Err(vm::Error::Fenced) => self.fenced(id),
-            Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
+            Err(vm::Error::Fenced) => self.handle_fenced(id),
+            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
             Err(_) => {
                 let next_send = Some(now + STOP_RETRY);
                 known.stage = Stage::Stopping { next_send, answered: None };
@@ -192,7 +192,7 @@
         }
     }
 
-    pub(super) fn pace_answered(
+    pub(super) fn handle_pace_response(
         &mut self,
         id: &VmId,
         task: TaskRef,
@@ -202,8 +202,8 @@
     ) {
         match result {
             Ok(_) => {}
-            Err(vm::Error::Fenced) => self.fenced(id),
-            Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
+            Err(vm::Error::Fenced) => self.handle_fenced(id),
+            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
             Err(_) => {
                 // The command may take effect late or never, so the next poll decides the pace
                 // again.
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -224,7 +224,7 @@
             run.permits.request = RequestState::InFlight;
         }
         self.permit_requests.in_flight += 1;
-        self.out.push(Action::RequestPermits(PermitReq { step, vms, timeout }));
+        self.actions.push(Action::RequestPermits(PermitReq { step, vms, timeout }));
     }
 
     /// Selects the VMs for a request, those with room first, until the expected room is enough for
@@ -278,7 +278,7 @@
     ) {
         let now = self.now.steady;
         self.permit_requests.in_flight = self.permit_requests.in_flight.saturating_sub(1);
-        self.replan();
+        self.request_schedule();
         let queue = self.jobs.get(&step.job).map(|job| job.job.queue.clone());
         let Some(run) = self.step_run_mut(step) else { return };
         let resp = match result {
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -142,7 +142,7 @@
 
 impl Shard {
     /// Schedules an early pass because a waiting task may now be able to start.
-    pub(super) fn replan(&mut self) {
+    pub(super) fn request_schedule(&mut self) {
         self.next_schedule = self.next_schedule.min(self.last_schedule + SCHEDULE_GAP);
     }
 
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -86,7 +86,7 @@
             jobs: IndexMap::new(),
             closed: IndexMap::new(),
             vms: IndexMap::new(),
-            gone: IndexSet::new(),
+            ended_vms: IndexSet::new(),
             log: Log::new(keys, recovered.seq, SilenceRecord::new(recovered.silent)),
             loans: super::loan::Loans::default(),
             permit_requests: super::permits::PermitRequests::default(),
@@ -94,8 +94,8 @@
             crash_log: super::crash::CrashLog::default(),
             kept: super::compact::Kept::default(),
             effects: super::interference::Effects::default(),
-            list: super::fleet::List::Inherited { since: now.steady },
-            inherited_until: now.steady
+            vm_list: super::fleet::VmListSource::Inherited { since: now.steady },
+            inherited_runs_until: now.steady
                 + keep
                 + keep.mul_f64(CLOCK_DRIFT)
                 + blind_extension
@@ -105,10 +105,10 @@
             last_schedule: Duration::ZERO,
             next_schedule: now.steady,
             next_report: now.steady,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
         for entry in fleet {
-            let vm = Vm::new(entry, now.steady, shard.inherited_until);
+            let vm = Vm::new(entry, now.steady, shard.inherited_runs_until);
             shard.vms.insert(vm.id.clone(), vm);
         }
         let progress: IndexMap<JobId, Progress> = recovered.progress.into_iter().collect();
@@ -197,7 +197,7 @@
             let vm = self
                 .vms
                 .entry(place.vm.clone())
-                .or_insert_with(|| unlisted_vm(&place, service, now, self.inherited_until));
+                .or_insert_with(|| unlisted_vm(&place, service, now, self.inherited_runs_until));
             vm.runs.insert(RunKey { task, run: place.run }, run);
         }
     }
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -164,7 +164,7 @@
         run.slowed = (percent <= SLOW_PACE).then(|| run.slowed.unwrap_or(now));
         let RunKey { task, run } = neighbour.key;
         let req = PaceReq { fence: self.fence, task, run, percent };
-        self.out.push(Action::Pace { vm: addr, req });
+        self.actions.push(Action::Pace { vm: addr, req });
         self.note(Note::TaskPaced {
             task,
             run,
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -65,7 +65,7 @@
         self.maintenance_drain.next_log = before.next_log;
         self.maintenance_drain.upcoming = upcoming.into_iter().collect();
         self.maintenance_drain.finish_timeout = finish_timeout;
-        self.replan();
+        self.request_schedule();
     }
 
     /// Returns the VMs that have been drained: they respond and have no runs.
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -182,7 +182,7 @@
     }
 
     /// Updates the VM from the platform's current entry.
-    pub fn announce(&mut self, entry: VmEntry, now: Duration) {
+    pub fn update_entry(&mut self, entry: VmEntry, now: Duration) {
         if self.leaving.is_none() {
             self.leaving = leaving(&entry, now);
         }
