--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -10,7 +10,7 @@
 
 use super::Shard;
 use super::job_run::{StepRun, Task, lasts};
-use super::vm_run::{Run, RunKey, Stage, Unanswered, Vm};
+use super::vm_run::{PendingStart, Run, RunKey, Stage, Vm};
 use crate::ids::VmId;
 use crate::job::progress::{Crashes, TaskPhase};
 use crate::job::{JobId, TaskRef};
@@ -100,8 +100,8 @@
     fn of(vm: &Vm, key: RunKey, run: &Run, before: Crashes) -> Option<Self> {
         let timing = match run.stage {
             Stage::Binding => return None,
-            Stage::Starting { .. } if run.unanswered == Unanswered::No => return None,
-            Stage::Running if vm.worked(key).is_zero() => {
+            Stage::Starting { .. } if run.pending_start == PendingStart::No => return None,
+            Stage::Running if vm.running_time(key).is_zero() => {
                 let failing = vm.contact.failing_since;
                 let immediate = failing.is_some_and(|at| at < run.since + IMMEDIATE_CRASH_WINDOW);
                 if immediate { CrashTiming::Immediate } else { CrashTiming::Sudden }
--- a/src/shard/drain.rs
+++ b/src/shard/drain.rs
@@ -28,7 +28,7 @@
         let leaving: Vec<VmId> = self
             .vms
             .values()
-            .filter(|vm| vm.leaving.is_some() && !vm.runs.is_empty() && vm.is_heard(now))
+            .filter(|vm| vm.leaving.is_some() && !vm.runs.is_empty() && vm.is_responsive(now))
             .map(|vm| vm.id.clone())
             .collect();
         for id in leaving {
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use super::job_run::{Effect, JobRun, lasts};
-use super::vm_run::{RunKey, Stage, Unanswered};
+use super::vm_run::{PendingStart, RunKey, Stage};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
 use crate::job::{Checkpoint, JobId, RunNumber, ShownState, TaskRef};
@@ -216,7 +216,7 @@
     /// Removes a run that is certain to have ended on its VM, although the end was never reported.
     pub(super) fn remove_vanished_run(&mut self, vm: &VmId, key: RunKey, proof: Word) {
         let RunKey { task, run } = key;
-        let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.worked(key)));
+        let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.running_time(key)));
         self.note(Note::TaskGone { task, run, vm: vm.clone(), worked_ms, proof });
         self.drop_run(vm, key);
     }
@@ -225,7 +225,7 @@
     /// VM, and otherwise stops it, which also prevents a delayed start.
     pub(super) fn abandon_start(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let Some(run) = self.vms.get(vm).and_then(|vm| vm.runs.get(&key)) else { return };
-        if run.unanswered == Unanswered::No {
+        if run.pending_start == PendingStart::No {
             return self.drop_run(vm, key);
         }
         self.stop_run(vm, key, reason);
--- a/src/shard/fleet.rs
+++ b/src/shard/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use super::event::FleetListStatus;
-use super::vm_run::{Announced, Silent, Vm};
+use super::vm_run::{Listing, Responsiveness, Vm};
 use crate::ids::VmId;
 use crate::note::{Ms, Note, Word};
 use crate::vm::VmEntry;
@@ -71,8 +71,8 @@
             return;
         }
         for vm in self.vms.values_mut() {
-            if !present.contains(&vm.id) && vm.announced == Announced::Yes {
-                vm.announced = Announced::Missing { since: now };
+            if !present.contains(&vm.id) && vm.listing == Listing::Listed {
+                vm.listing = Listing::Missing { since: now };
             }
         }
         self.remove_absent_vms();
@@ -125,9 +125,10 @@
     /// Removes VMs that are no longer announced, don't respond and have no runs left.
     fn remove_absent_vms(&mut self) {
         let is_absent = |vm: &Vm| {
-            vm.announced != Announced::Yes
+            vm.listing != Listing::Listed
                 && vm.runs.is_empty()
-                && (vm.contact.silent != Silent::No || vm.contact.heard.is_none())
+                && (vm.contact.responsiveness != Responsiveness::Responsive
+                    || vm.contact.heard.is_none())
         };
         self.vms.retain(|_, vm| !is_absent(vm));
     }
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -2,7 +2,7 @@
 
 use super::event::{Action, AdmissionMode, Answer, CommitResult, WriteOutcome};
 use super::job_run::{Effect, JobRun, RecordState, Started};
-use super::settings::STALLED_COMMIT;
+use super::settings::COMMIT_STALL_TIMEOUT;
 use super::vm_run::RunKey;
 use super::{Closed, Shard, Stage};
 use crate::ids::Ticket;
@@ -69,7 +69,7 @@
         if self.stage != Stage::Serving {
             return Some(("the shard changes hands", RETRY_AFTER_HANDOVER));
         }
-        if self.log.age(self.now.steady) > STALLED_COMMIT {
+        if self.log.age(self.now.steady) > COMMIT_STALL_TIMEOUT {
             return Some(("the store does not answer", RETRY_AFTER_OUTAGE));
         }
         None
@@ -250,9 +250,9 @@
             Effect::Start { task, run, vm } => self.mark_start_due(task, run, &vm),
             Effect::Forget { vm, number } => {
                 if let Some(vm) = self.vms.get_mut(&vm) {
-                    vm.ends.settle(number);
-                    if !vm.ends.has_listed() {
-                        vm.contact.next_look = vm.contact.next_look.min(self.now.steady);
+                    vm.ends.mark_durable(number);
+                    if !vm.ends.has_unforgotten() {
+                        vm.contact.next_poll = vm.contact.next_poll.min(self.now.steady);
                     }
                 }
             }
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -5,8 +5,8 @@
 use super::finish::RunEnd;
 use super::interference::LeftoverNeighbour;
 use super::own_load::OwnLoad;
-use super::settings::{LOOK_RETRY, SILENT_AFTER, UNFORGOTTEN_LOOK};
-use super::vm_run::{Looking, Run, RunKey, Silent, Stage, Unanswered, Vm};
+use super::settings::{POLL_RETRY_DELAY, SILENCE_TIMEOUT, UNCOMMITTED_POLL_DELAY};
+use super::vm_run::{PendingStart, PollState, Responsiveness, Run, RunKey, Stage, Vm};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
 use crate::job::{Share, TaskRef};
@@ -24,19 +24,19 @@
     pub(super) fn poll_due_vms(&mut self) {
         let (now, keep, fence) = (self.now.steady, self.settings.max_keep, self.fence);
         for vm in self.vms.values_mut() {
-            if vm.contact.looking == Looking::Yes || now < vm.contact.next_look {
+            if vm.contact.poll == PollState::InFlight || now < vm.contact.next_poll {
                 continue;
             }
             // A silence recorded in the store must be withdrawn before the VM's work is extended,
             // since the next owner relies on that record.
-            let extends = vm.extends(now) && self.log.silence.may_extend(&vm.id);
+            let extends = vm.may_extend_runs(now) && self.log.silence.may_extend(&vm.id);
             let keep_until = extends.then(|| vm.clock_now(now)).flatten();
             if keep_until.is_some() {
-                vm.extended(now, keep);
+                vm.record_extension(now, keep);
             }
             let keep_until = keep_until.map(|clock| VmTime(clock.0 + keep));
-            let (forget, wait) = (vm.ends.forget(), vm.look_wait());
-            vm.contact.looking = Looking::Yes;
+            let (forget, wait) = (vm.ends.forget(), vm.poll_wait());
+            vm.contact.poll = PollState::InFlight;
             let req = LookReq { fence, forget, keep_until, wait };
             self.actions.push(Action::Poll { vm: vm.addr(), req });
         }
@@ -50,16 +50,17 @@
     ) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
-        vm.contact.looking = Looking::No;
+        vm.contact.poll = PollState::Idle;
         match result {
             Ok(resp) => {
                 let before = vm.contact.heard.replace(sent);
                 vm.contact.failures = 0;
                 vm.contact.failing_since = None;
                 vm.read_clock(resp.clock, now);
-                let was = std::mem::replace(&mut vm.contact.silent, Silent::No);
-                let met = before.is_none() || was != Silent::No;
-                if let Silent::Since(since) = was {
+                let was =
+                    std::mem::replace(&mut vm.contact.responsiveness, Responsiveness::Responsive);
+                let met = before.is_none() || was != Responsiveness::Responsive;
+                if let Responsiveness::SilentSince(since) = was {
                     let (runs, silent_ms) = (vm.runs.len(), Ms(now.saturating_sub(since)));
                     self.note(Note::VmHeard { vm: id.clone(), silent_ms, runs });
                 } else if before.is_none() {
@@ -73,15 +74,15 @@
                 self.apply_poll_response(id, sent, resp);
                 let configured = self.has_queues();
                 if let Some(vm) = self.vms.get_mut(id) {
-                    vm.plan_look(now);
+                    vm.schedule_poll(now);
                     if !configured {
-                        vm.contact.next_look = now + UNFORGOTTEN_LOOK;
+                        vm.contact.next_poll = now + UNCOMMITTED_POLL_DELAY;
                     }
                 }
             }
             Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
             Err(vm::Error::Fenced) => {
-                vm.contact.next_look = now + LOOK_RETRY;
+                vm.contact.next_poll = now + POLL_RETRY_DELAY;
                 self.handle_fenced(id);
             }
             Err(e) => self.handle_poll_failure(id, &e),
@@ -99,11 +100,12 @@
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.contact.failures += 1;
         vm.contact.failing_since.get_or_insert(now);
-        vm.plan_look(now);
+        vm.schedule_poll(now);
         let heard = vm.contact.heard.unwrap_or(now);
         let silent_ms = Ms(now.saturating_sub(heard));
-        if vm.contact.silent == Silent::No && silent_ms.0 >= SILENT_AFTER {
-            vm.contact.silent = Silent::Since(heard);
+        if vm.contact.responsiveness == Responsiveness::Responsive && silent_ms.0 >= SILENCE_TIMEOUT
+        {
+            vm.contact.responsiveness = Responsiveness::SilentSince(heard);
             let (runs, reason) = (vm.runs.len(), error.to_string());
             self.note(Note::VmSilent { vm: id.clone(), silent_ms, runs, reason });
         }
@@ -171,7 +173,7 @@
             run.stage = Stage::Running;
             run.since = now;
         }
-        run.unanswered = Unanswered::No;
+        run.pending_start = PendingStart::No;
         run.running_since.get_or_insert(now);
         let worked = run.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         run.percent = row.percent;
@@ -221,7 +223,7 @@
         let key = RunKey { task: row.task, run: row.run };
         let known = self.is_open_task(row.task);
         let Some(vm) = self.vms.get_mut(id) else { return };
-        if !vm.ends.list(row.number) {
+        if !vm.ends.record(row.number) {
             return;
         }
         let (bound, number) = (vm.runs.contains_key(&key), row.number);
@@ -229,7 +231,7 @@
             let (vm, how, checkpoint) = (id.clone(), row.how, row.checkpoint);
             self.handle_run_end(RunEnd { vm, key, how, checkpoint, number });
         } else {
-            vm.ends.settle(number);
+            vm.ends.mark_durable(number);
         }
     }
 
@@ -260,7 +262,9 @@
     pub(super) fn remove_expired_runs(&mut self) {
         let now = self.now.steady;
         let lapsed = |vm: &Vm| {
-            !vm.runs.is_empty() && now >= vm.lapsed_by && (!vm.is_heard(now) || !vm.extends(now))
+            !vm.runs.is_empty()
+                && now >= vm.runs_ended_by
+                && (!vm.is_responsive(now) || !vm.may_extend_runs(now))
         };
         let ids: Vec<VmId> =
             self.vms.values().filter(|vm| lapsed(vm)).map(|vm| vm.id.clone()).collect();
--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -61,7 +61,7 @@
     pub(super) fn slowed(&self) -> Vec<(VmId, RunKey)> {
         let now = self.now.steady;
         let mut slowed = Vec::new();
-        for vm in self.vms.values().filter(|vm| vm.is_heard(now)) {
+        for vm in self.vms.values().filter(|vm| vm.is_responsive(now)) {
             for (key, run) in &vm.runs {
                 let step = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task));
                 if step.is_some_and(|step| can_move(step, run, now)) {
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -2,8 +2,8 @@
 
 use super::Shard;
 use super::event::Action;
-use super::settings::{START_RETRY, START_TRIES, STOP_RETRY};
-use super::vm_run::{RunKey, Stage, Unanswered};
+use super::settings::{MAX_START_ATTEMPTS, START_RETRY, STOP_RETRY};
+use super::vm_run::{PendingStart, RunKey, Stage};
 use crate::ids::VmId;
 use crate::job::{RunNumber, TaskRef};
 use crate::note::Note;
@@ -59,7 +59,7 @@
             return self.abandon_start(id, key, "the job has ended or the VM is leaving");
         }
         // The VM may have shrunk since the task was bound: the commit can be delayed by the store.
-        if vm.is_over() {
+        if vm.is_overcommitted() {
             return self.abandon_start(id, key, "the VM no longer has room for the task");
         }
         let permit = match self.permits_of(key.task).map(|permits| permits.valid_permit(id, now)) {
@@ -73,7 +73,7 @@
         }
         let Some(vm) = self.vms.get_mut(id) else { return };
         let (addr, Some(clock)) = (vm.addr(), vm.clock_now(now)) else { return };
-        vm.extended(now, keep);
+        vm.record_extension(now, keep);
         let Some(run) = vm.runs.get_mut(&key) else { return };
         run.sends += 1;
         run.stage = Stage::Starting { next_send: None };
@@ -110,7 +110,7 @@
         }
         match result {
             Ok(clock) => {
-                known.unanswered = Unanswered::No;
+                known.pending_start = PendingStart::No;
                 if starting {
                     known.stage = Stage::Running;
                     known.since = now;
@@ -129,12 +129,12 @@
             }
             Err(vm::Error::TooLate) => {
                 vm.clock = None;
-                vm.contact.next_look = now;
+                vm.contact.next_poll = now;
                 self.retry_start(id, key, "the VM's clock differs from the last reading");
             }
             Err(vm::Error::NotSent { .. }) => self.retry_start(id, key, "the VM is unreachable"),
             Err(vm::Error::NoAnswer { .. }) => {
-                known.unanswered = Unanswered::Yes;
+                known.pending_start = PendingStart::Yes;
                 self.retry_start(id, key, "the VM did not answer");
             }
             Err(vm::Error::Unwell { .. }) => {
@@ -160,7 +160,7 @@
         if !matches!(run.stage, Stage::Starting { .. }) {
             return;
         }
-        if run.sends >= START_TRIES {
+        if run.sends >= MAX_START_ATTEMPTS {
             return self.abandon_start(id, key, reason);
         }
         run.stage = Stage::Starting { next_send: Some(now + START_RETRY) };
@@ -181,7 +181,7 @@
             Ok(clock) => {
                 known.stage = Stage::Stopping { next_send: None, answered: Some(now) };
                 vm.read_clock(*clock, now);
-                vm.contact.next_look = vm.contact.next_look.min(now);
+                vm.contact.next_poll = vm.contact.next_poll.min(now);
             }
             Err(vm::Error::Fenced) => self.handle_fenced(id),
             Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -3,9 +3,9 @@
 
 use super::job_run::{JobRun, Place};
 use super::log::{Keys, Log};
-use super::settings::{BLIND_EXTENSION, CLOCK_DRIFT, LAPSE_MARGIN, Settings};
+use super::settings::{CLOCK_DRIFT, EXPIRY_MARGIN, MAX_STALE_OWNER_EXTENSION, Settings};
 use super::silence::{SilenceRecord, SilentVm, ToldLapse};
-use super::vm_run::{Announced, Run, RunKey, Stage, Vm};
+use super::vm_run::{Listing, Run, RunKey, Stage, Vm};
 use super::{Closed, Now, Shard};
 use crate::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use crate::job::progress::Progress;
@@ -73,9 +73,9 @@
         now: Now,
     ) -> Self {
         let keep = settings.max_keep;
-        let blind_extension = match recovered.previous {
+        let stale_owner_extension = match recovered.previous {
             Previous::Ended => Duration::ZERO,
-            Previous::Unsure => BLIND_EXTENSION,
+            Previous::Unsure => MAX_STALE_OWNER_EXTENSION,
         };
         let keys = Keys::new(&recovered.shard);
         let mut shard = Self {
@@ -98,8 +98,8 @@
             inherited_runs_until: now.steady
                 + keep
                 + keep.mul_f64(CLOCK_DRIFT)
-                + blind_extension
-                + LAPSE_MARGIN,
+                + stale_owner_extension
+                + EXPIRY_MARGIN,
             stage: super::Stage::Serving,
             now,
             last_schedule: Duration::ZERO,
@@ -125,8 +125,9 @@
     /// row, tasks of a dead VM were delayed by half a minute.
     pub fn lapses(&self) -> Vec<Lapse> {
         let now = self.now.steady;
-        let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_heard(now));
-        let lapse = |vm: &Vm| Lapse { vm: vm.id.clone(), left: vm.lapsed_by.saturating_sub(now) };
+        let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_responsive(now));
+        let lapse =
+            |vm: &Vm| Lapse { vm: vm.id.clone(), left: vm.runs_ended_by.saturating_sub(now) };
         silent.map(lapse).collect()
     }
 
@@ -134,7 +135,7 @@
         let now = self.now.steady;
         for lapse in lapses {
             if let Some(vm) = self.vms.get_mut(&lapse.vm) {
-                vm.lapsed_by = vm.lapsed_by.min(now + lapse.left);
+                vm.runs_ended_by = vm.runs_ended_by.min(now + lapse.left);
             }
         }
     }
@@ -205,7 +206,7 @@
 
 /// Creates an entry for a VM that has work bound to it but is not in the list: it may be
 /// unreachable or gone.
-fn unlisted_vm(place: &Place, service: &ServiceName, now: Duration, lapsed_by: Duration) -> Vm {
+fn unlisted_vm(place: &Place, service: &ServiceName, now: Duration, runs_ended_by: Duration) -> Vm {
     let entry = VmEntry {
         id: place.vm.clone(),
         service: service.clone(),
@@ -216,7 +217,7 @@
         state: VmState::Ready,
         addr: place.addr.clone(),
     };
-    let mut vm = Vm::new(entry, now, lapsed_by);
-    vm.announced = Announced::Missing { since: now };
+    let mut vm = Vm::new(entry, now, runs_ended_by);
+    vm.listing = Listing::Missing { since: now };
     vm
 }
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -145,7 +145,7 @@
     /// Returns the room on a VM as far as its own state tells, or `None` if it accepts no work at
     /// the moment.
     fn of(vm: &Vm, now: Duration) -> Option<Self> {
-        if !vm.takes_work(now) || vm.is_over() {
+        if !vm.takes_work(now) || vm.is_overcommitted() {
             return None;
         }
         let trial = match vm.health.state(now) {
--- a/src/shard/settings.rs
+++ b/src/shard/settings.rs
@@ -54,42 +54,42 @@
 
 /// Age of an unanswered commit after which new jobs are rejected: the store is unavailable, and
 /// callers are better off going elsewhere or retrying later than waiting.
-pub const STALLED_COMMIT: Duration = Duration::from_millis(600);
+pub const COMMIT_STALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long a poll may wait for a run to end on a VM with running tasks. Gauges cover half a
 /// second, so polling less than twice per second would miss some.
-pub const BUSY_LOOK: Duration = Duration::from_millis(400);
+pub const BUSY_POLL_WAIT: Duration = Duration::from_millis(400);
 
 /// How long a poll may wait on an idle VM; also determines how soon an unresponsive VM is noticed.
-pub const IDLE_LOOK: Duration = Duration::from_millis(800);
+pub const IDLE_POLL_WAIT: Duration = Duration::from_millis(800);
 
 /// Delay after a failed poll; several fit into the second after which a VM counts as silent.
-pub const LOOK_RETRY: Duration = Duration::from_millis(150);
+pub const POLL_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Delay before the next poll while ended runs aren't durable yet, since the VM would repeat them
 /// immediately.
-pub const UNFORGOTTEN_LOOK: Duration = Duration::from_millis(300);
+pub const UNCOMMITTED_POLL_DELAY: Duration = Duration::from_millis(300);
 
 /// Time without a response after which a VM counts as silent. Nothing is placed on it and its tasks
 /// are no longer extended, so that the time by which they must have ended stays fixed.
-pub const SILENT_AFTER: Duration = Duration::from_millis(1200);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Maximum relative error by which a VM's clock may run slow.
 pub const CLOCK_DRIFT: f64 = 0.02;
 
 /// Margin added to the time by which a silent VM's tasks must have ended, for the delivery time of
 /// the last extension.
-pub const LAPSE_MARGIN: Duration = Duration::from_millis(700);
+pub const EXPIRY_MARGIN: Duration = Duration::from_millis(700);
 
 /// How long an owner that has unknowingly lost the shard may continue to extend tasks; equals the
 /// longest store outage that running tasks survive.
-pub const BLIND_EXTENSION: Duration = Duration::from_secs(12);
+pub const MAX_STALE_OWNER_EXTENSION: Duration = Duration::from_secs(12);
 
 /// Delay before an unanswered start order is sent again.
 pub const START_RETRY: Duration = Duration::from_millis(60);
 
 /// Maximum number of times a start order is sent before another VM is tried.
-pub const START_TRIES: u32 = 4;
+pub const MAX_START_ATTEMPTS: u32 = 4;
 
 /// Delay before an unanswered stop order is sent again.
 pub const STOP_RETRY: Duration = Duration::from_millis(120);
--- a/src/shard/silence.rs
+++ b/src/shard/silence.rs
@@ -9,7 +9,7 @@
 
 use super::Shard;
 use super::recover::Lapse;
-use super::vm_run::{Silent, Vm};
+use super::vm_run::{Responsiveness, Vm};
 use crate::ids::VmId;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -127,7 +127,7 @@
     pub fn told_lapses(&self, now: Duration) -> Vec<ToldLapse> {
         let told = |vm: &Vm| {
             let mark = self.log.silence.mark(&vm.id)?;
-            let left = vm.lapsed_by.saturating_sub(now);
+            let left = vm.runs_ended_by.saturating_sub(now);
             Some(ToldLapse { lapse: Lapse { vm: vm.id.clone(), left }, mark })
         };
         self.vms.values().filter_map(told).collect()
@@ -135,13 +135,13 @@
 }
 
 fn is_silent_for_long(vm: &Vm, now: Duration) -> bool {
-    match vm.contact.silent {
-        Silent::Since(since) => now.saturating_sub(since) >= RECORD_SILENCE_AFTER,
-        Silent::No => false,
+    match vm.contact.responsiveness {
+        Responsiveness::SilentSince(since) => now.saturating_sub(since) >= RECORD_SILENCE_AFTER,
+        Responsiveness::Responsive => false,
     }
 }
 
 /// Returns whether a VM is silent or has never answered this owner.
 fn has_not_answered(vm: &Vm) -> bool {
-    vm.contact.silent != Silent::No || vm.contact.heard.is_none()
+    vm.contact.responsiveness != Responsiveness::Responsive || vm.contact.heard.is_none()
 }
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -71,7 +71,7 @@
     /// Returns the VMs that have been drained: they respond and have no runs.
     pub fn drained_vms(&self) -> Vec<VmId> {
         let now = self.now.steady;
-        let is_empty = |vm: &&Vm| vm.runs.is_empty() && vm.is_heard(now);
+        let is_empty = |vm: &&Vm| vm.runs.is_empty() && vm.is_responsive(now);
         let vms = self.maintenance_drain.vms.keys().filter_map(|id| self.vms.get(id));
         vms.filter(is_empty).map(|vm| vm.id.clone()).collect()
     }
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -2,7 +2,8 @@
 
 use super::interference::Serving;
 use super::settings::{
-    BUSY_LOOK, CLOCK_DRIFT, IDLE_LOOK, LAPSE_MARGIN, LOOK_RETRY, SILENT_AFTER, UNFORGOTTEN_LOOK,
+    BUSY_POLL_WAIT, CLOCK_DRIFT, EXPIRY_MARGIN, IDLE_POLL_WAIT, POLL_RETRY_DELAY, SILENCE_TIMEOUT,
+    UNCOMMITTED_POLL_DELAY,
 };
 use crate::ids::VmId;
 use crate::job::{RunNumber, Share, TaskRef};
@@ -25,24 +26,24 @@
     pub id: VmId,
     /// The platform's latest entry for the VM.
     pub entry: VmEntry,
-    pub announced: Announced,
+    pub listing: Listing,
     pub known_since: Duration,
     /// When the platform first reported that the VM is leaving, and how much time was left then.
     pub leaving: Option<Leaving>,
     pub clock: Option<ClockReading>,
     /// Runs that are not known to have ended; each reserves resources.
     pub runs: IndexMap<RunKey, Run>,
-    pub ends: Ends,
+    pub ends: EndedRuns,
     pub contact: Contact,
     /// Time by which every run on the VM is certain to have ended, unless it is extended.
-    pub lapsed_by: Duration,
+    pub runs_ended_by: Duration,
     pub health: super::health::Health,
 }
 
 /// Whether the platform lists a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Announced {
-    Yes,
+pub enum Listing {
+    Listed,
     /// No longer listed since the given time.
     Missing {
         since: Duration,
@@ -79,7 +80,7 @@
     /// Number of start commands sent.
     pub sends: u32,
     /// Whether a start command may still take effect.
-    pub unanswered: Unanswered,
+    pub pending_start: PendingStart,
     /// Progress in percent.
     pub percent: u8,
     /// Gauge value of the last half second.
@@ -92,9 +93,9 @@
     pub serving: Serving,
 }
 
-/// Whether an unacknowledged command may still take effect.
+/// Whether an unacknowledged start command may still take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum PendingStart {
     No,
     Yes,
 }
@@ -116,7 +117,7 @@
 
 /// Ended runs that the VM has reported and has not yet been told to forget.
 #[derive(Debug, Default)]
-pub struct Ends {
+pub struct EndedRuns {
     listed: VecDeque<ListedEnd>,
     forget: u64,
 }
@@ -130,53 +131,54 @@
 /// When a VM last responded, and when to poll it next.
 #[derive(Clone, Debug)]
 pub struct Contact {
-    pub looking: Looking,
-    pub next_look: Duration,
+    pub poll: PollState,
+    pub next_poll: Duration,
     /// When the last successful poll was sent.
     pub heard: Option<Duration>,
     /// Consecutive failed polls.
     pub failures: u32,
     /// When the first of these failures was detected.
     pub failing_since: Option<Duration>,
-    pub silent: Silent,
+    pub responsiveness: Responsiveness,
 }
 
 /// Whether a poll is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Looking {
-    No,
-    Yes,
+pub enum PollState {
+    Idle,
+    InFlight,
 }
 
 /// Whether a VM has stopped responding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Silent {
-    No,
-    Since(Duration),
+pub enum Responsiveness {
+    Responsive,
+    /// No response since the given time.
+    SilentSince(Duration),
 }
 
 impl Vm {
     /// Creates a VM that has not been polled yet. Runs started by an earlier owner may last until
-    /// `lapsed_by`.
-    pub fn new(entry: VmEntry, now: Duration, lapsed_by: Duration) -> Self {
+    /// `runs_ended_by`.
+    pub fn new(entry: VmEntry, now: Duration, runs_ended_by: Duration) -> Self {
         Self {
             id: entry.id.clone(),
             leaving: leaving(&entry, now),
             entry,
-            announced: Announced::Yes,
+            listing: Listing::Listed,
             known_since: now,
             clock: None,
             runs: IndexMap::new(),
-            ends: Ends::default(),
+            ends: EndedRuns::default(),
             contact: Contact {
-                looking: Looking::No,
-                next_look: now,
+                poll: PollState::Idle,
+                next_poll: now,
                 heard: None,
                 failures: 0,
                 failing_since: None,
-                silent: Silent::No,
+                responsiveness: Responsiveness::Responsive,
             },
-            lapsed_by,
+            runs_ended_by,
             health: super::health::Health::default(),
         }
     }
@@ -187,7 +189,7 @@
             self.leaving = leaving(&entry, now);
         }
         self.entry = entry;
-        self.announced = Announced::Yes;
+        self.listing = Listing::Listed;
     }
 
     /// The id and address to call the VM with.
@@ -208,14 +210,14 @@
     }
 
     /// Records that the VM may keep all of its tasks running for `keep` from now on.
-    pub fn extended(&mut self, now: Duration, keep: Duration) {
+    pub fn record_extension(&mut self, now: Duration, keep: Duration) {
         let drift = keep.mul_f64(CLOCK_DRIFT);
-        self.lapsed_by = self.lapsed_by.max(now + keep + drift + LAPSE_MARGIN);
+        self.runs_ended_by = self.runs_ended_by.max(now + keep + drift + EXPIRY_MARGIN);
     }
 
     /// How long a run is known to have been running: from the response that first reported it to
     /// the last successful poll.
-    pub fn worked(&self, key: RunKey) -> Duration {
+    pub fn running_time(&self, key: RunKey) -> Duration {
         let since = self.runs.get(&key).and_then(|run| run.running_since);
         let worked = since.zip(self.contact.heard).map(|(since, at)| at.saturating_sub(since));
         worked.unwrap_or_default()
@@ -227,7 +229,7 @@
     }
 
     /// Whether the reservations exceed the VM's size.
-    pub fn is_over(&self) -> bool {
+    pub fn is_overcommitted(&self) -> bool {
         !self.reserved().fits_in(&self.entry.size)
     }
 
@@ -237,42 +239,43 @@
     }
 
     /// Whether the VM has responded to this owner recently.
-    pub fn is_heard(&self, now: Duration) -> bool {
-        self.contact.silent == Silent::No
-            && self.contact.heard.is_some_and(|at| now.saturating_sub(at) < 2 * SILENT_AFTER)
+    pub fn is_responsive(&self, now: Duration) -> bool {
+        self.contact.responsiveness == Responsiveness::Responsive
+            && self.contact.heard.is_some_and(|at| now.saturating_sub(at) < 2 * SILENCE_TIMEOUT)
     }
 
     /// Whether new tasks may be placed on the VM.
     pub fn takes_work(&self, now: Duration) -> bool {
-        self.announced == Announced::Yes && self.leaving.is_none() && self.is_heard(now)
+        self.listing == Listing::Listed && self.leaving.is_none() && self.is_responsive(now)
     }
 
     /// Whether the next poll extends the deadline of the VM's tasks.
-    pub fn extends(&self, now: Duration) -> bool {
+    pub fn may_extend_runs(&self, now: Duration) -> bool {
         match self.contact.heard {
-            Some(at) => now.saturating_sub(at) < SILENT_AFTER + BUSY_LOOK,
+            Some(at) => now.saturating_sub(at) < SILENCE_TIMEOUT + BUSY_POLL_WAIT,
             None => self.contact.failures == 0,
         }
     }
 
     /// How long the VM may delay its response to the next poll to wait for a run to end.
-    pub fn look_wait(&self) -> Duration {
-        if self.contact.failures > 0 || self.contact.heard.is_none() || self.ends.has_listed() {
+    pub fn poll_wait(&self) -> Duration {
+        if self.contact.failures > 0 || self.contact.heard.is_none() || self.ends.has_unforgotten()
+        {
             return Duration::ZERO;
         }
-        if self.runs.is_empty() { IDLE_LOOK } else { BUSY_LOOK }
+        if self.runs.is_empty() { IDLE_POLL_WAIT } else { BUSY_POLL_WAIT }
     }
 
     /// Schedules the next poll once the previous one has completed.
-    pub fn plan_look(&mut self, now: Duration) {
+    pub fn schedule_poll(&mut self, now: Duration) {
         let pause = if self.contact.failures > 0 {
-            LOOK_RETRY
-        } else if self.ends.has_listed() {
-            UNFORGOTTEN_LOOK
+            POLL_RETRY_DELAY
+        } else if self.ends.has_unforgotten() {
+            UNCOMMITTED_POLL_DELAY
         } else {
             Duration::ZERO
         };
-        self.contact.next_look = now + pause;
+        self.contact.next_poll = now + pause;
     }
 }
 
@@ -294,7 +297,7 @@
             since: now,
             running_since: None,
             sends: 0,
-            unanswered: Unanswered::No,
+            pending_start: PendingStart::No,
             percent: 0,
             gauge: 0,
             pace: 100,
@@ -314,9 +317,9 @@
     }
 }
 
-impl Ends {
+impl EndedRuns {
     /// Records an ended run reported by the VM; returns false if it was reported before.
-    pub fn list(&mut self, number: u64) -> bool {
+    pub fn record(&mut self, number: u64) -> bool {
         let known = number <= self.forget || self.listed.iter().any(|end| end.number == number);
         if !known {
             self.listed.push_back(ListedEnd { number, durable: false });
@@ -325,7 +328,7 @@
     }
 
     /// Records that the consequences of an ended run are durable.
-    pub fn settle(&mut self, number: u64) {
+    pub fn mark_durable(&mut self, number: u64) {
         if let Some(end) = self.listed.iter_mut().find(|end| end.number == number) {
             end.durable = true;
         }
@@ -344,7 +347,7 @@
     }
 
     /// Whether the VM would report ended runs again.
-    pub fn has_listed(&self) -> bool {
+    pub fn has_unforgotten(&self) -> bool {
         !self.listed.is_empty()
     }
 }
