--- a/src/shard.rs
+++ b/src/shard.rs
@@ -162,7 +162,7 @@
                 // The message is for another owner, which may have answered it and settled the
                 // matter since.
                 if to == self.fence {
-                    self.hear_message(&from, msg);
+                    self.handle_loan_message(&from, msg);
                 }
             }
             Event::HandOver => self.stage = Stage::HandingOver,
@@ -183,7 +183,7 @@
             if self.has_recent_vm_list() && self.has_queues() {
                 self.schedule();
             }
-            self.tell_loans();
+            self.send_pending_loan_messages();
             self.send_orders();
             self.poll_due_vms();
         }
--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 use super::Shard;
-use super::job_run::{Place, Task};
+use super::job_run::{PlacedRun, Task};
 use super::place::Pass;
 use super::room::{Room, Trial};
 use super::vm_run::RunKey;
@@ -100,7 +100,7 @@
             let task = self.jobs.get(&kept.task.job).filter(|job| !job.is_final());
             let task = task.and_then(|job| job.task(kept.task));
             let is_pending = task.is_some_and(|task| {
-                let leaves = |place: &Place| kept.from.as_ref() == Some(&place.vm);
+                let leaves = |placed: &PlacedRun| kept.from.as_ref() == Some(&placed.vm);
                 task.is_waiting() || (!task.runs.is_empty() && task.runs.iter().all(leaves))
             });
             is_pending && now < kept.until
@@ -148,14 +148,14 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task).filter(|step| can_run_anywhere(step))?;
         let known = job.task(task).filter(|task| task.is_waiting())?;
-        let waited = self.now.steady.saturating_sub(known.away_since?);
+        let waited = self.now.steady.saturating_sub(known.not_running_since?);
         let needs = waited >= MOVE_DELAY && !self.kept.has_task(task);
         (needs && self.permits_of(task).is_none()).then(|| step.clone())
     }
 
     fn make_room_for(&mut self, task: TaskRef, step: &Step, pass: &Pass) {
         let Some(job) = self.jobs.get(&task.job) else { return };
-        let since = job.task(task).and_then(|task| task.away_since);
+        let since = job.task(task).and_then(|task| task.not_running_since);
         let waited = since.map_or(Duration::ZERO, |at| self.now.steady.saturating_sub(at));
         let rooms = self.eligible_rooms(&pass.rooms, &job.job.service);
         let Some(plan) = self.plan(task, step, &rooms) else { return };
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -9,7 +9,7 @@
 //! task.
 
 use super::Shard;
-use super::job_run::{StepRun, Task, lasts};
+use super::job_run::{StepRun, Task, is_long_running};
 use super::vm_run::{PendingStart, Run, RunKey, Stage, Vm};
 use crate::ids::VmId;
 use crate::job::progress::{Crashes, TaskPhase};
@@ -231,7 +231,7 @@
     /// Resets the crash counts of a task whose run has worked for long enough.
     pub(super) fn reset_crash_counts(&mut self, key: RunKey, worked: Duration) {
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
-        let lasting = job.step(key.task).is_some_and(lasts);
+        let lasting = job.step(key.task).is_some_and(is_long_running);
         let Some(task) = job.task_mut(key.task) else { return };
         let before = task.crashes;
         if worked >= SUDDEN_RESET_AFTER {
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -1,7 +1,7 @@
 //! Effects of the end of a run on its task and its job.
 
 use super::Shard;
-use super::job_run::{Effect, JobRun, lasts};
+use super::job_run::{Effect, JobRun, is_long_running};
 use super::vm_run::{PendingStart, RunKey, Stage};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
@@ -41,7 +41,7 @@
         let state = job.state;
         if let Some(known) = job.task_mut(task) {
             known.remove(&end.vm, run);
-            known.away_since.get_or_insert(now);
+            known.not_running_since.get_or_insert(now);
             if end.checkpoint.is_some() {
                 known.checkpoint = end.checkpoint;
             }
@@ -63,7 +63,7 @@
         }
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(step) = job.step(task).cloned() else { return };
-        if lasts(&step) {
+        if is_long_running(&step) {
             return;
         }
         if step.members.as_one() {
@@ -79,9 +79,9 @@
         let Some(known) = job.task_mut(task) else { return };
         known.phase = TaskPhase::Succeeded;
         let copies = known.runs.clone();
-        for place in copies {
-            let key = RunKey { task, run: place.run };
-            self.stop_run(&place.vm, key, "another copy of it has succeeded");
+        for placed in copies {
+            let key = RunKey { task, run: placed.run };
+            self.stop_run(&placed.vm, key, "another copy of it has succeeded");
         }
     }
 
@@ -99,7 +99,7 @@
         let (run, vm_id) = (key.run, vm.clone());
         self.note(Note::TaskFailed { task, run, vm: vm_id, failed, attempts, ran_ms });
         self.record_failure(vm, earlier.as_ref(), task);
-        if failed >= attempts && !lasts(&step) {
+        if failed >= attempts && !is_long_running(&step) {
             self.fail_task(task);
         }
     }
@@ -127,7 +127,7 @@
     /// Fails a task for good, and with it the job, in the shard that accepted it.
     pub(super) fn fail_task(&mut self, task: TaskRef) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if !job.is_guest() {
+        if !job.is_borrowed() {
             return self.fail_job(task.job);
         }
         if let Some(task) = job.task_mut(task) {
@@ -147,7 +147,7 @@
         self.request_schedule();
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if !job.is_final() && !job.is_guest() && job.all_succeeded() {
+        if !job.is_final() && !job.is_borrowed() && job.all_succeeded() {
             job.state = ShownState::Done;
         }
         job.advance(now);
@@ -207,7 +207,7 @@
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
         if let Some(task) = job.task_mut(key.task) {
             task.remove(vm, key.run);
-            task.away_since.get_or_insert(now);
+            task.not_running_since.get_or_insert(now);
         }
         self.log.touch(key.task.job);
         self.advance(key.task.job);
@@ -249,7 +249,7 @@
 
 /// Returns whether the next occurrence of a job is due.
 fn is_due(job: &JobRun, wall: Duration) -> bool {
-    !job.is_guest()
+    !job.is_borrowed()
         && job.begun < job.job.repeat.occurrences()
         && job.job.repeat.due(job.begun).is_none_or(|due| wall >= due)
 }
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -33,7 +33,7 @@
             return self.reply(ticket, Answer::Accepted);
         }
         if let Some(known) = self.jobs.get_mut(&id) {
-            if known.is_guest() {
+            if known.is_borrowed() {
                 return self.reply(ticket, Answer::AcceptedElsewhere);
             }
             if known.durable.is_some() {
@@ -94,7 +94,7 @@
         if self.closed.contains_key(&id) {
             return self.reply(ticket, Answer::Cancelling);
         }
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_guest()) else {
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_borrowed()) else {
             return self.reply(ticket, Answer::NotHere);
         };
         if job.is_final() && job.durable == Some(job.state) {
@@ -103,7 +103,7 @@
         job.effects.push(Effect::Reply { ticket, answer: Answer::Cancelling });
         if !job.is_final() {
             job.state = ShownState::Cancelled;
-            let (queue, runs) = (job.job.queue.clone(), job.places().len());
+            let (queue, runs) = (job.job.queue.clone(), job.placed_runs().len());
             self.note(Note::JobCancelled { job: id, queue, runs });
             self.stop_job(id, "cancelled");
         }
@@ -113,7 +113,7 @@
     pub(super) fn show(&mut self, ticket: Ticket, id: JobId) {
         let state = match (self.closed.get(&id), self.jobs.get(&id)) {
             (Some(closed), _) => Some(closed.state),
-            (None, Some(job)) if !job.is_guest() => {
+            (None, Some(job)) if !job.is_borrowed() => {
                 job.durable.map(|durable| visible_state(job, durable))
             }
             (None, _) => return self.reply(ticket, Answer::NotHere),
@@ -128,8 +128,8 @@
     /// Stops all runs of a job.
     pub(super) fn stop_job(&mut self, id: JobId, reason: &'static str) {
         let Some(job) = self.jobs.get(&id) else { return };
-        for (task, place) in job.places() {
-            self.stop_run(&place.vm, RunKey { task, run: place.run }, reason);
+        for (task, placed) in job.placed_runs() {
+            self.stop_run(&placed.vm, RunKey { task, run: placed.run }, reason);
         }
     }
 
@@ -139,7 +139,7 @@
             CommitResult::Durable => {
                 self.actions.extend(commit.actions);
                 self.log.silence.written();
-                self.loans.hurry(self.now.steady);
+                self.loans.send_soon(self.now.steady);
                 for part in commit.parts {
                     self.handle_job_committed(part.id, part.state, part.record, seq);
                     part.effects.into_iter().for_each(|effect| self.apply_effect(effect));
@@ -223,7 +223,7 @@
         let was = std::mem::replace(&mut job.record, record);
         let queue = job.job.queue.clone();
         let (waited, tasks) = (now.saturating_sub(job.since), task_count(&job.job));
-        if job.is_guest() {
+        if job.is_borrowed() {
             if record == RecordState::Dropped && !self.log.waits(id) {
                 self.jobs.shift_remove(&id);
             }
--- a/src/shard/job_run.rs
+++ b/src/shard/job_run.rs
@@ -95,11 +95,11 @@
     pub failed: u32,
     pub checkpoint: Option<Checkpoint>,
     /// Runs that may have started and are not known to have ended.
-    pub runs: Vec<Place>,
+    pub runs: Vec<PlacedRun>,
     /// VM of the last failed run; the next run avoids it if possible.
     pub failed_on: Option<VmId>,
     /// When the task last ended or stopped running.
-    pub away_since: Option<Duration>,
+    pub not_running_since: Option<Duration>,
     /// Set while another shard runs the task in place of this one.
     pub lent: Option<Lent>,
     /// Number of the loan by which this shard borrows the task.
@@ -113,38 +113,38 @@
 pub struct Lent {
     pub to: Arc<str>,
     pub loan: u64,
-    pub known: LoanKnown,
+    pub status: LoanStatus,
 }
 
 /// Last known state of a loan at the borrowing shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoanKnown {
-    /// This owner has not told the borrower of the loan yet.
-    Nothing,
-    /// The borrower was told of the loan and has not replied.
-    Told {
-        /// When to repeat the offer.
-        ask: Duration,
+pub enum LoanStatus {
+    /// This owner has not sent the loan to the borrower yet.
+    Unsent,
+    /// The loan was sent to the borrower, which has not replied.
+    Sent {
+        /// When to send it again.
+        resend_at: Duration,
     },
     /// The borrower has accepted the loan.
     Taken {
-        /// When to ask again whether a task has started.
-        ask: Duration,
+        /// When to send it again, to learn whether a task has started.
+        resend_at: Duration,
     },
     /// The borrower has started a task of the job.
-    Begun,
+    JobStarted,
 }
 
 /// A run and the VM it is bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct PlacedRun {
     pub vm: VmId,
     /// `ip:port` address of the VM.
     pub addr: Arc<str>,
     pub run: RunNumber,
 }
 
-impl Place {
+impl PlacedRun {
     fn bound_vm(&self) -> BoundVm {
         BoundVm { id: self.vm.clone(), addr: self.addr.clone() }
     }
@@ -212,31 +212,31 @@
     }
 
     /// All runs that are not known to have ended.
-    pub fn places(&self) -> Vec<(TaskRef, Place)> {
-        let mut places = Vec::new();
+    pub fn placed_runs(&self) -> Vec<(TaskRef, PlacedRun)> {
+        let mut placed_runs = Vec::new();
         for occurrence in &self.open {
             for (step, run) in occurrence.steps.iter().enumerate() {
                 for (index, task) in run.tasks.iter().enumerate() {
                     let task_ref = self.task_ref(occurrence.number, step, index);
-                    places.extend(task.runs.iter().map(|place| (task_ref, place.clone())));
+                    placed_runs.extend(task.runs.iter().map(|placed| (task_ref, placed.clone())));
                 }
             }
         }
-        places
+        placed_runs
     }
 
     /// Whether the job belongs to another shard that lent its tasks to this one.
-    pub fn is_guest(&self) -> bool {
+    pub fn is_borrowed(&self) -> bool {
         self.home.is_some()
     }
 
     /// Whether any task is lent to another shard.
-    pub fn has_lent(&self) -> bool {
+    pub fn has_lent_tasks(&self) -> bool {
         self.tasks().any(|task| task.lent.is_some())
     }
 
     /// All tasks of the open occurrences, with their references.
-    pub fn named_tasks(&self) -> impl Iterator<Item = (TaskRef, &Task)> {
+    pub fn tasks_with_refs(&self) -> impl Iterator<Item = (TaskRef, &Task)> {
         self.open.iter().flat_map(move |occurrence| {
             occurrence.steps.iter().enumerate().flat_map(move |(step, run)| {
                 run.tasks
@@ -310,7 +310,7 @@
 
     /// Marks the steps that may start, and drops finished occurrences without remaining runs.
     pub fn advance(&mut self, now: Duration) {
-        if self.is_guest() {
+        if self.is_borrowed() {
             // The lending shard has already checked that the preceding steps succeeded.
             let steps = self.open.iter_mut().flat_map(|occurrence| &mut occurrence.steps);
             steps.for_each(|step| step.ready = step.ready.or(Some(now)));
@@ -334,7 +334,7 @@
         let open = self.open.iter().map(|o| o.progress(&mut tables)).collect();
         let home = self.home.as_deref().map(str::to_owned);
         let Tables { vms, shards } = tables;
-        let crashed = self.named_tasks().filter(|(_, task)| task.crashes != Crashes::default());
+        let crashed = self.tasks_with_refs().filter(|(_, task)| task.crashes != Crashes::default());
         let crashes = crashed.map(|(name, task)| CrashRow::new(name, task.crashes)).collect();
         Progress { state: self.state, home, vms, shards, begun: self.begun, open, crashes }
     }
@@ -392,28 +392,28 @@
 
 impl Task {
     fn recovered(progress: &TaskProgress, whole: &Progress, now: Duration) -> Self {
-        let place = |b: &Binding| {
+        let placed = |b: &Binding| {
             let vm = whole.vms.get(usize::from(b.vm))?;
-            Some(Place { vm: vm.id.clone(), addr: vm.addr.clone(), run: b.run })
+            Some(PlacedRun { vm: vm.id.clone(), addr: vm.addr.clone(), run: b.run })
         };
         let lent = |lent: LentTo| {
             let to = Arc::from(whole.shards.get(usize::from(lent.shard))?.as_str());
-            Some(Lent { to, loan: lent.loan, known: LoanKnown::Nothing })
+            Some(Lent { to, loan: lent.loan, status: LoanStatus::Unsent })
         };
         let mut task = Self {
             phase: progress.state,
             last_run: progress.last_run,
             failed: progress.failed,
             checkpoint: progress.checkpoint.clone(),
-            runs: progress.bound.iter().filter_map(place).collect(),
+            runs: progress.bound.iter().filter_map(placed).collect(),
             failed_on: None,
-            away_since: None,
+            not_running_since: None,
             lent: progress.lent.and_then(lent),
             loan: progress.loan,
             crashes: Crashes::default(),
         };
         // Without a waiting time, a waiting borrowed task would never be returned to its lender.
-        task.away_since = task.is_waiting().then_some(now);
+        task.not_running_since = task.is_waiting().then_some(now);
         task
     }
 
@@ -426,7 +426,7 @@
         let bound = self
             .runs
             .iter()
-            .map(|place| Binding { vm: intern(vms, &place.bound_vm()), run: place.run });
+            .map(|placed| Binding { vm: intern(vms, &placed.bound_vm()), run: placed.run });
         TaskProgress {
             state: self.phase,
             last_run: self.last_run,
@@ -446,7 +446,7 @@
     /// Removes a run; returns false if there is no such run.
     pub fn remove(&mut self, vm: &VmId, run: RunNumber) -> bool {
         let before = self.runs.len();
-        self.runs.retain(|place| place.run != run || place.vm != *vm);
+        self.runs.retain(|placed| placed.run != run || placed.vm != *vm);
         self.runs.len() < before
     }
 }
@@ -468,6 +468,6 @@
 }
 
 /// Whether a step's tasks are long-running: they are restarted however they end.
-pub fn lasts(step: &Step) -> bool {
+pub fn is_long_running(step: &Step) -> bool {
     step.life == Life::Lasting
 }
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -14,7 +14,7 @@
 
 use super::Shard;
 use super::event::{Action, FreeRoom, OtherShard, Summary};
-use super::job_run::{JobRun, Lent, LoanKnown, Occurrence, RecordState, Started, StepRun, Task};
+use super::job_run::{JobRun, Lent, LoanStatus, Occurrence, RecordState, Started, StepRun, Task};
 use super::vm_run::RunKey;
 use crate::job::progress::{Crashes, TaskPhase};
 use crate::job::{Checkpoint, Image, Job, JobId, Life, RunNumber, Share, Step, TaskRef};
@@ -60,7 +60,7 @@
     Lend { job: Arc<Job>, loan: u64, tasks: Vec<LentTask> },
     /// Confirms that the tasks are durable at the borrower, and tells whether a task of the job has
     /// started.
-    Taken { job: JobId, loan: u64, tasks: Vec<TaskRef>, begun: Begun },
+    Taken { job: JobId, loan: u64, tasks: Vec<TaskRef>, begun: JobStart },
     /// Returns tasks to the lender with their outcome.
     Return { job: JobId, tasks: Vec<ReturnedTask> },
     /// Confirms that the outcome is durable at the lender.
@@ -71,7 +71,7 @@
 
 /// Whether a task of a job has started at the borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Begun {
+pub enum JobStart {
     No,
     Yes,
 }
@@ -136,7 +136,7 @@
     }
 
     /// Sends loan messages at the next opportunity, after a change has become durable.
-    pub fn hurry(&mut self, now: Duration) {
+    pub fn send_soon(&mut self, now: Duration) {
         self.next_send = self.next_send.min(now);
     }
 
@@ -159,15 +159,15 @@
     /// Registers the loans of a job that was read from the store.
     pub(super) fn recover_loans(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if job.is_guest() {
+        if job.is_borrowed() {
             self.loans.borrowed.insert(id);
-        } else if job.has_lent() {
+        } else if job.has_lent_tasks() {
             self.loans.lending.insert(id);
         }
     }
 
     /// Sends the pending messages about loans whose state is durable.
-    pub(super) fn tell_loans(&mut self) {
+    pub(super) fn send_pending_loan_messages(&mut self) {
         let now = self.now.steady;
         if now < self.loans.next_send {
             return;
@@ -188,18 +188,18 @@
         if !self.log.is_durable(id) || self.log.age(now) >= MESSAGE_INTERVAL {
             return;
         }
-        if !job.has_lent() {
+        if !job.has_lent_tasks() {
             self.loans.lending.shift_remove(&id);
             return;
         }
         let mut msgs: IndexMap<(Arc<str>, u64), Vec<LentTask>> = IndexMap::new();
         let mut recalls: IndexMap<Arc<str>, Vec<LoanId>> = IndexMap::new();
-        for (task, known) in job.named_tasks() {
+        for (task, known) in job.tasks_with_refs() {
             let Some(lent) = &known.lent else { continue };
             if job.is_final() {
                 let loaned = LoanId { task, loan: lent.loan };
                 recalls.entry(lent.to.clone()).or_default().push(loaned);
-            } else if lent.known.needs_sending(now) {
+            } else if lent.status.needs_sending(now) {
                 let key = (lent.to.clone(), lent.loan);
                 msgs.entry(key).or_default().push(LentTask {
                     task,
@@ -226,9 +226,9 @@
     /// Marks loans as sent, so that they are not sent again before an answer can arrive.
     fn mark_sent(&mut self, id: JobId, tasks: &[LentTask], now: Duration) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        for told in tasks {
-            if let Some(lent) = job.task_mut(told.task).and_then(|task| task.lent.as_mut()) {
-                lent.known = LoanKnown::Told { ask: now + MESSAGE_INTERVAL };
+        for sent in tasks {
+            if let Some(lent) = job.task_mut(sent.task).and_then(|task| task.lent.as_mut()) {
+                lent.status = LoanStatus::Sent { resend_at: now + MESSAGE_INTERVAL };
             }
         }
     }
@@ -245,7 +245,7 @@
         }
         let Some(job) = self.jobs.get(&id) else { return };
         let tasks: Vec<ReturnedTask> =
-            job.named_tasks().filter_map(|(task, known)| returned_task(task, known)).collect();
+            job.tasks_with_refs().filter_map(|(task, known)| returned_task(task, known)).collect();
         if !tasks.is_empty() {
             let msg = LoanMsg::Return { job: id, tasks };
             self.send_message(&home, msg);
@@ -258,7 +258,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let tasks = job.open.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
         let stuck = tasks.filter(|task| {
-            let away = task.away_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
+            let away = task.not_running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
             task.is_waiting() && away >= RETURN_TIMEOUT
         });
         let mut changed = false;
@@ -271,7 +271,7 @@
         }
     }
 
-    pub(super) fn hear_message(&mut self, from: &Arc<str>, msg: LoanMsg) {
+    pub(super) fn handle_loan_message(&mut self, from: &Arc<str>, msg: LoanMsg) {
         match msg {
             LoanMsg::Lend { job, loan, tasks } => self.handle_lend(from, &job, loan, tasks),
             LoanMsg::Taken { job, loan, tasks, begun } => {
@@ -315,25 +315,25 @@
             self.request_schedule();
             self.log.touch(id);
         } else if self.log.is_durable(id) && !names.is_empty() {
-            let begun = if job.started == Started::Yes { Begun::Yes } else { Begun::No };
+            let begun = if job.started == Started::Yes { JobStart::Yes } else { JobStart::No };
             let msg = LoanMsg::Taken { job: id, loan, tasks: names, begun };
             self.send_message(from, msg);
         }
     }
 
-    fn handle_taken(&mut self, id: JobId, loan: u64, tasks: &[TaskRef], begun: Begun) {
-        let known = match begun {
-            Begun::No => LoanKnown::Taken { ask: self.now.steady + TAKEN_LOAN_INTERVAL },
-            Begun::Yes => LoanKnown::Begun,
+    fn handle_taken(&mut self, id: JobId, loan: u64, tasks: &[TaskRef], begun: JobStart) {
+        let status = match begun {
+            JobStart::No => LoanStatus::Taken { resend_at: self.now.steady + TAKEN_LOAN_INTERVAL },
+            JobStart::Yes => LoanStatus::JobStarted,
         };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         for task in tasks {
             let lent = job.task_mut(*task).and_then(|task| task.lent.as_mut());
             if let Some(lent) = lent.filter(|lent| lent.loan == loan) {
-                lent.known = known;
+                lent.status = status;
             }
         }
-        if begun == Begun::Yes {
+        if begun == JobStart::Yes {
             self.mark_started(id);
         }
     }
@@ -359,7 +359,7 @@
             let began = back.last_run > task.last_run;
             task.last_run = task.last_run.max(back.last_run);
             task.failed = task.failed.max(back.failed);
-            task.away_since.get_or_insert(self.now.steady);
+            task.not_running_since.get_or_insert(self.now.steady);
             if back.checkpoint.is_some() {
                 task.checkpoint = back.checkpoint;
             }
@@ -386,7 +386,7 @@
 
     fn handle_settled(&mut self, id: JobId, tasks: &[LoanId]) {
         let now = self.now.steady;
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_guest()) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_borrowed()) else { return };
         for loaned in tasks {
             let Some(task) = job.task_mut(loaned.task) else { continue };
             if task.loan == loaned.loan && task.runs.is_empty() && task.phase != TaskPhase::Open {
@@ -405,7 +405,7 @@
         let now = self.now.steady;
         let mut unknown = Vec::new();
         for loaned in tasks {
-            let job = self.jobs.get_mut(&id).filter(|job| job.is_guest());
+            let job = self.jobs.get_mut(&id).filter(|job| job.is_borrowed());
             let task = job.and_then(|job| job.task_mut(loaned.task));
             let ours = task.filter(|t| t.loan == loaned.loan && t.phase != TaskPhase::Elsewhere);
             let Some(task) = ours else {
@@ -416,12 +416,12 @@
             };
             if task.phase == TaskPhase::Open {
                 task.phase = TaskPhase::GivenBack;
-                let places = task.runs.clone();
+                let placed_runs = task.runs.clone();
                 self.log.touch(id);
-                for place in places {
-                    let key = RunKey { task: loaned.task, run: place.run };
+                for placed in placed_runs {
+                    let key = RunKey { task: loaned.task, run: placed.run };
                     self.stop_run(
-                        &place.vm,
+                        &placed.vm,
                         key,
                         "its job has ended in the shard that accepted it",
                     );
@@ -459,7 +459,7 @@
     }
 
     /// Lends waiting tasks that do not fit in this shard to shards with room.
-    pub(super) fn lend(&mut self, waiting: &[TaskRef]) {
+    pub(super) fn lend_waiting_tasks(&mut self, waiting: &[TaskRef]) {
         let now = self.now.steady;
         if self.loans.other_shards.is_empty() {
             return;
@@ -470,10 +470,10 @@
             let loan = self.log.next_seq();
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             let Some(known) = job.task_mut(*task) else { continue };
-            known.lent = Some(Lent { to: to.clone(), loan, known: LoanKnown::Nothing });
+            known.lent = Some(Lent { to: to.clone(), loan, status: LoanStatus::Unsent });
             self.log.touch(task.job);
             self.loans.lending.insert(task.job);
-            self.loans.hurry(now);
+            self.loans.send_soon(now);
             *lent.entry((task.job, to)).or_default() += 1;
         }
         for ((job, to), tasks) in lent {
@@ -486,7 +486,7 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?.clone();
         // A group runs in one shard, and a borrowed task is not lent again.
-        if job.is_guest() || step.members.as_one() {
+        if job.is_borrowed() || step.members.as_one() {
             return None;
         }
         let delay = match (step.share, step.life) {
@@ -496,7 +496,7 @@
             (Share::Reserved, Life::Finite) => LEND_DELAY,
         };
         let known = job.task(task)?;
-        let since = known.away_since.max(job.step_run(task)?.ready)?;
+        let since = known.not_running_since.max(job.step_run(task)?.ready)?;
         if self.now.steady.saturating_sub(since) < delay {
             return None;
         }
@@ -519,13 +519,13 @@
     }
 }
 
-impl LoanKnown {
+impl LoanStatus {
     /// Returns whether the loan message is to be sent now.
     fn needs_sending(self, now: Duration) -> bool {
         match self {
-            Self::Nothing => true,
-            Self::Told { ask } | Self::Taken { ask } => now >= ask,
-            Self::Begun => false,
+            Self::Unsent => true,
+            Self::Sent { resend_at } | Self::Taken { resend_at } => now >= resend_at,
+            Self::JobStarted => false,
         }
     }
 }
@@ -594,7 +594,7 @@
         failed: lent.failed,
         checkpoint: lent.checkpoint,
         crashes: lent.crashes,
-        away_since: Some(now),
+        not_running_since: Some(now),
         loan,
         ..Task::default()
     };
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -254,7 +254,7 @@
             return;
         }
         if record == RecordState::New {
-            if !job.is_guest() {
+            if !job.is_borrowed() {
                 txn.conditions.push(Condition { key: Keys::id(id), rev: Rev::ABSENT });
                 txn.puts.push(put(Keys::id(id), self.keys.shard.clone().into_bytes()));
             }
@@ -263,7 +263,7 @@
             }
             record = RecordState::Kept;
         }
-        let ended = job.is_final() && !job.has_runs() && !job.has_lent();
+        let ended = job.is_final() && !job.has_runs() && !job.has_lent_tasks();
         if ended && record == RecordState::Kept {
             if job.record == RecordState::Kept {
                 txn.deletes.push(self.keys.job(id));
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -187,7 +187,7 @@
             task.checkpoint.clone_from(&row.checkpoint);
         }
         if row.percent == 100 {
-            task.away_since = None;
+            task.not_running_since = None;
         }
         // An earlier owner may have been replaced before it could stop a run that is no longer
         // needed.
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -5,7 +5,7 @@
 
 use super::Shard;
 use super::interference::ImageIx;
-use super::job_run::{Effect, Place};
+use super::job_run::{Effect, PlacedRun};
 use super::order::Candidate;
 use super::room::{Room, Trial};
 use super::vm_run::{Run, RunKey};
@@ -176,7 +176,7 @@
         };
         let tasks = candidates.iter().flat_map(|candidate| &candidate.tasks);
         let left: Vec<TaskRef> = tasks.filter(waits).take(MAX_LOAN_OFFERS).copied().collect();
-        self.lend(&left);
+        self.lend_waiting_tasks(&left);
         self.make_room(&left, &pass);
     }
 
@@ -331,7 +331,7 @@
         let ready = job.step_run(task).and_then(|step| step.ready).unwrap_or(now);
         let Some(known) = job.task_mut(task) else { return };
         known.last_run = run;
-        known.runs.push(Place { vm: vm_id.clone(), addr: room.addr.clone(), run });
+        known.runs.push(PlacedRun { vm: vm_id.clone(), addr: room.addr.clone(), run });
         job.effects.push(Effect::Start { task, run, vm: vm_id.clone() });
         self.log.touch(task.job);
         let bound = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -1,7 +1,7 @@
 //! Takeover of a shard: rebuilds its state from the store, to be reconciled with what the VMs
 //! report.
 
-use super::job_run::{JobRun, Place};
+use super::job_run::{JobRun, PlacedRun};
 use super::log::{Keys, Log};
 use super::settings::{CLOCK_DRIFT, EXPIRY_MARGIN, MAX_STALE_OWNER_EXTENSION, Settings};
 use super::silence::{SilenceRecord, SilentVm, ToldLapse};
@@ -190,32 +190,37 @@
     fn recover_runs(&mut self, id: JobId) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get(&id) else { return };
-        for (task, place) in job.places() {
+        for (task, placed) in job.placed_runs() {
             let Some(step) = job.step(task) else { continue };
             let mut run = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
             run.stage = Stage::Recovered;
             let service = &job.job.service;
             let vm = self
                 .vms
-                .entry(place.vm.clone())
-                .or_insert_with(|| unlisted_vm(&place, service, now, self.inherited_runs_until));
-            vm.runs.insert(RunKey { task, run: place.run }, run);
+                .entry(placed.vm.clone())
+                .or_insert_with(|| unlisted_vm(&placed, service, now, self.inherited_runs_until));
+            vm.runs.insert(RunKey { task, run: placed.run }, run);
         }
     }
 }
 
 /// Creates an entry for a VM that has work bound to it but is not in the list: it may be
 /// unreachable or gone.
-fn unlisted_vm(place: &Place, service: &ServiceName, now: Duration, runs_ended_by: Duration) -> Vm {
+fn unlisted_vm(
+    placed: &PlacedRun,
+    service: &ServiceName,
+    now: Duration,
+    runs_ended_by: Duration,
+) -> Vm {
     let entry = VmEntry {
-        id: place.vm.clone(),
+        id: placed.vm.clone(),
         service: service.clone(),
         domain: DomainId::new(""),
         rack: RackId::new(""),
         labels: Vec::new(),
         size: Resources::ZERO,
         state: VmState::Ready,
-        addr: place.addr.clone(),
+        addr: placed.addr.clone(),
     };
     let mut vm = Vm::new(entry, now, runs_ended_by);
     vm.listing = Listing::Missing { since: now };
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -44,7 +44,7 @@
             if job.durable.is_none() {
                 continue;
             }
-            if job.started == Started::No && !job.is_guest() {
+            if job.started == Started::No && !job.is_borrowed() {
                 *queued.entry(job.job.queue.clone()).or_default() += 1;
             }
             let work = remaining_work(job);
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -140,7 +140,8 @@
     fn may_stop_another(&self, job: &JobRun, step: &Step, task: TaskRef) -> bool {
         let Some(most) = step.max_away else { return true };
         // Availability of the step's tasks in other shards is not known.
-        let Some(run) = job.step_run(task).filter(|run| !job.is_guest() && !has_lent(run)) else {
+        let Some(run) = job.step_run(task).filter(|run| !job.is_borrowed() && !has_lent_tasks(run))
+        else {
             return false;
         };
         let others =
@@ -153,9 +154,9 @@
     }
 
     fn is_available(&self, task: TaskRef, known: &Task) -> bool {
-        known.runs.iter().any(|place| {
-            let key = RunKey { task, run: place.run };
-            let run = self.vms.get(&place.vm).and_then(|vm| vm.runs.get(&key));
+        known.runs.iter().any(|placed| {
+            let key = RunKey { task, run: placed.run };
+            let run = self.vms.get(&placed.vm).and_then(|vm| vm.runs.get(&key));
             run.is_some_and(|run| run.is_running() && run.percent == 100)
         })
     }
@@ -173,7 +174,7 @@
     }
 }
 
-fn has_lent(run: &StepRun) -> bool {
+fn has_lent_tasks(run: &StepRun) -> bool {
     run.tasks.iter().any(|task| task.lent.is_some())
 }
 
--- a/src/shard/waiting.rs
+++ b/src/shard/waiting.rs
@@ -61,7 +61,7 @@
             for task in waiting(job) {
                 let Some(step) = job.step(task) else { continue };
                 if step.life == Life::Lasting && step.share == Share::Reserved {
-                    let since = job.task(task).and_then(|task| task.away_since);
+                    let since = job.task(task).and_then(|task| task.not_running_since);
                     self.add_to_tally(task, step, since, rooms, &mut tally);
                 }
             }
