--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -3,7 +3,7 @@
 use crate::ids::{DaemonId, DomainId};
 use crate::job::JobId;
 use crate::shard::interference::Learned;
-use crate::shard::{Summary, ToldLapse};
+use crate::shard::{ReportedLapse, Summary};
 use serde::{Deserialize, Serialize};
 
 /// A daemon.
@@ -71,5 +71,5 @@
     /// What it has learned of how images disturb each other; empty if it tells that another time.
     pub learned: Vec<Learned>,
     /// How long VMs that the store has as silent may keep their work running.
-    pub lapses: Vec<ToldLapse>,
+    pub lapses: Vec<ReportedLapse>,
 }
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -16,7 +16,7 @@
 use super::plan::Plan;
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Note, Word};
-use crate::shard::Previous;
+use crate::shard::PreviousOwner;
 use crate::vm::Fence;
 use indexmap::IndexMap;
 use members::Known;
@@ -73,7 +73,7 @@
 pub enum Action {
     Claim {
         shard: String,
-        previous: Previous,
+        previous: PreviousOwner,
         replaces: Replaced,
     },
     ReadHeads,
@@ -314,7 +314,7 @@
             return;
         }
         let cause = Cause {
-            previous: Previous::Ended,
+            previous: PreviousOwner::Ended,
             reason: "given by its owner",
             silent: Duration::ZERO,
             settle: Duration::ZERO,
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -6,7 +6,7 @@
 use crate::cluster::member::{Member, MemberStage, StoreReach};
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Ms, Note, Word};
-use crate::shard::Previous;
+use crate::shard::PreviousOwner;
 use indexmap::IndexMap;
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
 /// Why a shard has no owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Cause {
-    pub(super) previous: Previous,
+    pub(super) previous: PreviousOwner,
     pub(super) reason: Word,
     /// Time since the owner was last heard.
     pub(super) silent: Duration,
@@ -166,32 +166,32 @@
         let later = start_of(&known.member.id) > start_of(owner) || known.heard > view.since;
         let silent_too = silent >= SILENT_OWNER;
         return match (later, silent_too) {
-            (true, _) => cause(Previous::Ended, "its owner was restarted"),
-            (false, true) => cause(Previous::Unsure, "its owner is silent"),
+            (true, _) => cause(PreviousOwner::Ended, "its owner was restarted"),
+            (false, true) => cause(PreviousOwner::MaybeActive, "its owner is silent"),
             (false, false) => None,
         };
     }
     if known.refused.is_some() {
-        return cause(Previous::Ended, "its owner's process has ended");
+        return cause(PreviousOwner::Ended, "its owner's process has ended");
     }
     if silent >= PROBE_OWNER {
         probes.push(known.member.name.clone());
     }
     if silent >= SILENT_OWNER {
-        return cause(Previous::Unsure, "its owner is silent");
+        return cause(PreviousOwner::MaybeActive, "its owner is silent");
     }
     // What it said before it became the owner says nothing about this, and it doesn't name the shard
     // before it has read what the store has of it.
     let reads = !view.named && now.saturating_sub(view.since) < READING;
     let told = known.heard < view.since || known.shards.iter().any(|name| name == shard);
     let told = told || reads;
-    let gave_up = Cause { previous: Previous::Ended, ..no_owner("its owner gave it up") };
+    let gave_up = Cause { previous: PreviousOwner::Ended, ..no_owner("its owner gave it up") };
     (!told).then_some(gave_up)
 }
 
 /// A shard that seems to have no owner, which news may still tell of.
 fn no_owner(reason: Word) -> Cause {
-    let (previous, silent) = (Previous::Unsure, Duration::ZERO);
+    let (previous, silent) = (PreviousOwner::MaybeActive, Duration::ZERO);
     Cause { previous, reason, silent, settle: NEWS_DELAY }
 }
 
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -11,7 +11,7 @@
 use crate::note::Weight;
 use crate::permit::{self, PermitReq, PermitResp};
 use crate::shard::loan::LoanMsg;
-use crate::shard::{AdmissionMode, Lapse, Settings, Summary};
+use crate::shard::{AdmissionMode, Settings, Summary, VmLapse};
 use crate::units::Resources;
 use crate::vm::Fence;
 use actix::prelude::*;
@@ -168,7 +168,7 @@
         Err(permit::Error::NotSent { reason: "no service".to_owned() })
     }
 
-    async fn take(self, _: CallContext, _: String, _: DaemonId, _: Vec<Lapse>) {}
+    async fn take(self, _: CallContext, _: String, _: DaemonId, _: Vec<VmLapse>) {}
 }
 
 /// Serves a shard owner whose first connection stays unanswered.
--- a/src/jobs/claim.rs
+++ b/src/jobs/claim.rs
@@ -7,7 +7,7 @@
 use crate::job::progress::{Progress, decode, encode};
 use crate::job::{Job, JobId};
 use crate::kv::{Condition, Error, Freshness, Item, Kv, Put, Rev, Txn};
-use crate::shard::{CommitResult, Keys, Previous, Recovered, SilentVm, WriteOutcome};
+use crate::shard::{CommitResult, Keys, PreviousOwner, Recovered, SilentVm, WriteOutcome};
 use crate::vm::Fence;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
     store: &MonitoredStore<S>,
     me: &DaemonId,
     shard: &str,
-    previous: Previous,
+    previous: PreviousOwner,
     replaces: &Replaced,
 ) -> Result<(ShardWriter, Recovered)> {
     let keys = Keys::new(shard);
@@ -68,9 +68,9 @@
         seq: writer.head.seq,
         previous,
         predecessor: writer.head.before.as_ref().map(|before| before.owner.clone()),
-        lapses: Vec::new(),
+        unresponsive_vms: Vec::new(),
         silent: silent.as_ref().map(decode_silent_vms).transpose()?.unwrap_or_default(),
-        told: Vec::new(),
+        reported_lapses: Vec::new(),
         jobs: jobs.iter().map(decode_job).collect::<Result<_>>()?,
         progress: progress.iter().map(decode_progress).collect::<Result<_>>()?,
     };
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -36,7 +36,7 @@
 use crate::ring::{RING_CAPACITY, Ring, WhenFull};
 use crate::shard::interference::Learned;
 use crate::shard::loan::LoanMsg;
-use crate::shard::{self, Action, Event, Lapse, Now, Shard, Summary, ToldLapse};
+use crate::shard::{self, Action, Event, Now, ReportedLapse, Shard, Summary, VmLapse};
 use crate::upkeep::duty::{Duty, OwnShard};
 use crate::upkeep::{self};
 use crate::vm::{Fence, VmEntry};
@@ -98,18 +98,18 @@
 struct ShardOffer {
     from: DaemonId,
     at: Duration,
-    lapses: Vec<Lapse>,
+    lapses: Vec<VmLapse>,
 }
 
 /// A shard owner's last report on silent VMs, with its time.
 struct TimedLapses {
     at: Duration,
-    lapses: Vec<ToldLapse>,
+    lapses: Vec<ReportedLapse>,
 }
 
 impl TimedLapses {
     /// Adjusts the report to the time passed since.
-    fn aged(self, now: Duration) -> Vec<ToldLapse> {
+    fn aged(self, now: Duration) -> Vec<ReportedLapse> {
         let passed = now.saturating_sub(self.at);
         self.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect()
     }
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -9,7 +9,7 @@
 use crate::note::Note;
 use crate::shard::interference::Learned;
 use crate::shard::loan::LoanMsg;
-use crate::shard::{Answer, CommitResult, Event, FleetListStatus, Lapse, Recovered};
+use crate::shard::{Answer, CommitResult, Event, FleetListStatus, Recovered, VmLapse};
 use crate::upkeep::{self, Wave};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
@@ -236,7 +236,7 @@
 pub struct HandleOffer {
     pub shard: String,
     pub from: DaemonId,
-    pub lapses: Vec<Lapse>,
+    pub lapses: Vec<VmLapse>,
 }
 
 impl Handler<HandleOffer> for Control {
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -167,7 +167,7 @@
                 summary: (*hosted.summary).clone(),
                 accepted: hosted.accepted.iter().map(|(_, job)| *job).collect(),
                 learned: if learned_due { hosted.shard.learned() } else { Vec::new() },
-                lapses: hosted.shard.told_lapses(now),
+                lapses: hosted.shard.reported_lapses(now),
             }
         };
         self.hosted.iter_mut().map(news).collect()
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -83,7 +83,7 @@
         if let (Some(to), Some(rings)) = (new_owner, &self.rings)
             && to.id != from
         {
-            let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.lapses());
+            let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.unresponsive_vms());
             let (shard, lapses) = (shard.to_owned(), lapses.unwrap_or_default());
             rings.links.do_send(OfferShard { shard, to, from, lapses });
         }
@@ -94,7 +94,7 @@
         let Some(mut hosted) = self.hosted.shift_remove(shard) else { return };
         // Kept because this daemon may become the shard's next owner.
         let now = self.now().steady;
-        let lapses = TimedLapses { at: now, lapses: hosted.shard.told_lapses(now) };
+        let lapses = TimedLapses { at: now, lapses: hosted.shard.reported_lapses(now) };
         self.reported_lapses.insert(shard.to_owned(), lapses);
         for event in hosted.deferred.take().into_iter().flatten() {
             // A deferred call had no effect; its caller still waits and can be sent to the owner.
@@ -160,10 +160,11 @@
         // extended the time for which the VMs keep their work running.
         if let Some(offer) = offer.filter(|o| recovered.predecessor.as_ref() == Some(&o.from)) {
             let passed = now.steady.saturating_sub(offer.at);
-            recovered.lapses = offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
+            recovered.unresponsive_vms =
+                offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
         }
         if let Some(reported) = self.reported_lapses.shift_remove(&recovered.shard) {
-            recovered.told = reported.aged(now.steady);
+            recovered.reported_lapses = reported.aged(now.steady);
         }
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
@@ -178,7 +179,7 @@
         );
         let shared: Arc<str> = Arc::from(name.as_str());
         accepted_jobs.iter().for_each(|id| self.add_to_directory(*id, &shared));
-        let (_, runs) = shard.open_work();
+        let (_, runs) = shard.open_job_and_run_counts();
         journal_claim(&self.journal, &name, fence, jobs, runs);
         let summary = Arc::new(shard.summary());
         let hosted = HostedShard {
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -15,7 +15,9 @@
 use crate::note::Weight;
 use crate::permit::{self, PermitResp};
 use crate::ring::{Ring, WhenFull};
-use crate::shard::{Lapse, Mark, Previous, Recovered, Settings, SilentVm, Summary, ToldLapse};
+use crate::shard::{
+    PreviousOwner, Recovered, ReportedLapse, Settings, SilenceMark, SilentVm, Summary, VmLapse,
+};
 use crate::units::Resources;
 use crate::vm::Fence;
 use actix::prelude::*;
@@ -110,11 +112,11 @@
         shard: SHARD.to_owned(),
         fence: Fence(7),
         seq: 0,
-        previous: Previous::Ended,
+        previous: PreviousOwner::Ended,
         predecessor: None,
-        lapses: Vec::new(),
+        unresponsive_vms: Vec::new(),
         silent: Vec::new(),
-        told: Vec::new(),
+        reported_lapses: Vec::new(),
         jobs: Vec::new(),
         progress: Vec::new(),
     }))
@@ -200,7 +202,7 @@
         crashes: Vec::new(),
     };
     let Stored::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
-    recovered.silent = vec![SilentVm { vm: VmId::new(VM), mark: Mark(3) }];
+    recovered.silent = vec![SilentVm { vm: VmId::new(VM), mark: SilenceMark(3) }];
     recovered.progress = vec![(job.id, progress)];
     recovered.jobs = vec![Arc::new(job)];
     Stored::Claimed(recovered)
@@ -208,14 +210,14 @@
 
 /// Hello in which an earlier owner reports the silent VM.
 fn hello() -> Hello {
-    let lapse = Lapse { vm: VmId::new(VM), left: Duration::from_secs(5) };
+    let lapse = VmLapse { vm: VmId::new(VM), left: Duration::from_secs(5) };
     let news = ShardNews {
         name: SHARD.to_owned(),
         fence: 5,
         summary: Summary::default(),
         accepted: Vec::new(),
         learned: Vec::new(),
-        lapses: vec![ToldLapse { lapse, mark: Mark(3) }],
+        lapses: vec![ReportedLapse { lapse, mark: SilenceMark(3) }],
     };
     let from = Member { id: DaemonId::new("two@1"), name: "two".to_owned(), ..me() };
     Hello { from, store: StoreReach::Reached, config: 1, shards: vec![news] }
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -16,7 +16,7 @@
 use crate::ids::DaemonId;
 use crate::permit::{self, PermitReq, PermitResp};
 use crate::ring::RING_CAPACITY;
-use crate::shard::Lapse;
+use crate::shard::VmLapse;
 use crate::shard::loan::LoanMsg;
 use crate::vm::Fence;
 use actix::prelude::*;
@@ -61,7 +61,7 @@
     async fn ask(req: PermitReq) -> permit::Result<PermitResp>;
 
     /// Offers a shard that its owner has released.
-    async fn take(shard: String, from: DaemonId, lapses: Vec<Lapse>);
+    async fn take(shard: String, from: DaemonId, lapses: Vec<VmLapse>);
 }
 
 /// Why a call to another daemon failed.
@@ -178,7 +178,7 @@
         self.asker.send(AskHere(req)).await.map_err(ended)?
     }
 
-    async fn take(self, _: CallContext, shard: String, from: DaemonId, lapses: Vec<Lapse>) {
+    async fn take(self, _: CallContext, shard: String, from: DaemonId, lapses: Vec<VmLapse>) {
         self.control.do_send(HandleOffer { shard, from, lapses });
     }
 }
@@ -254,7 +254,7 @@
     pub shard: String,
     pub to: Member,
     pub from: DaemonId,
-    pub lapses: Vec<Lapse>,
+    pub lapses: Vec<VmLapse>,
 }
 
 impl Handler<OfferShard> for Links {
@@ -347,7 +347,7 @@
         self.request(HELLO_TIMEOUT, |client, cx| async move { client.hello(cx, hello).await }).await
     }
 
-    async fn offer_shard(&self, shard: String, from: DaemonId, lapses: Vec<Lapse>) -> Result<()> {
+    async fn offer_shard(&self, shard: String, from: DaemonId, lapses: Vec<VmLapse>) -> Result<()> {
         let offer =
             |client: JobsRpcClient, cx| async move { client.take(cx, shard, from, lapses).await };
         self.request(HELLO_TIMEOUT, offer).await
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -14,7 +14,7 @@
 use crate::job::JobId;
 use crate::kv::{Error, Kv, Result, Rev, Revised, Txn};
 use crate::ring::RING_CAPACITY;
-use crate::shard::{Keys, Previous};
+use crate::shard::{Keys, PreviousOwner};
 use actix::prelude::*;
 use indexmap::IndexMap;
 use std::cell::{Cell, RefCell};
@@ -224,7 +224,7 @@
 #[rtype(result = "()")]
 pub struct Claim {
     pub shard: String,
-    pub previous: Previous,
+    pub previous: PreviousOwner,
     pub replaces: Replaced,
 }
 
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -43,9 +43,9 @@
     OtherShard, Summary, WriteOutcome,
 };
 pub use log::Keys;
-pub use recover::{Lapse, Previous, Recovered};
+pub use recover::{PreviousOwner, Recovered, VmLapse};
 pub use settings::Settings;
-pub use silence::{Mark, SilentVm, ToldLapse};
+pub use silence::{ReportedLapse, SilenceMark, SilentVm};
 
 use crate::ids::VmId;
 use crate::job::{JobId, Life, Share, ShownState};
@@ -188,7 +188,7 @@
             self.poll_due_vms();
         }
         self.expire_closed();
-        self.record_silence();
+        self.update_silence_record();
         self.commit();
         self.report();
         if self.stage == Stage::HandingOver && self.log.is_settled() {
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -138,7 +138,7 @@
         match result {
             CommitResult::Durable => {
                 self.actions.extend(commit.actions);
-                self.log.silence.written();
+                self.log.silence.write_done();
                 self.loans.send_soon(self.now.steady);
                 for part in commit.parts {
                     self.handle_job_committed(part.id, part.state, part.record, seq);
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -233,7 +233,7 @@
 
     /// Queues the jobs and actions of a commit that was not applied for the next commit.
     pub fn redo(&mut self, commit: InFlight, jobs: &mut IndexMap<JobId, JobRun>) {
-        self.silence.not_written();
+        self.silence.write_failed();
         self.after_next_commit.extend(commit.actions);
         for mut part in commit.parts {
             let Some(job) = jobs.get_mut(&part.id) else { continue };
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -68,7 +68,7 @@
             Some(None) => return self.abandon_start(id, key, "the permit has expired"),
         };
         // A start extends the deadline of every task on the VM; see `silence`.
-        if !self.log.silence.may_extend(id) {
+        if !self.log.silence.may_extend_lease(id) {
             return;
         }
         let Some(vm) = self.vms.get_mut(id) else { return };
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -4,7 +4,7 @@
 use super::job_run::{JobRun, PlacedRun};
 use super::log::{Keys, Log};
 use super::settings::{CLOCK_DRIFT, EXPIRY_MARGIN, MAX_STALE_OWNER_EXTENSION, Settings};
-use super::silence::{SilenceRecord, SilentVm, ToldLapse};
+use super::silence::{ReportedLapse, SilenceRecord, SilentVm};
 use super::vm_run::{Listing, Run, RunKey, Stage, Vm};
 use super::{Closed, Now, Shard};
 use crate::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
@@ -27,27 +27,27 @@
     pub fence: Fence,
     /// Number of the last commit.
     pub seq: u64,
-    pub previous: Previous,
+    pub previous: PreviousOwner,
     pub jobs: Vec<Arc<Job>>,
     pub progress: Vec<(JobId, Progress)>,
     /// Previous owner.
     pub predecessor: Option<DaemonId>,
     /// VMs that did not answer the previous owner when it handed the shard over.
-    pub lapses: Vec<Lapse>,
+    pub unresponsive_vms: Vec<VmLapse>,
     /// VMs that are recorded as silent in the store.
     pub silent: Vec<SilentVm>,
     /// Remaining times of these VMs that owners reported, as of now.
-    pub told: Vec<ToldLapse>,
+    pub reported_lapses: Vec<ReportedLapse>,
 }
 
 /// A VM that does not answer, and how long it may still keep its work running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lapse {
+pub struct VmLapse {
     pub vm: VmId,
     pub left: Duration,
 }
 
-impl Lapse {
+impl VmLapse {
     /// Returns the lapse as seen after `passed`.
     pub fn aged(self, passed: Duration) -> Self {
         Self { left: self.left.saturating_sub(passed), ..self }
@@ -56,11 +56,11 @@
 
 /// State of the previous owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Previous {
+pub enum PreviousOwner {
     /// It has ended or has handed the shard over, and keeps no work running any more.
     Ended,
     /// It may not have noticed that it lost the shard, and may still extend its VMs' leases.
-    Unsure,
+    MaybeActive,
 }
 
 impl Shard {
@@ -74,8 +74,8 @@
     ) -> Self {
         let keep = settings.max_keep;
         let stale_owner_extension = match recovered.previous {
-            Previous::Ended => Duration::ZERO,
-            Previous::Unsure => MAX_STALE_OWNER_EXTENSION,
+            PreviousOwner::Ended => Duration::ZERO,
+            PreviousOwner::MaybeActive => MAX_STALE_OWNER_EXTENSION,
         };
         let keys = Keys::new(&recovered.shard);
         let mut shard = Self {
@@ -113,8 +113,8 @@
         }
         let progress: IndexMap<JobId, Progress> = recovered.progress.into_iter().collect();
         shard.recover_jobs(recovered.jobs, &progress);
-        shard.apply_lapses(&recovered.lapses);
-        shard.apply_told_lapses(recovered.told);
+        shard.apply_lapses(&recovered.unresponsive_vms);
+        shard.apply_reported_lapses(recovered.reported_lapses);
         shard
     }
 
@@ -123,15 +123,15 @@
     /// The new owner cannot know when the leases of these VMs were last extended, and would wait
     /// for the full time again before it starts their work elsewhere. Over three planned stops in a
     /// row, tasks of a dead VM were delayed by half a minute.
-    pub fn lapses(&self) -> Vec<Lapse> {
+    pub fn unresponsive_vms(&self) -> Vec<VmLapse> {
         let now = self.now.steady;
         let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_responsive(now));
         let lapse =
-            |vm: &Vm| Lapse { vm: vm.id.clone(), left: vm.runs_ended_by.saturating_sub(now) };
+            |vm: &Vm| VmLapse { vm: vm.id.clone(), left: vm.runs_ended_by.saturating_sub(now) };
         silent.map(lapse).collect()
     }
 
-    fn apply_lapses(&mut self, lapses: &[Lapse]) {
+    fn apply_lapses(&mut self, lapses: &[VmLapse]) {
         let now = self.now.steady;
         for lapse in lapses {
             if let Some(vm) = self.vms.get_mut(&lapse.vm) {
@@ -144,10 +144,12 @@
     /// since nobody has extended their leases.
     ///
     /// Without this, a task on a VM that died before its owner did was delayed for twice the time.
-    fn apply_told_lapses(&mut self, told: Vec<ToldLapse>) {
+    fn apply_reported_lapses(&mut self, reported_lapses: Vec<ReportedLapse>) {
         let silence = &self.log.silence;
-        let holds = |told: &ToldLapse| silence.mark(&told.lapse.vm) == Some(told.mark);
-        let lapses: Vec<Lapse> = told.into_iter().filter(holds).map(|told| told.lapse).collect();
+        let holds =
+            |reported: &ReportedLapse| silence.mark(&reported.lapse.vm) == Some(reported.mark);
+        let lapses: Vec<VmLapse> =
+            reported_lapses.into_iter().filter(holds).map(|reported| reported.lapse).collect();
         self.apply_lapses(&lapses);
         for lapse in lapses {
             let Some(vm) = self.vms.get(&lapse.vm) else { continue };
@@ -157,7 +159,7 @@
     }
 
     /// Numbers of jobs and runs that are not known to have ended.
-    pub fn open_work(&self) -> (usize, usize) {
+    pub fn open_job_and_run_counts(&self) -> (usize, usize) {
         (self.jobs.len(), self.vms.values().map(|vm| vm.runs.len()).sum())
     }
 
--- a/src/shard/silence.rs
+++ b/src/shard/silence.rs
@@ -8,7 +8,7 @@
 //! the record is in the store, however late they are read.
 
 use super::Shard;
-use super::recover::Lapse;
+use super::recover::VmLapse;
 use super::vm_run::{Responsiveness, Vm};
 use crate::ids::VmId;
 use indexmap::IndexMap;
@@ -23,23 +23,23 @@
 /// Number of the commit that first recorded a silent period; distinguishes it from earlier periods
 /// of the same VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark(pub u64);
+pub struct SilenceMark(pub u64);
 
 /// Stored entry of a VM whose lease is not extended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SilentVm {
     pub vm: VmId,
-    pub mark: Mark,
+    pub mark: SilenceMark,
 }
 
 /// How long a VM that is recorded as silent may keep its work running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLapse {
-    pub lapse: Lapse,
-    pub mark: Mark,
+pub struct ReportedLapse {
+    pub lapse: VmLapse,
+    pub mark: SilenceMark,
 }
 
-impl ToldLapse {
+impl ReportedLapse {
     /// Returns the lapse as seen after `passed`.
     pub fn aged(self, passed: Duration) -> Self {
         Self { lapse: self.lapse.aged(passed), ..self }
@@ -49,15 +49,15 @@
 /// The record of silent VMs: wanted, in flight to the store, and durable.
 #[derive(Debug, Default)]
 pub struct SilenceRecord {
-    wanted: IndexMap<VmId, Mark>,
-    sent: Option<IndexMap<VmId, Mark>>,
-    durable: IndexMap<VmId, Mark>,
+    wanted: IndexMap<VmId, SilenceMark>,
+    sent: Option<IndexMap<VmId, SilenceMark>>,
+    durable: IndexMap<VmId, SilenceMark>,
 }
 
 impl SilenceRecord {
     /// Creates the record from its stored rows.
     pub fn new(rows: Vec<SilentVm>) -> Self {
-        let durable: IndexMap<VmId, Mark> =
+        let durable: IndexMap<VmId, SilenceMark> =
             rows.into_iter().map(|row| (row.vm, row.mark)).collect();
         Self { wanted: durable.clone(), sent: None, durable }
     }
@@ -74,30 +74,30 @@
     }
 
     /// Marks the rows in flight as durable.
-    pub fn written(&mut self) {
+    pub fn write_done(&mut self) {
         if let Some(sent) = self.sent.take() {
             self.durable = sent;
         }
     }
 
     /// Discards the rows in flight, which were not written.
-    pub fn not_written(&mut self) {
+    pub fn write_failed(&mut self) {
         self.sent = None;
     }
 
     /// Returns whether a VM's lease may be extended: the VM is neither in the durable record nor in
     /// one that is being written.
-    pub fn may_extend(&self, vm: &VmId) -> bool {
+    pub fn may_extend_lease(&self, vm: &VmId) -> bool {
         let sent = self.sent.as_ref().is_some_and(|sent| sent.contains_key(vm));
         !sent && !self.durable.contains_key(vm)
     }
 
     /// Returns the mark of a VM that is durably recorded as silent.
-    pub fn mark(&self, vm: &VmId) -> Option<Mark> {
+    pub fn mark(&self, vm: &VmId) -> Option<SilenceMark> {
         self.durable.get(vm).copied()
     }
 
-    fn update_wanted(&mut self, silent: &[VmId], mark: Mark) {
+    fn update_wanted(&mut self, silent: &[VmId], mark: SilenceMark) {
         self.wanted.retain(|vm, _| silent.contains(vm));
         for vm in silent {
             // A VM in the durable record or in a write in flight keeps its mark.
@@ -110,7 +110,7 @@
 
 impl Shard {
     /// Updates the record of silent VMs for the next commit.
-    pub(super) fn record_silence(&mut self) {
+    pub(super) fn update_silence_record(&mut self) {
         let now = self.now.steady;
         let record = &self.log.silence;
         let recorded = |vm: &Vm| record.wanted.contains_key(&vm.id);
@@ -119,18 +119,18 @@
                 && (is_silent_for_long(vm, now) || recorded(vm) && has_not_answered(vm))
         };
         let silent: Vec<VmId> = self.vms.values().filter(silent).map(|vm| vm.id.clone()).collect();
-        let mark = Mark(self.log.next_seq());
+        let mark = SilenceMark(self.log.next_seq());
         self.log.silence.update_wanted(&silent, mark);
     }
 
     /// Returns the remaining time of each VM that is durably recorded as silent, as of `now`.
-    pub fn told_lapses(&self, now: Duration) -> Vec<ToldLapse> {
-        let told = |vm: &Vm| {
+    pub fn reported_lapses(&self, now: Duration) -> Vec<ReportedLapse> {
+        let reported = |vm: &Vm| {
             let mark = self.log.silence.mark(&vm.id)?;
             let left = vm.runs_ended_by.saturating_sub(now);
-            Some(ToldLapse { lapse: Lapse { vm: vm.id.clone(), left }, mark })
+            Some(ReportedLapse { lapse: VmLapse { vm: vm.id.clone(), left }, mark })
         };
-        self.vms.values().filter_map(told).collect()
+        self.vms.values().filter_map(reported).collect()
     }
 }
 
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -21,7 +21,7 @@
 };
 use waxwingstall::permit::{self, PermitPort, PermitReq, PermitResp};
 use waxwingstall::queues::Queues;
-use waxwingstall::shard::{FleetListStatus, Previous};
+use waxwingstall::shard::{FleetListStatus, PreviousOwner};
 use waxwingstall::units::Resources;
 use waxwingstall::upkeep::{self, Machine, MachinePort, UpkeepReq, WaveState};
 use waxwingstall::vm::{
@@ -450,7 +450,7 @@
 
 /// A claim of a shard that is known to have no owner.
 pub fn unowned_claim(shard: &str) -> Claim {
-    let (previous, replaces) = (Previous::Ended, Replaced::default());
+    let (previous, replaces) = (PreviousOwner::Ended, Replaced::default());
     Claim { shard: shard.to_owned(), previous, replaces }
 }
 
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -17,8 +17,8 @@
 use waxwingstall::permit::{self, PermitReq};
 use waxwingstall::queues::{PermitTimes, Queue, Queues};
 use waxwingstall::shard::{
-    Action, AdmissionMode, Answer, CommitResult, DrainOrder, Event, FleetListStatus, Keys, Lapse,
-    Now, OtherShard, Previous, Recovered, Settings, Shard, ToldLapse, WriteOutcome,
+    Action, AdmissionMode, Answer, CommitResult, DrainOrder, Event, FleetListStatus, Keys, Now,
+    OtherShard, PreviousOwner, Recovered, ReportedLapse, Settings, Shard, VmLapse, WriteOutcome,
 };
 use waxwingstall::units::Resources;
 use waxwingstall::vm::{Error as VmError, Fence, VmAddr, VmEntry, VmState};
@@ -120,7 +120,7 @@
     outdated_list: Option<Vec<VmEntry>>,
     queues: Arc<Queues>,
     /// Latest deadlines of silent VMs published by the owners, and when.
-    published_lapses: IndexMap<Arc<str>, (Duration, Vec<ToldLapse>)>,
+    published_lapses: IndexMap<Arc<str>, (Duration, Vec<ReportedLapse>)>,
     /// Published deadlines are lost from then on.
     published_lapses_lost_from: Duration,
     traced: bool,
@@ -161,7 +161,7 @@
                 world.add_vm(shard, number, size);
             }
         }
-        shards.iter().for_each(|shard| world.claim(shard, Previous::Ended));
+        shards.iter().for_each(|shard| world.claim(shard, PreviousOwner::Ended));
         world
     }
 
@@ -248,7 +248,7 @@
     /// Kills the shard's owner, and lets another one take over.
     pub fn replace_owner(&mut self, shard: &str) {
         self.owners.retain(|owner| &*owner.name != shard);
-        self.claim(shard, Previous::Ended);
+        self.claim(shard, PreviousOwner::Ended);
     }
 
     /// Kills the shard's owner, and lets another one take over that has not read the queues yet.
@@ -266,9 +266,9 @@
     /// Hands the shard over to a new owner, as at a planned shutdown.
     pub fn hand_over(&mut self, shard: &str) {
         let owner = self.owners.iter().rev().find(|owner| &*owner.name == shard);
-        let lapses = owner.expect("the shard has an owner").shard.lapses();
+        let lapses = owner.expect("the shard has an owner").shard.unresponsive_vms();
         self.owners.retain(|owner| &*owner.name != shard);
-        self.claim_with(shard, Previous::Ended, lapses);
+        self.claim_with(shard, PreviousOwner::Ended, lapses);
     }
 
     /// Pauses the shard's owner for a while, and lets another one take over meanwhile.
@@ -277,7 +277,7 @@
         for owner in self.owners.iter_mut().filter(|owner| &*owner.name == shard) {
             owner.paused_until = until;
         }
-        self.claim(shard, Previous::Unsure);
+        self.claim(shard, PreviousOwner::MaybeActive);
     }
 
     /// Number of tasks running on a VM.
@@ -392,11 +392,11 @@
     }
 
     /// Lets a new owner claim a shard and recover its state, in one step.
-    fn claim(&mut self, name: &str, previous: Previous) {
+    fn claim(&mut self, name: &str, previous: PreviousOwner) {
         self.claim_with(name, previous, Vec::new());
     }
 
-    fn claim_with(&mut self, name: &str, previous: Previous, lapses: Vec<Lapse>) {
+    fn claim_with(&mut self, name: &str, previous: PreviousOwner, lapses: Vec<VmLapse>) {
         let keys = Keys::new(name);
         let present = self.kv.get(&keys.head());
         let before: Option<Head> =
@@ -414,12 +414,12 @@
             seq: head.seq,
             previous,
             predecessor: head.before.as_ref().map(|before| before.owner.clone()),
-            lapses,
+            unresponsive_vms: lapses,
             silent: self
                 .kv
                 .get(&keys.silence())
                 .map_or(Vec::new(), |item| decode(&item.value).expect("silent VMs")),
-            told: self.published_lapses_of(name),
+            reported_lapses: self.published_lapses_of(name),
             jobs: jobs.iter().map(|(_, v)| Arc::new(decode::<Job>(v).expect("a job"))).collect(),
             progress: progress
                 .iter()
@@ -443,10 +443,10 @@
         });
     }
 
-    fn published_lapses_of(&self, name: &str) -> Vec<ToldLapse> {
-        let Some((at, told)) = self.published_lapses.get(name) else { return Vec::new() };
+    fn published_lapses_of(&self, name: &str) -> Vec<ReportedLapse> {
+        let Some((at, reported)) = self.published_lapses.get(name) else { return Vec::new() };
         let passed = self.now - *at;
-        told.iter().map(|told| told.clone().aged(passed)).collect()
+        reported.iter().map(|reported| reported.clone().aged(passed)).collect()
     }
 
     fn collect_published_lapses(&mut self) {
@@ -455,8 +455,8 @@
         }
         for owner in &self.owners {
             if self.now >= owner.paused_until && !owner.unaware {
-                let told = owner.shard.told_lapses(self.now);
-                self.published_lapses.insert(owner.name.clone(), (self.now, told));
+                let reported = owner.shard.reported_lapses(self.now);
+                self.published_lapses.insert(owner.name.clone(), (self.now, reported));
             }
         }
     }
