--- a/src/shard.rs
+++ b/src/shard.rs
@@ -76,7 +76,7 @@
     permit_requests: permits::PermitRequests,
     maintenance_drain: vacate::MaintenanceDrain,
     crash_log: crash::CrashLog,
-    kept: compact::Kept,
+    reservations: compact::Reservations,
     vm_list: fleet::VmListSource,
     /// Latest time until which VMs that this owner hasn't reached may keep running tasks started by
     /// earlier owners.
--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -12,8 +12,8 @@
 
 use super::Shard;
 use super::job_run::{PlacedRun, Task};
-use super::place::Pass;
-use super::room::{Room, Trial};
+use super::place::SchedulePass;
+use super::room::{Probation, VmCapacity};
 use super::vm_run::RunKey;
 use crate::ids::{ServiceName, VmId};
 use crate::job::{Life, Share, Step, TaskRef};
@@ -40,7 +40,7 @@
 
 /// VMs that are reserved for specific tasks.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct Reservations {
     vms: Vec<ReservedVm>,
     next_check: Duration,
 }
@@ -55,18 +55,18 @@
     until: Duration,
 }
 
-impl Kept {
+impl Reservations {
     /// Returns whether a VM is reserved for a task.
-    pub fn has(&self, vm: &VmId) -> bool {
-        self.vms.iter().any(|kept| kept.vm == *vm)
+    pub fn is_reserved(&self, vm: &VmId) -> bool {
+        self.vms.iter().any(|reserved| reserved.vm == *vm)
     }
 
     fn has_task(&self, task: TaskRef) -> bool {
-        self.vms.iter().any(|kept| kept.task == task)
+        self.vms.iter().any(|reserved| reserved.task == task)
     }
 
     fn moves(&self) -> usize {
-        self.vms.iter().filter(|kept| kept.from.is_none()).count()
+        self.vms.iter().filter(|reserved| reserved.from.is_none()).count()
     }
 }
 
@@ -93,52 +93,53 @@
 
 impl Shard {
     /// Releases VMs whose task has been placed or will not be placed there any more.
-    pub(super) fn release_kept(&mut self) {
+    pub(super) fn release_reservations(&mut self) {
         let now = self.now.steady;
-        let mut kept = std::mem::take(&mut self.kept);
-        kept.vms.retain(|kept| {
-            let task = self.jobs.get(&kept.task.job).filter(|job| !job.is_final());
-            let task = task.and_then(|job| job.task(kept.task));
+        let mut reservations = std::mem::take(&mut self.reservations);
+        reservations.vms.retain(|reserved| {
+            let task = self.jobs.get(&reserved.task.job).filter(|job| !job.is_final());
+            let task = task.and_then(|job| job.task(reserved.task));
             let is_pending = task.is_some_and(|task| {
-                let leaves = |placed: &PlacedRun| kept.from.as_ref() == Some(&placed.vm);
+                let leaves = |placed: &PlacedRun| reserved.from.as_ref() == Some(&placed.vm);
                 task.is_waiting() || (!task.runs.is_empty() && task.runs.iter().all(leaves))
             });
-            is_pending && now < kept.until
+            is_pending && now < reserved.until
         });
-        self.kept = kept;
+        self.reservations = reservations;
     }
 
     /// Binds tasks to the VMs that are reserved for them as soon as they fit.
-    pub(super) fn place_kept(&mut self, pass: &mut Pass) {
-        for kept in self.kept.vms.clone() {
-            let job = self.jobs.get(&kept.task.job);
-            let waits = job.and_then(|job| job.task(kept.task)).is_some_and(Task::is_waiting);
-            let Some(step) = job.and_then(|job| job.step(kept.task)).filter(|_| waits).cloned()
+    pub(super) fn place_reserved(&mut self, pass: &mut SchedulePass) {
+        for reserved in self.reservations.vms.clone() {
+            let job = self.jobs.get(&reserved.task.job);
+            let waits = job.and_then(|job| job.task(reserved.task)).is_some_and(Task::is_waiting);
+            let Some(step) = job.and_then(|job| job.step(reserved.task)).filter(|_| waits).cloned()
             else {
                 continue;
             };
-            let fits =
-                |room: &&mut Room| room.vm == kept.vm && room.takes(&step, kept.task.of_step());
+            let fits = |room: &&mut VmCapacity| {
+                room.vm == reserved.vm && room.takes(&step, reserved.task.of_step())
+            };
             if let Some(room) = pass.rooms.iter_mut().find(fits) {
-                self.bind(kept.task, &step, room);
+                self.bind(reserved.task, &step, room);
             }
         }
     }
 
     /// Moves smaller long-running tasks for larger ones that have waited long enough.
-    pub(super) fn make_room(&mut self, waiting: &[TaskRef], pass: &Pass) {
+    pub(super) fn plan_moves(&mut self, waiting: &[TaskRef], pass: &SchedulePass) {
         let now = self.now.steady;
-        if now < self.kept.next_check {
+        if now < self.reservations.next_check {
             return;
         }
-        self.kept.next_check = now + CHECK_INTERVAL;
+        self.reservations.next_check = now + CHECK_INTERVAL;
         let candidates: Vec<(TaskRef, Step)> = waiting
             .iter()
             .filter_map(|task| Some((*task, self.step_needing_room(*task)?)))
             .collect();
         for (task, step) in candidates.into_iter().take(MAX_TASKS_PER_CHECK) {
-            if self.kept.moves() < MAX_CONCURRENT_MOVES {
-                self.make_room_for(task, &step, pass);
+            if self.reservations.moves() < MAX_CONCURRENT_MOVES {
+                self.plan_moves_for(task, &step, pass);
             }
         }
     }
@@ -149,11 +150,11 @@
         let step = job.step(task).filter(|step| can_run_anywhere(step))?;
         let known = job.task(task).filter(|task| task.is_waiting())?;
         let waited = self.now.steady.saturating_sub(known.not_running_since?);
-        let needs = waited >= MOVE_DELAY && !self.kept.has_task(task);
+        let needs = waited >= MOVE_DELAY && !self.reservations.has_task(task);
         (needs && self.permits_of(task).is_none()).then(|| step.clone())
     }
 
-    fn make_room_for(&mut self, task: TaskRef, step: &Step, pass: &Pass) {
+    fn plan_moves_for(&mut self, task: TaskRef, step: &Step, pass: &SchedulePass) {
         let Some(job) = self.jobs.get(&task.job) else { return };
         let since = job.task(task).and_then(|task| task.not_running_since);
         let waited = since.map_or(Duration::ZERO, |at| self.now.steady.saturating_sub(at));
@@ -175,43 +176,53 @@
         for (movable, target) in plan.moved {
             let task = movable.key.task;
             let from = Some(plan.vm.clone());
-            self.kept.vms.push(ReservedVm { vm: target, task, from, until });
+            self.reservations.vms.push(ReservedVm { vm: target, task, from, until });
             self.stop_run(&plan.vm, movable.key, "it makes room for a larger task");
         }
-        self.kept.vms.push(ReservedVm { vm: plan.vm, task, from: None, until });
+        self.reservations.vms.push(ReservedVm { vm: plan.vm, task, from: None, until });
     }
 
     /// Returns the VMs that may take part in a move.
-    fn eligible_rooms<'a>(&self, rooms: &'a [Room], service: &ServiceName) -> Vec<&'a Room> {
-        let free = |room: &&Room| {
+    fn eligible_rooms<'a>(
+        &self,
+        rooms: &'a [VmCapacity],
+        service: &ServiceName,
+    ) -> Vec<&'a VmCapacity> {
+        let free = |room: &&VmCapacity| {
             room.service == *service
-                && room.trial == Trial::No
+                && room.probation == Probation::No
                 && !room.drains_soon
-                && room.suspects == 0
-                && !self.kept.has(&room.vm)
+                && room.crash_suspects == 0
+                && !self.reservations.is_reserved(&room.vm)
         };
         rooms.iter().filter(free).collect()
     }
 
     /// Returns the plan that moves the fewest milli-cores.
-    fn plan(&self, task: TaskRef, step: &Step, rooms: &[&Room]) -> Option<MovePlan> {
-        if rooms.iter().any(|room| room.could_take(step, task.of_step())) {
+    fn plan(&self, task: TaskRef, step: &Step, rooms: &[&VmCapacity]) -> Option<MovePlan> {
+        if rooms.iter().any(|room| room.fits_without_finite(step, task.of_step())) {
             // Only short tasks are in the way, and they end soon.
             return None;
         }
         let free_by_vm: Vec<(&VmId, Resources)> =
-            rooms.iter().map(|room| (&room.vm, room.beside_lasting())).collect();
+            rooms.iter().map(|room| (&room.vm, room.capacity_beside_long_running())).collect();
         let most = free_by_vm.iter().map(|(_, room)| room.milli_cores).max()?;
         let plans = rooms.iter().filter_map(|room| {
             let movable = self.movable(room, step, most);
-            plan_for_vm(&room.vm, step.reserved(), room.beside_lasting(), &movable, &free_by_vm)
+            plan_for_vm(
+                &room.vm,
+                step.reserved(),
+                room.capacity_beside_long_running(),
+                &movable,
+                &free_by_vm,
+            )
         });
         plans.min_by_key(MovePlan::milli_cores)
     }
 
     /// Returns the long-running tasks on a VM that may move for a larger one. `most` is the largest
     /// free room on any VM, which a task must fit in.
-    fn movable(&self, room: &Room, larger: &Step, most: MilliCores) -> Vec<MovableTask> {
+    fn movable(&self, room: &VmCapacity, larger: &Step, most: MilliCores) -> Vec<MovableTask> {
         let Some(vm) = self.vms.get(&room.vm) else { return Vec::new() };
         let may_move = |(key, run): (&RunKey, &super::vm_run::Run)| {
             let job = self.jobs.get(&key.task.job).filter(|job| !job.is_final())?;
--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -9,8 +9,8 @@
 mod tests;
 
 use super::Shard;
-use super::place::{MIN_LEFTOVER_SPEED, Pass};
-use super::room::Room;
+use super::place::{MIN_LEFTOVER_SPEED, SchedulePass};
+use super::room::VmCapacity;
 use super::vm_run::{Run, RunKey};
 use crate::ids::VmId;
 use crate::job::{Life, Resume, Share, Step};
@@ -31,7 +31,7 @@
 
 impl Shard {
     /// Stops slowed runs for which a better VM is available.
-    pub(super) fn move_slowed(&mut self, slowed: Vec<(VmId, RunKey)>, pass: &mut Pass) {
+    pub(super) fn move_slowed(&mut self, slowed: Vec<(VmId, RunKey)>, pass: &mut SchedulePass) {
         let mut moved = 0;
         for (vm, key) in slowed {
             if moved >= MAX_MOVED {
@@ -43,7 +43,7 @@
             let Some(step) = job.step(key.task).cloned() else { continue };
             let image = self.image(key.task);
             let service = job.job.service.clone();
-            let is_better = |room: &&mut Room| {
+            let is_better = |room: &&mut VmCapacity| {
                 room.vm != vm
                     && room.service == service
                     && room.takes(&step, key.task.of_step())
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -11,7 +11,7 @@
 use super::event::Action;
 use super::job_run::JobRun;
 use super::order::Candidate;
-use super::room::Room;
+use super::room::VmCapacity;
 use crate::ids::VmId;
 use crate::job::{QueueName, Step, StepRef, TaskRef};
 use crate::note::{Ms, Note};
@@ -158,7 +158,11 @@
     }
 
     /// Requests permits for the most urgent steps with tasks that fit on no permitted VM.
-    pub(super) fn request_missing_permits(&mut self, candidates: &[Candidate], rooms: &[Room]) {
+    pub(super) fn request_missing_permits(
+        &mut self,
+        candidates: &[Candidate],
+        rooms: &[VmCapacity],
+    ) {
         for candidate in candidates {
             let Some(times) = self.jobs.get(&candidate.id).and_then(|job| self.queue(job)?.permits)
             else {
@@ -175,7 +179,7 @@
     }
 
     /// Requests permits for steps that become ready soon, if the request limit allows it.
-    fn request_upcoming_permits(&mut self, rooms: &[Room]) {
+    fn request_upcoming_permits(&mut self, rooms: &[VmCapacity]) {
         let next: Vec<(Vec<TaskRef>, PermitTimes)> = self
             .jobs
             .values()
@@ -198,7 +202,7 @@
         self.permit_requests.max_in_flight = max_requests.max(1);
     }
 
-    fn request_permits(&mut self, group: &[TaskRef], times: PermitTimes, rooms: &[Room]) {
+    fn request_permits(&mut self, group: &[TaskRef], times: PermitTimes, rooms: &[VmCapacity]) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get(&group[0].job) else { return };
         let (Some(step), Some(run)) = (job.step(group[0]), job.step_run(group[0])) else { return };
@@ -234,17 +238,17 @@
         step: &Step,
         permits: &StepPermits,
         wanted: &VmSelection,
-        rooms: &[Room],
+        rooms: &[VmCapacity],
         service: &crate::ids::ServiceName,
     ) -> Vec<VmId> {
         let now = self.now.steady;
-        let fits = |room: &&Room| {
+        let fits = |room: &&VmCapacity| {
             room.service == *service
                 && self.has_label(&room.vm, step)
                 && !permits.is_denied(&room.vm)
                 && permits.valid_permit(&room.vm, now).is_none()
         };
-        let mut open: Vec<(usize, &Room)> =
+        let mut open: Vec<(usize, &VmCapacity)> =
             rooms.iter().filter(fits).map(|room| (room.fitting(step), room)).collect();
         // VMs with room that were permitted before come first: a request renews their permits.
         open.sort_by_key(|(fitting, room)| {
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -7,7 +7,7 @@
 use super::interference::ImageIx;
 use super::job_run::{Effect, PlacedRun};
 use super::order::Candidate;
-use super::room::{Room, Trial};
+use super::room::{Probation, VmCapacity};
 use super::vm_run::{Run, RunKey};
 use crate::ids::{ServiceName, VmId};
 use crate::job::{Job, JobId, Life, Share, Step, StepRef, TaskRef};
@@ -84,8 +84,8 @@
 const MAX_LOAN_OFFERS: usize = 64;
 
 /// State of one scheduling pass.
-pub(super) struct Pass {
-    pub rooms: Vec<Room>,
+pub(super) struct SchedulePass {
+    pub rooms: Vec<VmCapacity>,
     /// Task shapes that could not be placed in this pass. Room only shrinks during a pass, so they
     /// aren't tried again.
     unplaceable: Vec<Shape>,
@@ -134,7 +134,7 @@
     }
 }
 
-impl Pass {
+impl SchedulePass {
     fn is_unplaceable(&self, shape: &Shape) -> bool {
         self.unplaceable.iter().any(|unplaceable| shape.requires_at_least(unplaceable))
     }
@@ -154,16 +154,16 @@
         }
         self.last_schedule = now;
         self.next_schedule = now + SCHEDULE_EVERY;
-        self.release_kept();
+        self.release_reservations();
         let slowed = self.slowed();
         if self.candidates().is_empty() && slowed.is_empty() {
             return;
         }
-        let mut rooms: Vec<Room> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
+        let mut rooms: Vec<VmCapacity> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
         let is_crowded = self.lasting_share(&rooms) > CROWDED_SHARE;
         rooms.iter_mut().for_each(|room| room.is_crowded = is_crowded);
-        let mut pass = Pass { rooms, unplaceable: Vec::new() };
-        self.place_kept(&mut pass);
+        let mut pass = SchedulePass { rooms, unplaceable: Vec::new() };
+        self.place_reserved(&mut pass);
         let candidates = self.candidates();
         for candidate in &candidates {
             self.place_job(candidate, &mut pass);
@@ -177,10 +177,10 @@
         let tasks = candidates.iter().flat_map(|candidate| &candidate.tasks);
         let left: Vec<TaskRef> = tasks.filter(waits).take(MAX_LOAN_OFFERS).copied().collect();
         self.lend_waiting_tasks(&left);
-        self.make_room(&left, &pass);
+        self.plan_moves(&left, &pass);
     }
 
-    fn place_job(&mut self, candidate: &Candidate, pass: &mut Pass) {
+    fn place_job(&mut self, candidate: &Candidate, pass: &mut SchedulePass) {
         let Some(job) = self.jobs.get(&candidate.id) else { return };
         let spec = job.job.clone();
         for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
@@ -209,18 +209,24 @@
     }
 
     /// Places all tasks of a group, or none of them.
-    fn place_together(&mut self, group: &[TaskRef], step: &Step, shape: &Shape, pass: &mut Pass) {
+    fn place_together(
+        &mut self,
+        group: &[TaskRef],
+        step: &Step,
+        shape: &Shape,
+        pass: &mut SchedulePass,
+    ) {
         if group.len() != step.tasks as usize {
             return;
         }
-        let mut trial = pass.rooms.clone();
+        let mut trial_rooms = pass.rooms.clone();
         let mut choices = Vec::new();
         for task in group {
-            let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial) else {
+            let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial_rooms) else {
                 return;
             };
-            trial[choice].take(step, self.image(*task), task.of_step(), &self.effects);
-            trial[choice].suspects += usize::from(self.is_suspect(*task));
+            trial_rooms[choice].take(step, self.image(*task), task.of_step(), &self.effects);
+            trial_rooms[choice].crash_suspects += usize::from(self.is_suspect(*task));
             choices.push(choice);
         }
         let run = group.iter().filter_map(|task| {
@@ -246,15 +252,15 @@
         step: &Step,
         need: Need,
         shape: &Shape,
-        rooms: &[Room],
+        rooms: &[VmCapacity],
     ) -> Option<usize> {
         let (key, now) = (task.of_step(), self.now.steady);
         let permits = self.permits_of(task);
         let suspect = self.is_suspect(task);
         let failed_on = self.jobs.get(&task.job).and_then(|job| job.task(task)?.failed_on.clone());
-        let fits = |(_, room): &(usize, &Room)| {
+        let fits = |(_, room): &(usize, &VmCapacity)| {
             let held = room.held_for_lasting && step.life == Life::Finite;
-            !held && !room.is_kept && room.service == shape.service && room.takes(step, key)
+            !held && !room.is_reserved && room.service == shape.service && room.takes(step, key)
         };
         rooms
             .iter()
@@ -273,7 +279,7 @@
 
     /// Computes the cost of placing a task on a VM (lower is better), or `None` if the task should
     /// rather wait.
-    fn cost(&self, room: &Room, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
+    fn cost(&self, room: &VmCapacity, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
         let cost = match (step.share, step.life) {
             (Share::Leftover, _) => self.leftover_cost(room, step, image, need)?,
             (Share::Reserved, Life::Lasting) if room.is_crowded => crowded_cost(room, step, image),
@@ -298,7 +304,13 @@
     /// Nothing is started next to a task that has been over its target for long. New work runs at
     /// full speed until the VM is polled again, so successive starts kept such a task over its
     /// target while all its earlier neighbours were stopped for it.
-    fn leftover_cost(&self, room: &Room, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
+    fn leftover_cost(
+        &self,
+        room: &VmCapacity,
+        step: &Step,
+        image: ImageIx,
+        need: Need,
+    ) -> Option<f64> {
         if room.is_overloaded {
             return None;
         }
@@ -313,7 +325,7 @@
 
     /// Returns the effective speed of leftover work on a VM, reduced by the harm to serving tasks,
     /// from 0 to 1.
-    pub(super) fn speed(&self, room: &Room, step: &Step, image: ImageIx) -> f64 {
+    pub(super) fn speed(&self, room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
         room.leftover_speed(step) * room.worth_after_harm(step, image, &self.effects)
     }
 
@@ -323,7 +335,7 @@
     }
 
     /// Binds a task to a VM. It is started once the binding is durable.
-    pub(super) fn bind(&mut self, task: TaskRef, step: &Step, room: &mut Room) {
+    pub(super) fn bind(&mut self, task: TaskRef, step: &Step, room: &mut VmCapacity) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let run = Self::next_run(job, task);
@@ -340,7 +352,7 @@
         }
         let (ready_ms, neighbours) = (Ms(now.saturating_sub(ready)), room.tasks());
         room.take(step, self.image(task), task.of_step(), &self.effects);
-        room.suspects += usize::from(self.is_suspect(task));
+        room.crash_suspects += usize::from(self.is_suspect(task));
         let free_cores = u64::from(room.free.milli_cores.0 / 1000);
         let milli_cores = step.size.milli_cores.0;
         self.note(Note::TaskBound {
@@ -356,12 +368,12 @@
 }
 
 /// Computes the part of the cost that doesn't depend on the kind of task.
-fn penalty(room: &Room, key: StepRef, step: &Step, failed_on: Option<&VmId>) -> f64 {
+fn penalty(room: &VmCapacity, key: StepRef, step: &Step, failed_on: Option<&VmId>) -> f64 {
     let mut cost = SAME_STEP_COST * room.count(key) as f64;
     if failed_on == Some(&room.vm) {
         cost += PREVIOUS_FAILURE_COST;
     }
-    if room.trial == Trial::Yes {
+    if room.probation == Probation::Yes {
         cost += PROBATION_COST;
     }
     if step.rack.as_ref().is_some_and(|rack| *rack != room.rack) {
@@ -372,12 +384,13 @@
 
 /// Computes the cost that keeps tasks suspected of crashing their VM away from each other and, as
 /// far as possible, from other tasks.
-fn suspect_cost(room: &Room, suspect: bool) -> f64 {
-    let beside = SUSPECT_NEIGHBOUR_COST * room.suspects as f64;
+fn suspect_cost(room: &VmCapacity, suspect: bool) -> f64 {
+    let beside = SUSPECT_NEIGHBOUR_COST * room.crash_suspects as f64;
     if !suspect {
         return beside;
     }
-    SUSPECT_PAIR_COST * room.suspects as f64 + LASTING_NEIGHBOUR_COST * room.lasting_tasks as f64
+    SUSPECT_PAIR_COST * room.crash_suspects as f64
+        + LASTING_NEIGHBOUR_COST * room.lasting_tasks as f64
 }
 
 /// Computes the cost of a lasting task when the shard isn't crowded.
@@ -386,7 +399,7 @@
 /// them. They fill one VM after another, which leaves some VMs without any: work that disturbs
 /// every image runs there, and work that must start immediately finds room. This scored 0.43 on
 /// days with faults on 66 VMs; keeping a fifth of each VM free instead scored 0.38 to 0.40.
-fn lasting_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
+fn lasting_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
     let opened = if same + others == 0 { FIRST_SERVING_TASK_COST } else { 0.0 };
@@ -398,7 +411,7 @@
 /// Computes the cost of a lasting task when the shard is crowded. The task goes where the least
 /// room is left, so that a larger one can still find enough room on a single VM; mixing images only
 /// breaks ties.
-fn crowded_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
+fn crowded_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
     let drains_soon = if room.drains_soon { DRAINS_SOON_COST } else { 0.0 };
@@ -411,12 +424,12 @@
 ///
 /// Memory is checked as well: a VM whose memory was permanently taken used to be held for its free
 /// processors, and the task never fit.
-fn hold_vm_for(task: TaskRef, step: &Step, shape: &Shape, rooms: &mut [Room]) {
+fn hold_vm_for(task: TaskRef, step: &Step, shape: &Shape, rooms: &mut [VmCapacity]) {
     if step.life != Life::Lasting || step.share != Share::Reserved {
         return;
     }
-    let fits = |room: &&mut Room| {
-        room.could_take(step, task.of_step())
+    let fits = |room: &&mut VmCapacity| {
+        room.fits_without_finite(step, task.of_step())
             && !room.held_for_lasting
             && room.service == shape.service
     };
--- a/src/shard/place/tests.rs
+++ b/src/shard/place/tests.rs
@@ -2,7 +2,7 @@
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, JobId, Life, Step, TaskRef};
 use crate::shard::interference::{Effects, ImageIx};
-use crate::shard::room::Room;
+use crate::shard::room::VmCapacity;
 use crate::units::Resources;
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,14 @@
     }
 }
 
-fn room(name: &str) -> Room {
-    Room::empty(VmId::new(name), Arc::from(name), RackId::new("r0"), ServiceName::new("shop"), SIZE)
+fn room(name: &str) -> VmCapacity {
+    VmCapacity::empty(
+        VmId::new(name),
+        Arc::from(name),
+        RackId::new("r0"),
+        ServiceName::new("shop"),
+        SIZE,
+    )
 }
 
 fn images(effects: &mut Effects) -> [ImageIx; 2] {
@@ -37,7 +43,7 @@
         let image = if number % 2 == 0 { a } else { b };
         let task = TaskRef { job: JobId(number), ..TaskRef::default() }.of_step();
         let fitting = rooms.iter_mut().filter(|room| room.takes(&step, task));
-        let cost = |room: &Room| lasting_cost(room, &step, image);
+        let cost = |room: &VmCapacity| lasting_cost(room, &step, image);
         let best = fitting.min_by(|x, y| cost(x).total_cmp(&cost(y))).expect("there is room");
         best.take(&step, image, task, &effects);
     }
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -92,7 +92,7 @@
             permit_requests: super::permits::PermitRequests::default(),
             maintenance_drain: super::vacate::MaintenanceDrain::default(),
             crash_log: super::crash::CrashLog::default(),
-            kept: super::compact::Kept::default(),
+            reservations: super::compact::Reservations::default(),
             effects: super::interference::Effects::default(),
             vm_list: super::fleet::VmListSource::Inherited { since: now.steady },
             inherited_runs_until: now.steady
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -20,7 +20,7 @@
 
 /// Available capacity of one VM.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct VmCapacity {
     pub vm: VmId,
     /// Address of the VM as `ip:port`.
     pub addr: Arc<str>,
@@ -31,17 +31,17 @@
     pub leftover: f64,
     /// Processors that the leftover work on the VM demands, in millicores.
     pub leftover_demand: f64,
-    pub trial: Trial,
+    pub probation: Probation,
     /// Whether the VM is held for a waiting lasting task.
     pub held_for_lasting: bool,
     /// Whether the shard's lasting tasks are crowded.
     pub is_crowded: bool,
-    /// Whether the VM is kept for a single task that is to be placed on it.
-    pub is_kept: bool,
+    /// Whether the VM is reserved for a single task that is to be placed on it.
+    pub is_reserved: bool,
     /// Whether a serving task on the VM has been over its target for long.
     pub is_overloaded: bool,
     /// Number of tasks on the VM that are suspected of crashing their VM.
-    pub suspects: usize,
+    pub crash_suspects: usize,
     /// Whether the VM must be drained soon.
     pub drains_soon: bool,
     /// Serving tasks on the VM.
@@ -67,7 +67,7 @@
 
 /// Whether a VM is on probation and gets one task at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trial {
+pub enum Probation {
     No,
     Yes,
 }
@@ -92,13 +92,13 @@
 
 impl Shard {
     /// Returns the room on a VM, or `None` if it accepts no work at the moment.
-    pub(super) fn room(&self, vm: &Vm) -> Option<Room> {
+    pub(super) fn room(&self, vm: &Vm) -> Option<VmCapacity> {
         if self.maintenance_drain.is_draining(&vm.id) {
             return None;
         }
-        let mut room = Room::of(vm, self.now.steady)?;
+        let mut room = VmCapacity::of(vm, self.now.steady)?;
         let now = self.now.steady;
-        room.is_kept = self.kept.has(&vm.id);
+        room.is_reserved = self.reservations.is_reserved(&vm.id);
         room.drains_soon = self.maintenance_drain.is_drain_scheduled(&vm.id);
         room.is_overloaded =
             vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
@@ -108,7 +108,7 @@
             let Some(step) = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task)) else {
                 continue;
             };
-            room.suspects += usize::from(self.is_suspect(key.task));
+            room.crash_suspects += usize::from(self.is_suspect(key.task));
             let image = self.image(key.task);
             if step.life == Life::Lasting {
                 room.finite_capacity = room.finite_capacity.saturating_sub(&run.reserved);
@@ -141,16 +141,18 @@
 /// Load bound of a serving task that has reported nothing yet.
 const DEFAULT_LOAD_BOUND: f64 = 0.72;
 
-impl Room {
+impl VmCapacity {
     /// Returns the room on a VM as far as its own state tells, or `None` if it accepts no work at
     /// the moment.
     fn of(vm: &Vm, now: Duration) -> Option<Self> {
         if !vm.takes_work(now) || vm.is_overcommitted() {
             return None;
         }
-        let trial = match vm.health.state(now) {
-            State::Healthy => Trial::No,
-            State::Probation if vm.runs.values().all(super::vm_run::Run::is_running) => Trial::Yes,
+        let probation = match vm.health.state(now) {
+            State::Healthy => Probation::No,
+            State::Probation if vm.runs.values().all(super::vm_run::Run::is_running) => {
+                Probation::Yes
+            }
             State::Probation | State::Quarantined { .. } => return None,
         };
         let mut used = 0.0;
@@ -168,7 +170,7 @@
             free: vm.free(),
             leftover: (room.leftover - used).max(0.0),
             leftover_demand,
-            trial,
+            probation,
             steps: vm.runs.keys().map(|key: &RunKey| key.task.of_step()).collect(),
             ..room
         })
@@ -191,12 +193,12 @@
             free: size,
             leftover: cores,
             leftover_demand: 0.0,
-            trial: Trial::No,
+            probation: Probation::No,
             held_for_lasting: false,
             is_crowded: false,
-            is_kept: false,
+            is_reserved: false,
             is_overloaded: false,
-            suspects: 0,
+            crash_suspects: 0,
             drains_soon: false,
             served: Vec::new(),
             lasting: 0.0,
@@ -213,7 +215,7 @@
     }
 
     /// Returns whether a task of the step will fit once all finite tasks have ended.
-    pub fn could_take(&self, step: &Step, key: StepRef) -> bool {
+    pub fn fits_without_finite(&self, step: &Step, key: StepRef) -> bool {
         step.reserved().fits_in(&self.finite_capacity) && self.is_below_vm_limit(step, key)
     }
 
@@ -228,7 +230,7 @@
     }
 
     /// Returns the capacity that lasting tasks leave free.
-    pub fn beside_lasting(&self) -> Resources {
+    pub fn capacity_beside_long_running(&self) -> Resources {
         self.finite_capacity
     }
 
@@ -288,7 +290,7 @@
 
     /// Estimates the millicores that leftover work of an image can use here without harming serving
     /// tasks, if no other leftover work runs.
-    pub fn harmless(&self, image: ImageIx, effects: &Effects) -> u64 {
+    pub fn harmless_milli_cores(&self, image: ImageIx, effects: &Effects) -> u64 {
         let bound = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
         let most = |served: &ServingTask| {
             let amount = effects.amount(image, served.image);
@@ -303,7 +305,7 @@
     }
 
     /// Estimates the millicores that additional leftover work of an image can use without harm.
-    pub fn harmless_free(&self, image: ImageIx, effects: &Effects) -> u64 {
+    pub fn free_harmless_milli_cores(&self, image: ImageIx, effects: &Effects) -> u64 {
         let most = |served: &ServingTask| {
             let amount = effects.amount(image, served.image);
             if amount <= 0.0 { self.size } else { served.slack.max(0.0) / amount * self.size }
--- a/src/shard/room/tests.rs
+++ b/src/shard/room/tests.rs
@@ -1,4 +1,4 @@
-use super::{Room, ServingTask};
+use super::{ServingTask, VmCapacity};
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, Resume, Share, Step};
 use crate::shard::interference::{Effects, Estimate, ImageIx, Learned, Pair};
@@ -28,7 +28,7 @@
     let [image, serving]: [ImageIx; 2] =
         ["leftover", "serving"].map(|name| effects.number(&Image::new(name)));
     let (rack, service) = (RackId::new("r0"), ServiceName::new("desk"));
-    let mut room = Room::empty(VmId::new("vm"), Arc::from("vm"), rack, service, SIZE);
+    let mut room = VmCapacity::empty(VmId::new("vm"), Arc::from("vm"), rack, service, SIZE);
     room.served = vec![ServingTask { image: serving, slack }; 5];
     room.worth_after_harm(&leftover(), image, &effects)
 }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -5,7 +5,7 @@
 use super::event::{AdmissionMode, Summary};
 use super::job_run::{Started, Task};
 use super::place::{LASTING_LIMIT, LASTING_SHARE};
-use super::room::{Room, Trial};
+use super::room::{Probation, VmCapacity};
 use crate::job::QueueName;
 use crate::job::progress::TaskPhase;
 use crate::job::{Life, Share};
@@ -22,7 +22,7 @@
             summary.capacity += u64::from(vm.entry.size.milli_cores.0);
             summary.free += u64::from(room.free.milli_cores.0);
             summary.leftover += room.leftover.max(0.0) as u64;
-            if room.trial == Trial::No {
+            if room.probation == Probation::No {
                 summary.rooms.push(FreeRoom {
                     free: room.free,
                     rack: room.rack.clone(),
@@ -33,8 +33,12 @@
             rooms.push(room);
         }
         for (number, image) in self.effects.leftover_images() {
-            let all = rooms.iter().map(|room| room.harmless(number, &self.effects)).sum();
-            let free = rooms.iter().map(|room| room.harmless_free(number, &self.effects)).sum();
+            let all =
+                rooms.iter().map(|room| room.harmless_milli_cores(number, &self.effects)).sum();
+            let free = rooms
+                .iter()
+                .map(|room| room.free_harmless_milli_cores(number, &self.effects))
+                .sum();
             summary.harmless.push((image.clone(), all));
             summary.harmless_free.push((image.clone(), free));
         }
@@ -58,10 +62,10 @@
 
 impl Shard {
     /// Fraction of the VMs' CPU that long-running tasks reserve, including those that are waiting.
-    pub(super) fn lasting_share(&self, rooms: &[Room]) -> f64 {
+    pub(super) fn lasting_share(&self, rooms: &[VmCapacity]) -> f64 {
         let open = self.jobs.values().filter(|job| !job.is_final());
         let lasting: u64 = open.map(lasting_milli_cores).sum();
-        let cores: f64 = rooms.iter().map(Room::milli_cores).sum();
+        let cores: f64 = rooms.iter().map(VmCapacity::milli_cores).sum();
         lasting as f64 / cores.max(1.0)
     }
 }
--- a/src/shard/waiting.rs
+++ b/src/shard/waiting.rs
@@ -3,7 +3,7 @@
 
 use super::Shard;
 use super::order::waiting;
-use super::room::Room;
+use super::room::VmCapacity;
 use super::vm_run::Vm;
 use crate::job::{Life, Share, Step, TaskRef};
 use crate::note::{Ms, Note};
@@ -26,7 +26,7 @@
 impl Shard {
     /// Logs the lasting tasks that wait for room.
     pub(super) fn report_waiting(&mut self) {
-        let rooms: Vec<Room> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
+        let rooms: Vec<VmCapacity> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
         let tally = self.tally_lasting(&rooms);
         if tally.tasks == 0 {
             return;
@@ -55,7 +55,7 @@
         });
     }
 
-    fn tally_lasting(&self, rooms: &[Room]) -> Tally {
+    fn tally_lasting(&self, rooms: &[VmCapacity]) -> Tally {
         let mut tally = Tally::default();
         for job in self.jobs.values().filter(|job| !job.is_final()) {
             for task in waiting(job) {
@@ -74,7 +74,7 @@
         task: TaskRef,
         step: &Step,
         since: Option<Duration>,
-        rooms: &[Room],
+        rooms: &[VmCapacity],
         tally: &mut Tally,
     ) {
         let waited = since.map_or(Duration::ZERO, |at| self.now.steady.saturating_sub(at));
@@ -85,11 +85,12 @@
         let least = tally.least_mib.unwrap_or(u32::MAX);
         tally.least_mib = Some(least.min(step.size.memory_mib.0));
         tally.max_milli_cores = tally.max_milli_cores.max(step.size.milli_cores.0);
-        let here = |room: &Room| {
-            !room.is_kept && room.takes(step, task.of_step()) && self.has_label(&room.vm, step)
+        let here = |room: &VmCapacity| {
+            !room.is_reserved && room.takes(step, task.of_step()) && self.has_label(&room.vm, step)
+        };
+        let later = |room: &VmCapacity| {
+            room.fits_without_finite(step, task.of_step()) && self.has_label(&room.vm, step)
         };
-        let later =
-            |room: &Room| room.could_take(step, task.of_step()) && self.has_label(&room.vm, step);
         if rooms.iter().any(here) {
             tally.fit_here += 1;
         } else if self.fits_elsewhere(task.job, step) {
