--- a/src/shard.rs
+++ b/src/shard.rs
@@ -191,7 +191,7 @@
         self.update_silence_record();
         self.commit();
         self.report();
-        if self.stage == Stage::HandingOver && self.log.is_settled() {
+        if self.stage == Stage::HandingOver && self.log.all_durable() {
             self.stage = Stage::HandedOver;
             self.actions.push(Action::HandedOver);
         }
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -214,7 +214,7 @@
         if let Some(step) = job.step_run_mut(task).filter(|_| affected.is_sudden()) {
             step.proven = false;
         }
-        self.log.touch(task.job);
+        self.log.mark_changed(task.job);
     }
 
     fn fail_for_crashes(&mut self, vm: &VmId, affected: &AffectedRun, reason: Word) {
@@ -246,6 +246,6 @@
         if let Some(step) = job.step_run_mut(key.task) {
             step.proven = true;
         }
-        self.log.touch(key.task.job);
+        self.log.mark_changed(key.task.job);
     }
 }
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -47,7 +47,7 @@
             }
         }
         job.effects.push(Effect::Forget { vm: end.vm.clone(), number: end.number });
-        self.log.touch(task.job);
+        self.log.mark_changed(task.job);
         match end.how {
             EndKind::Succeeded => self.task_succeeded(&end.vm, task),
             EndKind::Failed if !state.is_final() => self.task_failed(&end.vm, end.key, ran_ms),
@@ -170,7 +170,7 @@
         if !begun.is_empty() {
             self.request_schedule();
         }
-        begun.into_iter().for_each(|id| self.log.touch(id));
+        begun.into_iter().for_each(|id| self.log.mark_changed(id));
     }
 
     /// Stops a run by a decision of the scheduler.
@@ -209,7 +209,7 @@
             task.remove(vm, key.run);
             task.not_running_since.get_or_insert(now);
         }
-        self.log.touch(key.task.job);
+        self.log.mark_changed(key.task.job);
         self.advance(key.task.job);
     }
 
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -41,7 +41,7 @@
             }
             known.effects.push(Effect::Reply { ticket, answer: Answer::Accepted });
             // The commit that contains the job may already be in flight without this effect.
-            self.log.touch(id);
+            self.log.mark_changed(id);
             return;
         }
         if let Some((reason, retry_after)) =
@@ -61,7 +61,7 @@
         let mut run = JobRun::new(job, images, self.now.steady);
         run.effects.push(Effect::Reply { ticket, answer: Answer::Accepted });
         self.jobs.insert(id, run);
-        self.log.touch(id);
+        self.log.mark_changed(id);
     }
 
     /// Reason and retry delay if the shard can't accept any job at the moment.
@@ -107,7 +107,7 @@
             self.note(Note::JobCancelled { job: id, queue, runs });
             self.stop_job(id, "cancelled");
         }
-        self.log.touch(id);
+        self.log.mark_changed(id);
     }
 
     pub(super) fn show(&mut self, ticket: Ticket, id: JobId) {
@@ -134,7 +134,7 @@
     }
 
     pub(super) fn handle_commit_result(&mut self, seq: u64, result: CommitResult) {
-        let Some(commit) = self.log.answered(seq) else { return };
+        let Some(commit) = self.log.complete(seq) else { return };
         match result {
             CommitResult::Durable => {
                 self.actions.extend(commit.actions);
@@ -146,7 +146,7 @@
                 }
             }
             CommitResult::JobExists(known) => {
-                self.log.redo(commit, &mut self.jobs);
+                self.log.requeue(commit, &mut self.jobs);
                 known.into_iter().for_each(|id| self.drop_duplicate(id));
             }
             CommitResult::Superseded(outcome) => {
@@ -197,7 +197,7 @@
 
     /// Drops a submitted job that already exists in another shard, so that it is not run twice.
     fn drop_duplicate(&mut self, id: JobId) {
-        self.log.forget(id);
+        self.log.remove(id);
         let Some(job) = self.jobs.shift_remove(&id) else { return };
         for effect in job.effects {
             if let Effect::Reply { ticket, .. } = effect {
@@ -224,7 +224,7 @@
         let queue = job.job.queue.clone();
         let (waited, tasks) = (now.saturating_sub(job.since), task_count(&job.job));
         if job.is_borrowed() {
-            if record == RecordState::Dropped && !self.log.waits(id) {
+            if record == RecordState::Dropped && !self.log.is_pending(id) {
                 self.jobs.shift_remove(&id);
             }
             return;
@@ -238,7 +238,7 @@
             let (state, took_ms) = (state_word(state), Ms(waited));
             self.note(Note::JobEnded { job: id, queue, state, took_ms, aim_ms, seq });
         }
-        if record == RecordState::Closed && !self.log.waits(id) {
+        if record == RecordState::Closed && !self.log.is_pending(id) {
             self.jobs.shift_remove(&id);
             self.closed.insert(id, Closed { state, since: now });
         }
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -267,7 +267,7 @@
             changed = true;
         }
         if changed {
-            self.log.touch(id);
+            self.log.mark_changed(id);
         }
     }
 
@@ -313,7 +313,7 @@
         if changed {
             job.advance(now);
             self.request_schedule();
-            self.log.touch(id);
+            self.log.mark_changed(id);
         } else if self.log.is_durable(id) && !names.is_empty() {
             let begun = if job.started == Started::Yes { JobStart::Yes } else { JobStart::No };
             let msg = LoanMsg::Taken { job: id, loan, tasks: names, begun };
@@ -372,7 +372,7 @@
             if began {
                 self.mark_started(id);
             }
-            self.log.touch(id);
+            self.log.mark_changed(id);
         }
         if failed && self.jobs.get(&id).is_some_and(|job| !job.is_final()) {
             self.fail_job(id);
@@ -398,7 +398,7 @@
             job.record = RecordState::Dropped;
             self.loans.borrowed.shift_remove(&id);
         }
-        self.log.touch(id);
+        self.log.mark_changed(id);
     }
 
     fn handle_recall(&mut self, from: &Arc<str>, id: JobId, tasks: &[LoanId]) {
@@ -417,7 +417,7 @@
             if task.phase == TaskPhase::Open {
                 task.phase = TaskPhase::GivenBack;
                 let placed_runs = task.runs.clone();
-                self.log.touch(id);
+                self.log.mark_changed(id);
                 for placed in placed_runs {
                     let key = RunKey { task: loaned.task, run: placed.run };
                     self.stop_run(
@@ -471,7 +471,7 @@
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             let Some(known) = job.task_mut(*task) else { continue };
             known.lent = Some(Lent { to: to.clone(), loan, status: LoanStatus::Unsent });
-            self.log.touch(task.job);
+            self.log.mark_changed(task.job);
             self.loans.lending.insert(task.job);
             self.loans.send_soon(now);
             *lent.entry((task.job, to)).or_default() += 1;
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -90,14 +90,14 @@
 pub struct InFlight {
     pub seq: u64,
     pub since: Duration,
-    pub parts: Vec<Part>,
+    pub parts: Vec<CommitPart>,
     /// Actions to take once the commit is durable.
     pub actions: Vec<Action>,
 }
 
 /// The part of a commit that concerns one job.
 #[derive(Debug)]
-pub struct Part {
+pub struct CommitPart {
     pub id: JobId,
     /// Job state that the commit makes durable.
     pub state: ShownState,
@@ -122,7 +122,7 @@
     }
 
     /// Marks a job as changed.
-    pub fn touch(&mut self, id: JobId) {
+    pub fn mark_changed(&mut self, id: JobId) {
         self.changed.insert(id);
     }
 
@@ -137,19 +137,19 @@
     }
 
     /// Removes a job from the next commit.
-    pub fn forget(&mut self, id: JobId) {
+    pub fn remove(&mut self, id: JobId) {
         self.changed.shift_remove(&id);
     }
 
     /// Returns whether a job waits for the next commit.
-    pub fn waits(&self, id: JobId) -> bool {
+    pub fn is_pending(&self, id: JobId) -> bool {
         self.changed.contains(&id)
     }
 
     /// Returns whether all changes of a job are durable.
     pub fn is_durable(&self, id: JobId) -> bool {
         let in_flight = self.in_flight.as_ref();
-        !self.waits(id) && !in_flight.is_some_and(|c| c.parts.iter().any(|part| part.id == id))
+        !self.is_pending(id) && !in_flight.is_some_and(|c| c.parts.iter().any(|part| part.id == id))
     }
 
     /// Lowest sequence number under which a change made now can be committed.
@@ -158,7 +158,7 @@
     }
 
     /// Returns whether all job changes are durable.
-    pub fn is_settled(&self) -> bool {
+    pub fn all_durable(&self) -> bool {
         self.changed.is_empty() && self.in_flight.is_none()
     }
 
@@ -217,7 +217,7 @@
     }
 
     /// Takes the commit in flight once its answer has arrived; `None` if `seq` is another commit.
-    pub fn answered(&mut self, seq: u64) -> Option<InFlight> {
+    pub fn complete(&mut self, seq: u64) -> Option<InFlight> {
         let commit = self.in_flight.take()?;
         if commit.seq != seq {
             self.in_flight = Some(commit);
@@ -232,7 +232,7 @@
     }
 
     /// Queues the jobs and actions of a commit that was not applied for the next commit.
-    pub fn redo(&mut self, commit: InFlight, jobs: &mut IndexMap<JobId, JobRun>) {
+    pub fn requeue(&mut self, commit: InFlight, jobs: &mut IndexMap<JobId, JobRun>) {
         self.silence.write_failed();
         self.after_next_commit.extend(commit.actions);
         for mut part in commit.parts {
@@ -250,7 +250,7 @@
             txn.deletes.push(self.keys.job(id));
             txn.deletes.push(self.keys.progress(id));
             let effects = std::mem::take(&mut job.effects);
-            commit.parts.push(Part { id, state: job.state, record, effects });
+            commit.parts.push(CommitPart { id, state: job.state, record, effects });
             return;
         }
         if record == RecordState::New {
@@ -273,7 +273,7 @@
         }
         txn.puts.push(put(self.keys.progress(id), job.progress().encode()));
         let effects = std::mem::take(&mut job.effects);
-        commit.parts.push(Part { id, state: job.state, record, effects });
+        commit.parts.push(CommitPart { id, state: job.state, record, effects });
     }
 }
 
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -345,7 +345,7 @@
         known.last_run = run;
         known.runs.push(PlacedRun { vm: vm_id.clone(), addr: room.addr.clone(), run });
         job.effects.push(Effect::Start { task, run, vm: vm_id.clone() });
-        self.log.touch(task.job);
+        self.log.mark_changed(task.job);
         let bound = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
         if let Some(vm) = self.vms.get_mut(&vm_id) {
             vm.runs.insert(RunKey { task, run }, bound);
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -176,7 +176,7 @@
             if self.jobs.get(&id).is_some_and(|job| job.is_final()) {
                 // Stop the remaining runs and close the job record.
                 self.stop_job(id, "its job has ended");
-                self.log.touch(id);
+                self.log.mark_changed(id);
             }
         }
         // If there are two instances of a VM at one address, the address is asked which of them is
