--- a/benches/shards/main.rs
+++ b/benches/shards/main.rs
@@ -1,9 +1,9 @@
 //! What a shard costs its owner, at the load of the grown sites.
 //!
-//! One shard of 30 VMs with lasting tasks on most of their processors, short jobs that must start
-//! at once, and wide jobs that take what is left over, in twice the amount that fits. The cost is
-//! that of [`Shard::step`](waxwingstall::shard::Shard::step) with the stand-ins' tables around it;
-//! `valgrind --tool=callgrind` tells them apart.
+//! One shard of 30 VMs with long-running tasks on most of their processors, short jobs that must
+//! start at once, and wide jobs that take what is left over, in twice the amount that fits. The
+//! cost is that of [`Shard::step`](waxwingstall::shard::Shard::step) with the stand-ins' tables
+//! around it; `valgrind --tool=callgrind` tells them apart.
 
 #[allow(dead_code)] // the tests use the rest
 #[path = "../../tests/shards/faults.rs"]
@@ -33,13 +33,13 @@
 const QUICK_PER_S: f64 = 1.2;
 const WIDE_PER_S: f64 = 1.14;
 
-/// Lasting jobs that stand at the start.
-const LASTING: u64 = 10;
+/// Long-running jobs that stand at the start.
+const LONG_RUNNING_JOBS: u64 = 10;
 
 const PLAYED: Duration = Duration::from_secs(30);
 const TICK: Duration = Duration::from_millis(100);
 
-fn lasting(id: u64) -> Job {
+fn long_running(id: u64) -> Job {
     let mut job = chain(id, 1, 14, work(0, 6));
     let step = &mut job.steps[0];
     step.image = Some(Image::new(&format!("serving-{}", id % 10)));
@@ -65,8 +65,8 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut world = World::new(Sound, &[SHARD], VMS, SIZE);
     let mut next = 1;
-    for _ in 0..LASTING {
-        world.submit(SHARD, lasting(next));
+    for _ in 0..LONG_RUNNING_JOBS {
+        world.submit(SHARD, long_running(next));
         next += 1;
     }
     world.run_for(Duration::from_secs(2));
--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -455,12 +455,12 @@
         };
         let lasting = summary.lasting as f64 + load.reserved + self.reserved;
         match mode {
-            AdmissionMode::IfRoom if summary.is_full_with(lasting, mode) => None,
+            AdmissionMode::IfRoom if summary.exceeds_long_running_limit(lasting, mode) => None,
             // The shard with the most room for lasting tasks was tried first and refused. Trying
             // hundreds of shards with less room one by one would use up the call's time.
             AdmissionMode::Always
                 if !self.refusals.unconditional.is_empty()
-                    && summary.is_full_with(lasting, mode) =>
+                    && summary.exceeds_long_running_limit(lasting, mode) =>
             {
                 None
             }
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -231,13 +231,13 @@
     /// Resets the crash counts of a task whose run has worked for long enough.
     pub(super) fn reset_crash_counts(&mut self, key: RunKey, worked: Duration) {
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
-        let lasting = job.step(key.task).is_some_and(is_long_running);
+        let long_running = job.step(key.task).is_some_and(is_long_running);
         let Some(task) = job.task_mut(key.task) else { return };
         let before = task.crashes;
         if worked >= SUDDEN_RESET_AFTER {
             task.crashes.sudden = 0;
         }
-        if worked >= TOTAL_RESET_AFTER && lasting {
+        if worked >= TOTAL_RESET_AFTER && long_running {
             task.crashes.all = 0;
         }
         if task.crashes == before {
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -20,7 +20,7 @@
 
 /// Refusal when the shard accepts no more long-running tasks. Capacity is freed as other jobs are
 /// cancelled, which takes seconds.
-const LASTING_LIMIT_REACHED: (&str, Duration) =
+const LONG_RUNNING_LIMIT_REACHED: (&str, Duration) =
     ("lasting tasks have all the room that they may take", Duration::from_secs(2));
 
 /// Refusal when the shard has little room for a job's long-running tasks.
@@ -78,15 +78,16 @@
     /// Refuses a job whose long-running tasks would take the capacity reserved for jobs that must
     /// start immediately.
     fn capacity_refusal(&self, job: &Job, mode: AdmissionMode) -> Option<(&'static str, Duration)> {
-        let lasting = lasting_cores(job);
-        if lasting == 0 {
+        let long_running = long_running_milli_cores(job);
+        if long_running == 0 {
             return None;
         }
         let summary = self.summary();
-        let full = summary.is_full_with((summary.lasting + lasting) as f64, mode);
+        let full =
+            summary.exceeds_long_running_limit((summary.lasting + long_running) as f64, mode);
         full.then_some(match mode {
             AdmissionMode::IfRoom => LITTLE_ROOM,
-            AdmissionMode::Always => LASTING_LIMIT_REACHED,
+            AdmissionMode::Always => LONG_RUNNING_LIMIT_REACHED,
         })
     }
 
@@ -217,7 +218,9 @@
         seq: u64,
     ) {
         let now = self.now.steady;
-        let Some(aim) = self.jobs.get(&id).map(|job| self.aim(job)) else { return };
+        let Some(target_duration) = self.jobs.get(&id).map(|job| self.target_duration(job)) else {
+            return;
+        };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let before = job.durable.replace(state);
         let was = std::mem::replace(&mut job.record, record);
@@ -234,7 +237,7 @@
             self.note(Note::JobAccepted { job: id, queue: queue.clone(), tasks, waited_ms, seq });
         }
         if state.is_final() && before != Some(state) {
-            let aim_ms = Ms(aim);
+            let aim_ms = Ms(target_duration);
             let (state, took_ms) = (state_word(state), Ms(waited));
             self.note(Note::JobEnded { job: id, queue, state, took_ms, aim_ms, seq });
         }
@@ -291,10 +294,10 @@
 }
 
 /// CPU reserved by a job's long-running tasks, in millicores.
-pub(super) fn lasting_cores(job: &Job) -> u64 {
-    let lasting =
+pub(super) fn long_running_milli_cores(job: &Job) -> u64 {
+    let long_running =
         job.steps.iter().filter(|s| s.life == Life::Lasting && s.share == Share::Reserved);
-    lasting.map(|step| u64::from(step.tasks) * u64::from(step.size.milli_cores.0)).sum()
+    long_running.map(|step| u64::from(step.tasks) * u64::from(step.size.milli_cores.0)).sum()
 }
 
 fn task_count(job: &Job) -> u32 {
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -38,7 +38,7 @@
 const LEND_DELAY: Duration = Duration::from_millis(60);
 
 /// The same for long-running tasks: within a second, a short task often ends and frees their room.
-const LASTING_LEND_DELAY: Duration = Duration::from_millis(700);
+const LONG_RUNNING_LEND_DELAY: Duration = Duration::from_millis(700);
 
 /// The same for leftover tasks, which are not urgent.
 const LEFTOVER_LEND_DELAY: Duration = Duration::from_millis(900);
@@ -491,8 +491,8 @@
         }
         let delay = match (step.share, step.life) {
             (Share::Leftover, _) => LEFTOVER_LEND_DELAY,
-            _ if step.members.one_rack() => LASTING_LEND_DELAY,
-            (Share::Reserved, Life::Lasting) => LASTING_LEND_DELAY,
+            _ if step.members.one_rack() => LONG_RUNNING_LEND_DELAY,
+            (Share::Reserved, Life::Lasting) => LONG_RUNNING_LEND_DELAY,
             (Share::Reserved, Life::Finite) => LEND_DELAY,
         };
         let known = job.task(task)?;
--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -1,9 +1,9 @@
 //! Order in which jobs are scheduled.
 //!
-//! Jobs are ordered by priority. Within a priority, jobs with lasting tasks come first, then jobs
-//! that can still be in time, then late ones, then those whose results are no longer useful. In a
-//! burst this keeps most jobs in time at the expense of a few, whereas ordering by arrival or by
-//! least remaining time makes nearly all of them late. Within each group, the shortest job comes
+//! Jobs are ordered by priority. Within a priority, jobs with long-running tasks come first, then
+//! jobs that can still be in time, then late ones, then those whose results are no longer useful.
+//! In a burst this keeps most jobs in time at the expense of a few, whereas ordering by arrival or
+//! by least remaining time makes nearly all of them late. Within each group, the shortest job comes
 //! first.
 
 use super::Shard;
@@ -26,15 +26,15 @@
 /// Order of jobs within a priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Lasting tasks come first: they are few, and any time without one running is lost.
-    Lasting,
+    /// Long-running tasks come first: they are few, and any time without one running is lost.
+    LongRunning,
     Finite,
 }
 
 /// Whether a job can still be finished in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timeliness {
-    /// The job can finish within its aim.
+    /// The job can finish within its target duration.
     InTime,
     /// The job will be late but still useful.
     Late,
@@ -42,8 +42,8 @@
     Overdue,
 }
 
-/// Multiple of its aim after which a finished job is no longer useful to its caller.
-const USEFUL_AIM_FACTOR: f64 = 3.0;
+/// Multiple of its target duration after which a finished job is no longer useful to its caller.
+const USEFUL_DURATION_FACTOR: f64 = 3.0;
 
 impl Shard {
     /// Returns the jobs with tasks that can start, most urgent first.
@@ -79,12 +79,12 @@
 
     fn timeliness(&self, job: &JobRun) -> (Timeliness, f64) {
         let spent = self.now.steady.saturating_sub(job.since).as_secs_f64();
-        let aim = self.aim(job).as_secs_f64();
+        let target_duration = self.target_duration(job).as_secs_f64();
         let left = remaining_critical_path(job).as_secs_f64();
-        let slack = aim - spent - left;
+        let slack = target_duration - spent - left;
         if slack >= 0.0 {
             (Timeliness::InTime, left)
-        } else if USEFUL_AIM_FACTOR * aim - spent - left >= 0.0 {
+        } else if USEFUL_DURATION_FACTOR * target_duration - spent - left >= 0.0 {
             (Timeliness::Late, left)
         } else {
             (Timeliness::Overdue, spent)
@@ -92,7 +92,7 @@
     }
 
     /// Returns the time after a job's acceptance by which it should be finished.
-    pub(super) fn aim(&self, job: &JobRun) -> Duration {
+    pub(super) fn target_duration(&self, job: &JobRun) -> Duration {
         let (stretch, latency) =
             self.queue(job).map_or((2.0, Duration::ZERO), |q| (q.stretch, q.latency));
         critical_path(job).mul_f64(stretch.max(0.0)) + latency
@@ -100,8 +100,8 @@
 }
 
 fn urgency(job: &JobRun) -> Urgency {
-    let lasting = job.job.steps.iter().any(|step| step.life == Life::Lasting);
-    if lasting { Urgency::Lasting } else { Urgency::Finite }
+    let long_running = job.job.steps.iter().any(|step| step.life == Life::Lasting);
+    if long_running { Urgency::LongRunning } else { Urgency::Finite }
 }
 
 /// Returns the tasks that can start.
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -30,26 +30,27 @@
 /// Weight of a leftover task's speed relative to one spare core.
 const SPEED_WEIGHT: f64 = 100.0;
 
-/// Share of a shard's processors up to which it is preferred for lasting tasks. The rest is for
-/// tasks that must start immediately, which take a tenth of all processors on average.
-pub(super) const LASTING_SHARE: f64 = 0.8;
-
-/// Share of a shard's processors that lasting tasks may fill once every shard has its part. An
-/// eighth of the VMs can then leave and all lasting tasks still have a place. The remaining room is
-/// fragmented and hardly fits short tasks: above this limit, callers of short tasks waited for room
-/// on a single VM for as long as the lasting tasks ran.
-pub(super) const LASTING_LIMIT: f64 = 0.8;
-
-/// Share of a shard's processors above which its lasting tasks count as crowded: the room on each
-/// VM must then be kept for the largest task that fits there.
+/// Share of a shard's processors up to which it is preferred for long-running tasks. The rest is
+/// for tasks that must start immediately, which take a tenth of all processors on average.
+pub(super) const PREFERRED_LONG_RUNNING_SHARE: f64 = 0.8;
+
+/// Share of a shard's processors that long-running tasks may fill once every shard has its part. An
+/// eighth of the VMs can then leave and all long-running tasks still have a place. The remaining
+/// room is fragmented and hardly fits short tasks: above this limit, callers of short tasks waited
+/// for room on a single VM for as long as the long-running tasks ran.
+pub(super) const MAX_LONG_RUNNING_SHARE: f64 = 0.8;
+
+/// Share of a shard's processors above which its long-running tasks count as crowded: the room on
+/// each VM must then be kept for the largest task that fits there.
 const CROWDED_SHARE: f64 = 0.9;
 
-/// Costs of placing a lasting task: next to other images only, and on a VM without serving tasks.
+/// Costs of placing a long-running task: next to other images only, and on a VM without serving
+/// tasks.
 const MIXED_IMAGES_COST: f64 = 3.0;
 const FIRST_SERVING_TASK_COST: f64 = 0.8;
 
-/// Cost of placing a lasting task on a VM that must be drained soon; exceeds any cost of mixing
-/// images.
+/// Cost of placing a long-running task on a VM that must be drained soon; exceeds any cost of
+/// mixing images.
 const DRAINS_SOON_COST: f64 = 10.0;
 
 /// Cost of placing leftover work on a VM without serving tasks, which is kept for work that is slow
@@ -61,7 +62,7 @@
 const SAME_STEP_COST: f64 = 0.01;
 
 /// Costs that outweigh all others. VMs with the higher ones are used as a last resort.
-const LASTING_NEIGHBOUR_COST: f64 = 1e3;
+const LONG_RUNNING_NEIGHBOUR_COST: f64 = 1e3;
 const SUSPECT_NEIGHBOUR_COST: f64 = 5e3;
 const REMOTE_DATA_COST: f64 = 1e4;
 const SUSPECT_PAIR_COST: f64 = 5e4;
@@ -160,7 +161,7 @@
             return;
         }
         let mut rooms: Vec<VmCapacity> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
-        let is_crowded = self.lasting_share(&rooms) > CROWDED_SHARE;
+        let is_crowded = self.long_running_fraction(&rooms) > CROWDED_SHARE;
         rooms.iter_mut().for_each(|room| room.is_crowded = is_crowded);
         let mut pass = SchedulePass { rooms, unplaceable: Vec::new() };
         self.place_reserved(&mut pass);
@@ -259,7 +260,7 @@
         let suspect = self.is_suspect(task);
         let failed_on = self.jobs.get(&task.job).and_then(|job| job.task(task)?.failed_on.clone());
         let fits = |(_, room): &(usize, &VmCapacity)| {
-            let held = room.held_for_lasting && step.life == Life::Finite;
+            let held = room.held_for_long_running && step.life == Life::Finite;
             !held && !room.is_reserved && room.service == shape.service && room.takes(step, key)
         };
         rooms
@@ -283,7 +284,7 @@
         let cost = match (step.share, step.life) {
             (Share::Leftover, _) => self.leftover_cost(room, step, image, need)?,
             (Share::Reserved, Life::Lasting) if room.is_crowded => crowded_cost(room, step, image),
-            (Share::Reserved, Life::Lasting) => lasting_cost(room, step, image),
+            (Share::Reserved, Life::Lasting) => long_running_cost(room, step, image),
             (Share::Reserved, Life::Finite) => -f64::from(room.free.milli_cores.0) / 1000.0,
         };
         Some(cost)
@@ -390,27 +391,27 @@
         return beside;
     }
     SUSPECT_PAIR_COST * room.crash_suspects as f64
-        + LASTING_NEIGHBOUR_COST * room.lasting_tasks as f64
+        + LONG_RUNNING_NEIGHBOUR_COST * room.long_running_tasks as f64
 }
 
-/// Computes the cost of a lasting task when the shard isn't crowded.
+/// Computes the cost of a long-running task when the shard isn't crowded.
 ///
-/// Lasting tasks of one image are grouped, so that the same leftover work can run next to all of
-/// them. They fill one VM after another, which leaves some VMs without any: work that disturbs
+/// Long-running tasks of one image are grouped, so that the same leftover work can run next to all
+/// of them. They fill one VM after another, which leaves some VMs without any: work that disturbs
 /// every image runs there, and work that must start immediately finds room. This scored 0.43 on
 /// days with faults on 66 VMs; keeping a fifth of each VM free instead scored 0.38 to 0.40.
-fn lasting_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
+fn long_running_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
     let opened = if same + others == 0 { FIRST_SERVING_TASK_COST } else { 0.0 };
-    let share = room.lasting_share_with(step);
+    let share = room.long_running_share_with(step);
     let drains_soon = if room.drains_soon { DRAINS_SOON_COST } else { 0.0 };
     MIXED_IMAGES_COST * mixed + opened + share + drains_soon
 }
 
-/// Computes the cost of a lasting task when the shard is crowded. The task goes where the least
-/// room is left, so that a larger one can still find enough room on a single VM; mixing images only
-/// breaks ties.
+/// Computes the cost of a long-running task when the shard is crowded. The task goes where the
+/// least room is left, so that a larger one can still find enough room on a single VM; mixing
+/// images only breaks ties.
 fn crowded_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
@@ -418,9 +419,9 @@
     drains_soon + room.share_left_with(step) + SAME_STEP_COST * mixed
 }
 
-/// Holds the VM where a lasting task can fit soonest, so that finite tasks aren't placed there. The
-/// task needs more room at once than a short one and would otherwise wait for as long as short
-/// tasks arrive.
+/// Holds the VM where a long-running task can fit soonest, so that finite tasks aren't placed
+/// there. The task needs more room at once than a short one and would otherwise wait for as long as
+/// short tasks arrive.
 ///
 /// Memory is checked as well: a VM whose memory was permanently taken used to be held for its free
 /// processors, and the task never fit.
@@ -430,11 +431,11 @@
     }
     let fits = |room: &&mut VmCapacity| {
         room.fits_without_finite(step, task.of_step())
-            && !room.held_for_lasting
+            && !room.held_for_long_running
             && room.service == shape.service
     };
     let best = rooms.iter_mut().filter(fits).max_by_key(|room| room.free.milli_cores);
     if let Some(room) = best {
-        room.held_for_lasting = true;
+        room.held_for_long_running = true;
     }
 }
--- a/src/shard/place/tests.rs
+++ b/src/shard/place/tests.rs
@@ -1,4 +1,4 @@
-use super::lasting_cost;
+use super::long_running_cost;
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, JobId, Life, Step, TaskRef};
 use crate::shard::interference::{Effects, ImageIx};
@@ -9,7 +9,7 @@
 
 const SIZE: Resources = Resources::new(32_000, 128_000, 0);
 
-fn lasting() -> Step {
+fn long_running() -> Step {
     Step {
         life: Life::Lasting,
         tail_target: Some(Duration::from_millis(18)),
@@ -31,19 +31,19 @@
     ["a", "b"].map(|name| effects.number(&Image::new(name)))
 }
 
-// Lasting tasks of two images arrive alternately on four VMs. Each image must fill one VM, leaving
-// two VMs free for work that disturbs both images and for work that must start immediately.
+// Long-running tasks of two images arrive alternately on four VMs. Each image must fill one VM,
+// leaving two VMs free for work that disturbs both images and for work that must start immediately.
 #[test]
 fn lasting_tasks_of_each_image_fill_one_vm_at_a_time() {
     let mut effects = Effects::default();
     let [a, b] = images(&mut effects);
     let mut rooms = ["vm-0", "vm-1", "vm-2", "vm-3"].map(room);
-    let step = lasting();
+    let step = long_running();
     for number in 0..10 {
         let image = if number % 2 == 0 { a } else { b };
         let task = TaskRef { job: JobId(number), ..TaskRef::default() }.of_step();
         let fitting = rooms.iter_mut().filter(|room| room.takes(&step, task));
-        let cost = |room: &VmCapacity| lasting_cost(room, &step, image);
+        let cost = |room: &VmCapacity| long_running_cost(room, &step, image);
         let best = fitting.min_by(|x, y| cost(x).total_cmp(&cost(y))).expect("there is room");
         best.take(&step, image, task, &effects);
     }
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -14,9 +14,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Expected utilization of a lasting task's reserved processors; the rest is available to leftover
-/// work. An initial estimate, corrected by what leftover work is measured to get.
-const LASTING_UTILIZATION: f64 = 0.5;
+/// Expected utilization of a long-running task's reserved processors; the rest is available to
+/// leftover work. An initial estimate, corrected by what leftover work is measured to get.
+const LONG_RUNNING_UTILIZATION: f64 = 0.5;
 
 /// Available capacity of one VM.
 #[derive(Clone, Debug)]
@@ -32,9 +32,9 @@
     /// Processors that the leftover work on the VM demands, in millicores.
     pub leftover_demand: f64,
     pub probation: Probation,
-    /// Whether the VM is held for a waiting lasting task.
-    pub held_for_lasting: bool,
-    /// Whether the shard's lasting tasks are crowded.
+    /// Whether the VM is held for a waiting long-running task.
+    pub held_for_long_running: bool,
+    /// Whether the shard's long-running tasks are crowded.
     pub is_crowded: bool,
     /// Whether the VM is reserved for a single task that is to be placed on it.
     pub is_reserved: bool,
@@ -46,12 +46,12 @@
     pub drains_soon: bool,
     /// Serving tasks on the VM.
     pub served: Vec<ServingTask>,
-    /// Processors reserved for lasting tasks, as a share of the VM's processors.
-    pub lasting: f64,
-    /// Number of lasting tasks on the VM.
-    pub lasting_tasks: usize,
+    /// Processors reserved for long-running tasks, as a share of the VM's processors.
+    pub long_running_share: f64,
+    /// Number of long-running tasks on the VM.
+    pub long_running_tasks: usize,
     size: f64,
-    /// Capacity that lasting tasks leave to finite ones.
+    /// Capacity that long-running tasks leave to finite ones.
     finite_capacity: Resources,
     /// Step of each task on the VM, to count tasks by step.
     steps: Vec<StepRef>,
@@ -102,7 +102,7 @@
         room.drains_soon = self.maintenance_drain.is_drain_scheduled(&vm.id);
         room.is_overloaded =
             vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
-        let mut lasting = 0.0;
+        let mut long_running_share = 0.0;
         let mut beside = Vec::new();
         for (key, run) in &vm.runs {
             let Some(step) = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task)) else {
@@ -112,10 +112,10 @@
             let image = self.image(key.task);
             if step.life == Life::Lasting {
                 room.finite_capacity = room.finite_capacity.saturating_sub(&run.reserved);
-                room.lasting_tasks += 1;
+                room.long_running_tasks += 1;
             }
             if step.life == Life::Lasting && step.share == Share::Reserved {
-                lasting += f64::from(run.milli_cores) / room.size;
+                long_running_share += f64::from(run.milli_cores) / room.size;
             }
             if step.tail_target.is_some() {
                 let load =
@@ -130,7 +130,7 @@
                 beside.push((image, f64::from(run.milli_cores) / room.size));
             }
         }
-        room.lasting = lasting;
+        room.long_running_share = long_running_share;
         for (image, share) in beside {
             room.add_beside(image, share, &self.effects);
         }
@@ -159,7 +159,7 @@
         let mut leftover_demand = 0.0;
         for run in vm.runs.values() {
             match run.share {
-                Share::Reserved => used += f64::from(run.milli_cores) * LASTING_UTILIZATION,
+                Share::Reserved => used += f64::from(run.milli_cores) * LONG_RUNNING_UTILIZATION,
                 Share::Leftover => leftover_demand += f64::from(run.milli_cores),
             }
         }
@@ -194,15 +194,15 @@
             leftover: cores,
             leftover_demand: 0.0,
             probation: Probation::No,
-            held_for_lasting: false,
+            held_for_long_running: false,
             is_crowded: false,
             is_reserved: false,
             is_overloaded: false,
             crash_suspects: 0,
             drains_soon: false,
             served: Vec::new(),
-            lasting: 0.0,
-            lasting_tasks: 0,
+            long_running_share: 0.0,
+            long_running_tasks: 0,
             size: cores.max(1.0),
             finite_capacity: size,
             steps: Vec::new(),
@@ -229,7 +229,7 @@
         self.size
     }
 
-    /// Returns the capacity that lasting tasks leave free.
+    /// Returns the capacity that long-running tasks leave free.
     pub fn capacity_beside_long_running(&self) -> Resources {
         self.finite_capacity
     }
@@ -256,7 +256,7 @@
         self.free = self.free.saturating_sub(&step.reserved());
         if step.life == Life::Lasting {
             self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved());
-            self.lasting_tasks += 1;
+            self.long_running_tasks += 1;
         }
         let share = f64::from(step.size.milli_cores.0) / self.size;
         if step.share == Share::Leftover {
@@ -264,7 +264,7 @@
             self.add_beside(image, share, effects);
         }
         if step.life == Life::Lasting && step.share == Share::Reserved {
-            self.lasting += share;
+            self.long_running_share += share;
         }
         if step.tail_target.is_some() {
             let slack = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
@@ -314,17 +314,17 @@
         most.min(self.leftover - self.leftover_demand).max(0.0) as u64
     }
 
-    /// Returns the share of the VM's processors left by lasting tasks once a task of the step is
-    /// added.
+    /// Returns the share of the VM's processors left by long-running tasks once a task of the step
+    /// is added.
     pub fn share_left_with(&self, step: &Step) -> f64 {
         let left = self.finite_capacity.saturating_sub(&step.reserved());
         f64::from(left.milli_cores.0) / self.size
     }
 
-    /// Returns the share of the VM's processors reserved by lasting tasks once a task of the step
-    /// is added.
-    pub fn lasting_share_with(&self, step: &Step) -> f64 {
-        self.lasting + f64::from(step.size.milli_cores.0) / self.size
+    /// Returns the share of the VM's processors reserved by long-running tasks once a task of the
+    /// step is added.
+    pub fn long_running_share_with(&self, step: &Step) -> f64 {
+        self.long_running_share + f64::from(step.size.milli_cores.0) / self.size
     }
 
     /// Counts the serving tasks with this image and with other images.
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -4,7 +4,7 @@
 use super::event::FreeRoom;
 use super::event::{AdmissionMode, Summary};
 use super::job_run::{Started, Task};
-use super::place::{LASTING_LIMIT, LASTING_SHARE};
+use super::place::{MAX_LONG_RUNNING_SHARE, PREFERRED_LONG_RUNNING_SHARE};
 use super::room::{Probation, VmCapacity};
 use crate::job::QueueName;
 use crate::job::progress::TaskPhase;
@@ -44,7 +44,7 @@
         }
         let mut queued: IndexMap<QueueName, u32> = IndexMap::new();
         for job in self.jobs.values().filter(|job| !job.is_final()) {
-            summary.lasting += lasting_milli_cores(job);
+            summary.lasting += long_running_milli_cores(job);
             if job.durable.is_none() {
                 continue;
             }
@@ -62,31 +62,33 @@
 
 impl Shard {
     /// Fraction of the VMs' CPU that long-running tasks reserve, including those that are waiting.
-    pub(super) fn lasting_share(&self, rooms: &[VmCapacity]) -> f64 {
+    pub(super) fn long_running_fraction(&self, rooms: &[VmCapacity]) -> f64 {
         let open = self.jobs.values().filter(|job| !job.is_final());
-        let lasting: u64 = open.map(lasting_milli_cores).sum();
+        let long_running: u64 = open.map(long_running_milli_cores).sum();
         let cores: f64 = rooms.iter().map(VmCapacity::milli_cores).sum();
-        lasting as f64 / cores.max(1.0)
+        long_running as f64 / cores.max(1.0)
     }
 }
 
 impl Summary {
     /// Returns whether the shard refuses a job that would raise the CPU reserved by its
-    /// long-running tasks to `lasting` milli-cores.
+    /// long-running tasks to `long_running` milli-cores.
     ///
     /// With [`AdmissionMode::Always`], the first such job of a shard is accepted whatever its size,
     /// since it may be larger than the limit of every shard.
-    pub fn is_full_with(&self, lasting: f64, mode: AdmissionMode) -> bool {
+    pub fn exceeds_long_running_limit(&self, long_running: f64, mode: AdmissionMode) -> bool {
         let capacity = self.capacity as f64;
         match mode {
-            AdmissionMode::IfRoom => lasting > capacity * LASTING_SHARE,
-            AdmissionMode::Always => self.lasting > 0 && lasting > capacity * LASTING_LIMIT,
+            AdmissionMode::IfRoom => long_running > capacity * PREFERRED_LONG_RUNNING_SHARE,
+            AdmissionMode::Always => {
+                self.lasting > 0 && long_running > capacity * MAX_LONG_RUNNING_SHARE
+            }
         }
     }
 }
 
 /// Milli-cores that the long-running tasks of a job reserve in this shard.
-fn lasting_milli_cores(job: &super::JobRun) -> u64 {
+fn long_running_milli_cores(job: &super::JobRun) -> u64 {
     let mut cores = 0;
     for occurrence in &job.open {
         for (step, run) in job.job.steps.iter().zip(&occurrence.steps) {
--- a/src/shard/waiting.rs
+++ b/src/shard/waiting.rs
@@ -24,10 +24,10 @@
 }
 
 impl Shard {
-    /// Logs the lasting tasks that wait for room.
+    /// Logs the long-running tasks that wait for room.
     pub(super) fn report_waiting(&mut self) {
         let rooms: Vec<VmCapacity> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
-        let tally = self.tally_lasting(&rooms);
+        let tally = self.tally_long_running(&rooms);
         if tally.tasks == 0 {
             return;
         }
@@ -55,7 +55,7 @@
         });
     }
 
-    fn tally_lasting(&self, rooms: &[VmCapacity]) -> Tally {
+    fn tally_long_running(&self, rooms: &[VmCapacity]) -> Tally {
         let mut tally = Tally::default();
         for job in self.jobs.values().filter(|job| !job.is_final()) {
             for task in waiting(job) {
--- a/tests/shards/crashes.rs
+++ b/tests/shards/crashes.rs
@@ -118,11 +118,11 @@
 #[test]
 fn tasks_beside_a_task_that_crashes_vms_are_not_blamed() {
     let mut world = World::new(Sound, &[SHARD], 4, SIZE);
-    let lasting = chain(1, 1, 4, work(0, 2));
+    let long_running = chain(1, 1, 4, work(0, 2));
     let before = chain(2, 1, 4, work(9000, 1));
     let bad = chain(3, 1, 1, crashing(work(2000, 1), AT_ONCE));
     let beside = chain(4, 1, 6, work(1000, 1));
-    for job in [&lasting, &before] {
+    for job in [&long_running, &before] {
         world.submit(SHARD, job.clone());
     }
     world.run_for(seconds(1));
@@ -133,8 +133,8 @@
     assert_eq!(state(&mut world, &bad), ShownState::Failed);
     assert_eq!(state(&mut world, &beside), ShownState::Done);
     assert_eq!(state(&mut world, &before), ShownState::Done);
-    assert_eq!(state(&mut world, &lasting), ShownState::Running);
-    check(&mut world, &known(&[&lasting, &before, &bad, &beside]), SIZE);
+    assert_eq!(state(&mut world, &long_running), ShownState::Running);
+    check(&mut world, &known(&[&long_running, &before, &bad, &beside]), SIZE);
 }
 
 // Guards against blaming the wrong task, or none, when tasks start together on a VM and any of them
@@ -164,8 +164,8 @@
 #[test]
 fn two_vms_lost_for_another_reason_do_not_end_a_job() {
     let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let lasting = chain(1, 1, 12, work(0, 2));
-    world.submit(SHARD, lasting.clone());
+    let long_running = chain(1, 1, 12, work(0, 2));
+    world.submit(SHARD, long_running.clone());
     world.run_for(seconds(2));
     let job = chain(2, 1, 1, usual());
     world.submit(SHARD, job.clone());
@@ -179,8 +179,8 @@
     }
     world.run_for(seconds(20));
     assert_eq!(state(&mut world, &job), ShownState::Done);
-    assert_eq!(state(&mut world, &lasting), ShownState::Running);
-    check(&mut world, &known(&[&lasting, &job]), SIZE);
+    assert_eq!(state(&mut world, &long_running), ShownState::Running);
+    check(&mut world, &known(&[&long_running, &job]), SIZE);
 }
 
 // Guards against failing a job because its VMs repeatedly leave, become unreachable or stop
--- a/tests/shards/hold.rs
+++ b/tests/shards/hold.rs
@@ -46,7 +46,7 @@
     }
 }
 
-fn lasting(id: u64, cores: u32, memory_mib: u32) -> Job {
+fn long_running(id: u64, cores: u32, memory_mib: u32) -> Job {
     let size = Resources::new(cores * 1000, memory_mib, 0);
     chain(id, 1, 1, Work { size, ..work(0, cores) })
 }
@@ -59,10 +59,10 @@
 #[test]
 fn a_lasting_task_does_not_wait_for_a_vm_whose_memory_is_taken_for_good() {
     let mut busy = BusyShard::new();
-    busy.submit(lasting(1, 1, 7900));
+    busy.submit(long_running(1, 1, 7900));
     busy.world.run_for(Duration::from_millis(300));
     busy.add_load_for(Duration::from_secs(2));
-    let waiting = lasting(2, 4, 4000);
+    let waiting = long_running(2, 4, 4000);
     busy.submit(waiting.clone());
     busy.add_load_for(Duration::from_secs(2));
     assert!(busy.is_running(waiting.id), "the task still waits");
@@ -75,7 +75,7 @@
 fn a_lasting_task_gets_a_whole_vm_beside_short_work() {
     let mut busy = BusyShard::new();
     busy.add_load_for(Duration::from_secs(2));
-    let waiting = lasting(2, 8, 4000);
+    let waiting = long_running(2, 8, 4000);
     busy.submit(waiting.clone());
     busy.add_load_for(Duration::from_secs(2));
     assert!(busy.is_running(waiting.id), "the task still waits");
--- a/tests/shards/leaving.rs
+++ b/tests/shards/leaving.rs
@@ -45,7 +45,7 @@
         let world = World::new(faults, &[SHARD], vms, SIZE);
         let (jobs, down_since) = (IndexMap::new(), IndexMap::new());
         let mut filled = Self { world, jobs, down_since, next: 1 };
-        while filled.submit(lasting(filled.next, rng.random_range(sizes.clone()))) {}
+        while filled.submit(long_running(filled.next, rng.random_range(sizes.clone()))) {}
         filled
     }
 
@@ -85,8 +85,8 @@
         for vm in &mut self.world.vms {
             runs.extend(vm.table.runs(now).into_iter().map(|(task, ..)| task));
         }
-        let lasting = self.jobs.values().filter(|job| job.steps[0].estimate.is_zero());
-        let tasks = lasting.flat_map(|job| {
+        let long_running = self.jobs.values().filter(|job| job.steps[0].estimate.is_zero());
+        let tasks = long_running.flat_map(|job| {
             let task = |index| TaskRef { job: job.id, occurrence: 0, step: 0, index };
             let size = job.steps[0].size.milli_cores.0;
             (0..job.steps[0].tasks).map(move |index| (task(index), size))
@@ -107,7 +107,7 @@
 }
 
 /// A job of six long-running tasks of one image, each of `tenths` tenths of a core.
-fn lasting(id: u64, tenths: u32) -> Job {
+fn long_running(id: u64, tenths: u32) -> Job {
     let size = Resources::new(tenths * 100, 6_000, 0);
     let mut job = chain(id, 1, 6, Work { size, ..work(0, 1) });
     job.steps[0].image = Some(Image::new(&format!("voice-{}", id % 10)));
--- a/tests/shards/order.rs
+++ b/tests/shards/order.rs
@@ -17,7 +17,7 @@
 /// 2 s after it was accepted, and useless after 6 s.
 struct Contention {
     world: World<Sound>,
-    lasting: Job,
+    long_running: Job,
     short: Job,
     all: IndexMap<JobId, Job>,
 }
@@ -27,19 +27,19 @@
     fn new(full_ms: u64) -> Self {
         let mut world = World::new(Sound, &[SHARD], 1, SIZE);
         let first = chain(1, 1, 4, work(full_ms, 2));
-        let lasting = chain(2, 1, 4, work(0, 2));
+        let long_running = chain(2, 1, 4, work(0, 2));
         let short = chain(3, 1, 4, work(500, 2));
         world.submit(SHARD, first.clone());
         world.run_for(Duration::from_millis(200));
-        world.submit(SHARD, lasting.clone());
+        world.submit(SHARD, long_running.clone());
         world.submit(SHARD, short.clone());
-        let jobs = [first, lasting.clone(), short.clone()];
+        let jobs = [first, long_running.clone(), short.clone()];
         let all = jobs.into_iter().map(|job| (job.id, job)).collect();
-        Self { world, lasting, short, all }
+        Self { world, long_running, short, all }
     }
 
     fn states(&mut self) -> [Option<Answer>; 2] {
-        [self.world.show(SHARD, self.lasting.id), self.world.show(SHARD, self.short.id)]
+        [self.world.show(SHARD, self.long_running.id), self.world.show(SHARD, self.short.id)]
     }
 }
 
@@ -67,7 +67,7 @@
         contention.all.insert(short.id, short);
         contention.world.run_for(Duration::from_millis(200));
     }
-    let lasting = contention.world.show(SHARD, contention.lasting.id);
-    assert_eq!(lasting, Some(Answer::Shown(ShownState::Running)));
+    let long_running = contention.world.show(SHARD, contention.long_running.id);
+    assert_eq!(long_running, Some(Answer::Shown(ShownState::Running)));
     check(&mut contention.world, &contention.all, SIZE);
 }
--- a/tests/shards/random.rs
+++ b/tests/shards/random.rs
@@ -106,8 +106,8 @@
         let Some(Answer::Shown(state)) = shown else {
             panic!("seed {seed}: job {id} was accepted and is answered with {shown:?}");
         };
-        let lasting = sim.jobs[&id].steps[0].life == waxwingstall::job::Life::Lasting;
-        let expected = match (sim.cancelled.contains(&id), lasting) {
+        let long_running = sim.jobs[&id].steps[0].life == waxwingstall::job::Life::Lasting;
+        let expected = match (sim.cancelled.contains(&id), long_running) {
             // A cancellation may arrive too late, or be lost with the shard's owner.
             (true, _) => continue,
             (false, true) => ShownState::Running,
--- a/tests/shards/takeover.rs
+++ b/tests/shards/takeover.rs
@@ -192,9 +192,9 @@
 #[test]
 fn a_leaving_vm_is_drained_before_it_is_gone() {
     let mut world = world(2);
-    let lasting = chain(1, 1, 1, work(0, 2));
+    let long_running = chain(1, 1, 1, work(0, 2));
     let long = chain(2, 1, 1, work(9000, 2));
-    world.submit("kacyiru", lasting.clone());
+    world.submit("kacyiru", long_running.clone());
     world.submit("kacyiru", long.clone());
     world.run_for(seconds(3));
     let now = world.now;
@@ -207,7 +207,7 @@
     assert_eq!(world.vms[other].table.runs(now).len(), 2, "both go on elsewhere");
     world.run_for(seconds(8));
     assert_eq!(world.show("kacyiru", long.id), Some(Answer::Shown(ShownState::Done)));
-    check(&mut world, &known(&[lasting, long]), SIZE);
+    check(&mut world, &known(&[long_running, long]), SIZE);
 }
 
 // Guards against a task that stays down during a rolling restart of the daemons. Its VM crashed and
