--- a/benches/shards/main.rs
+++ b/benches/shards/main.rs
@@ -15,15 +15,15 @@
 #[path = "../../tests/shards/world.rs"]
 mod world;
 
-use faults::Sound;
-use jobs::{chain, work};
+use faults::NoFaults;
+use jobs::{job_with_steps, work};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 use waxwingstall::clock::{Clock, SystemClock};
 use waxwingstall::job::{Image, Job, Life, Share};
 use waxwingstall::units::Resources;
-use world::World;
+use world::Simulation;
 
 const SHARD: &str = "kacyiru";
 const VMS: usize = 30;
@@ -40,7 +40,7 @@
 const TICK: Duration = Duration::from_millis(100);
 
 fn long_running(id: u64) -> Job {
-    let mut job = chain(id, 1, 14, work(0, 6));
+    let mut job = job_with_steps(id, 1, 14, work(0, 6));
     let step = &mut job.steps[0];
     step.image = Some(Image::new(&format!("serving-{}", id % 10)));
     step.tail_target = Some(Duration::from_secs(18));
@@ -48,11 +48,11 @@
 }
 
 fn quick(id: u64) -> Job {
-    chain(id, 2, 8, work(800, 4))
+    job_with_steps(id, 2, 8, work(800, 4))
 }
 
 fn wide(id: u64) -> Job {
-    let mut job = chain(id, 2, 20, work(2700, 3));
+    let mut job = job_with_steps(id, 2, 20, work(2700, 3));
     for step in &mut job.steps {
         step.share = Share::Leftover;
         step.life = Life::Finite;
@@ -63,24 +63,24 @@
 
 fn main() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut world = World::new(Sound, &[SHARD], VMS, SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], VMS, SIZE);
     let mut next = 1;
     for _ in 0..LONG_RUNNING_JOBS {
-        world.submit(SHARD, long_running(next));
+        sim.submit(SHARD, long_running(next));
         next += 1;
     }
-    world.run_for(Duration::from_secs(2));
+    sim.run_for(Duration::from_secs(2));
     let began = SystemClock.now();
-    let until = world.now + PLAYED;
+    let until = sim.now + PLAYED;
     let chance = |per_s: f64| (per_s * TICK.as_secs_f64()).min(1.0);
-    while world.now < until {
+    while sim.now < until {
         for (per_s, kind) in [(QUICK_PER_S, quick as fn(u64) -> Job), (WIDE_PER_S, wide)] {
             if rng.random_bool(chance(per_s)) {
-                world.submit(SHARD, kind(next));
+                sim.submit(SHARD, kind(next));
                 next += 1;
             }
         }
-        world.run_for(TICK);
+        sim.run_for(TICK);
     }
     let took = SystemClock.now() - began;
     let share = took.as_secs_f64() / PLAYED.as_secs_f64() * 1000.0;
--- a/tests/shards/crashes.rs
+++ b/tests/shards/crashes.rs
@@ -1,9 +1,9 @@
 //! Tasks that crash their VMs, and other tasks on those VMs.
 
-use crate::faults::Sound;
+use crate::faults::NoFaults;
 use crate::invariants::check;
-use crate::jobs::{chain, crashing, work};
-use crate::world::World;
+use crate::jobs::{crashing, job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::{Copies, Job, JobId, Members, ShownState};
@@ -32,16 +32,16 @@
     jobs.iter().map(|job| (job.id, (*job).clone())).collect()
 }
 
-fn state(world: &mut World<Sound>, job: &Job) -> ShownState {
-    match world.show(SHARD, job.id) {
+fn state(sim: &mut Simulation<NoFaults>, job: &Job) -> ShownState {
+    match sim.show(SHARD, job.id) {
         Some(Answer::Shown(state)) => state,
         other => panic!("{other:?}"),
     }
 }
 
 /// Number of starts of a job's tasks so far, on all VMs.
-fn starts(world: &World<Sound>, job: &Job) -> usize {
-    let tables = world.ended_tables.iter().chain(world.vms.iter().map(|vm| &vm.table));
+fn starts(sim: &Simulation<NoFaults>, job: &Job) -> usize {
+    let tables = sim.ended_tables.iter().chain(sim.vms.iter().map(|vm| &vm.table));
     let started = |seen: &&Seen| matches!(seen, Seen::Started { task, .. } if task.job == job.id);
     tables.map(|table| table.seen.iter().filter(started).count()).sum()
 }
@@ -54,220 +54,220 @@
 // Guards against endless restarts of a task that crashes one VM after the other.
 #[test]
 fn a_task_that_crashes_its_vms_is_given_up() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let job = chain(1, 1, 1, crashing(usual(), AT_ONCE));
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(30));
-    assert_eq!(state(&mut world, &job), ShownState::Failed);
-    assert_eq!((starts(&world, &job), world.crashes), (2, 2));
-    check(&mut world, &known(&[&job]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let job = job_with_steps(1, 1, 1, crashing(usual(), AT_ONCE));
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(30));
+    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!((starts(&sim, &job), sim.crashes), (2, 2));
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against endless restarts of a task that runs for a while before it crashes its VM.
 #[test]
 fn a_task_that_crashes_its_vms_late_is_given_up() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let job = chain(1, 1, 1, crashing(work(9000, 2), millis(1500)));
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(60));
-    assert_eq!(state(&mut world, &job), ShownState::Failed);
-    assert!(starts(&world, &job) <= CRASHES + 2, "{}", starts(&world, &job));
-    check(&mut world, &known(&[&job]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let job = job_with_steps(1, 1, 1, crashing(work(9000, 2), millis(1500)));
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(60));
+    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert!(starts(&sim, &job) <= CRASHES + 2, "{}", starts(&sim, &job));
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against endless restarts of a long-running task that crashes its VMs.
 #[test]
 fn a_lasting_task_that_crashes_its_vms_is_given_up() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let job = chain(1, 1, 1, crashing(work(0, 2), AT_ONCE));
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(30));
-    assert_eq!((state(&mut world, &job), world.crashes), (ShownState::Failed, 2));
-    check(&mut world, &known(&[&job]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let job = job_with_steps(1, 1, 1, crashing(work(0, 2), AT_ONCE));
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(30));
+    assert_eq!((state(&mut sim, &job), sim.crashes), (ShownState::Failed, 2));
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against endless restarts of a crashing task that may run as parallel copies.
 #[test]
 fn a_task_with_copies_that_crashes_its_vms_is_given_up() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let mut job = chain(1, 1, 1, crashing(usual(), AT_ONCE));
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let mut job = job_with_steps(1, 1, 1, crashing(usual(), AT_ONCE));
     job.steps[0].copies = Copies::Parallel;
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(30));
-    assert_eq!((state(&mut world, &job), world.crashes), (ShownState::Failed, 2));
-    check(&mut world, &known(&[&job]), SIZE);
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(30));
+    assert_eq!((state(&mut sim, &job), sim.crashes), (ShownState::Failed, 2));
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against endless restarts of a group with one member that crashes its VMs.
 #[test]
 fn a_group_with_a_member_that_crashes_its_vms_is_given_up() {
-    let mut world = World::new(Sound, &[SHARD], 8, SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 8, SIZE);
     let mut bad = usual();
     bad.crash = Some(Crash { after: AT_ONCE, only: Some(2) });
-    let mut job = chain(1, 1, 4, bad);
+    let mut job = job_with_steps(1, 1, 4, bad);
     job.steps[0].members = Members::Together;
-    world.groups.push(job.id);
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(40));
-    assert_eq!(state(&mut world, &job), ShownState::Failed);
-    assert!(world.crashes <= CRASHES + 2, "{}", world.crashes);
-    check(&mut world, &known(&[&job]), SIZE);
+    sim.groups.push(job.id);
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(40));
+    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert!(sim.crashes <= CRASHES + 2, "{}", sim.crashes);
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against failing jobs whose tasks are lost in crashes caused by another task on their VM.
 #[test]
 fn tasks_beside_a_task_that_crashes_vms_are_not_blamed() {
-    let mut world = World::new(Sound, &[SHARD], 4, SIZE);
-    let long_running = chain(1, 1, 4, work(0, 2));
-    let before = chain(2, 1, 4, work(9000, 1));
-    let bad = chain(3, 1, 1, crashing(work(2000, 1), AT_ONCE));
-    let beside = chain(4, 1, 6, work(1000, 1));
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 4, SIZE);
+    let long_running = job_with_steps(1, 1, 4, work(0, 2));
+    let before = job_with_steps(2, 1, 4, work(9000, 1));
+    let bad = job_with_steps(3, 1, 1, crashing(work(2000, 1), AT_ONCE));
+    let beside = job_with_steps(4, 1, 6, work(1000, 1));
     for job in [&long_running, &before] {
-        world.submit(SHARD, job.clone());
+        sim.submit(SHARD, job.clone());
     }
-    world.run_for(seconds(1));
+    sim.run_for(seconds(1));
     for job in [&bad, &beside] {
-        world.submit(SHARD, job.clone());
+        sim.submit(SHARD, job.clone());
     }
-    world.run_for(seconds(40));
-    assert_eq!(state(&mut world, &bad), ShownState::Failed);
-    assert_eq!(state(&mut world, &beside), ShownState::Done);
-    assert_eq!(state(&mut world, &before), ShownState::Done);
-    assert_eq!(state(&mut world, &long_running), ShownState::Running);
-    check(&mut world, &known(&[&long_running, &before, &bad, &beside]), SIZE);
+    sim.run_for(seconds(40));
+    assert_eq!(state(&mut sim, &bad), ShownState::Failed);
+    assert_eq!(state(&mut sim, &beside), ShownState::Done);
+    assert_eq!(state(&mut sim, &before), ShownState::Done);
+    assert_eq!(state(&mut sim, &long_running), ShownState::Running);
+    check(&mut sim, &known(&[&long_running, &before, &bad, &beside]), SIZE);
 }
 
 // Guards against blaming the wrong task, or none, when tasks start together on a VM and any of them
 // may be the one that crashes it.
 #[test]
 fn suspects_run_separately_until_the_crashing_task_is_found() {
-    let mut world = World::new(Sound, &[SHARD], 3, SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 3, SIZE);
     let jobs: Vec<Job> = (1..=6)
         .map(|id| {
             let work = work(3000, 1);
-            chain(id, 1, 1, if id == 4 { crashing(work, AT_ONCE) } else { work })
+            job_with_steps(id, 1, 1, if id == 4 { crashing(work, AT_ONCE) } else { work })
         })
         .collect();
     for job in &jobs {
-        world.submit(SHARD, job.clone());
+        sim.submit(SHARD, job.clone());
     }
-    world.run_for(seconds(40));
+    sim.run_for(seconds(40));
     for job in &jobs {
         let expected = if job.id.0 == 4 { ShownState::Failed } else { ShownState::Done };
-        assert_eq!(state(&mut world, job), expected, "job {}", job.id);
+        assert_eq!(state(&mut sim, job), expected, "job {}", job.id);
     }
-    check(&mut world, &known(&jobs.iter().collect::<Vec<_>>()), SIZE);
+    check(&mut sim, &known(&jobs.iter().collect::<Vec<_>>()), SIZE);
 }
 
 // Guards against failing a job because its VMs crash for an unrelated reason just after it starts
 // there.
 #[test]
 fn two_vms_lost_for_another_reason_do_not_end_a_job() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let long_running = chain(1, 1, 12, work(0, 2));
-    world.submit(SHARD, long_running.clone());
-    world.run_for(seconds(2));
-    let job = chain(2, 1, 1, usual());
-    world.submit(SHARD, job.clone());
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let long_running = job_with_steps(1, 1, 12, work(0, 2));
+    sim.submit(SHARD, long_running.clone());
+    sim.run_for(seconds(2));
+    let job = job_with_steps(2, 1, 1, usual());
+    sim.submit(SHARD, job.clone());
     for _ in 0..2 {
-        let before = starts(&world, &job);
-        while starts(&world, &job) == before {
-            world.run_for(millis(20));
+        let before = starts(&sim, &job);
+        while starts(&sim, &job) == before {
+            sim.run_for(millis(20));
         }
-        (0..6).for_each(|vm| world.crash_vm(vm, seconds(3)));
-        world.run_for(seconds(2));
+        (0..6).for_each(|vm| sim.crash_vm(vm, seconds(3)));
+        sim.run_for(seconds(2));
     }
-    world.run_for(seconds(20));
-    assert_eq!(state(&mut world, &job), ShownState::Done);
-    assert_eq!(state(&mut world, &long_running), ShownState::Running);
-    check(&mut world, &known(&[&long_running, &job]), SIZE);
+    sim.run_for(seconds(20));
+    assert_eq!(state(&mut sim, &job), ShownState::Done);
+    assert_eq!(state(&mut sim, &long_running), ShownState::Running);
+    check(&mut sim, &known(&[&long_running, &job]), SIZE);
 }
 
 // Guards against failing a job because its VMs repeatedly leave, become unreachable or stop
 // responding.
 #[test]
 fn leaving_or_silent_vms_do_not_count_as_crashes() {
-    let mut world = World::new(Sound, &[SHARD], 4, SIZE);
-    let job = chain(1, 1, 1, work(0, 2));
-    world.submit(SHARD, job.clone());
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 4, SIZE);
+    let job = job_with_steps(1, 1, 1, work(0, 2));
+    sim.submit(SHARD, job.clone());
     for round in 0..6 {
-        world.run_for(seconds(1));
-        let there = (0..4).find(|vm| world.runs_on(*vm) == 1).expect("it runs");
+        sim.run_for(seconds(1));
+        let there = (0..4).find(|vm| sim.runs_on(*vm) == 1).expect("it runs");
         if round % 2 == 0 {
-            world.disconnect_vm(there, seconds(12));
+            sim.disconnect_vm(there, seconds(12));
         } else {
-            world.leave_vm(there, millis(600));
-            world.run_for(millis(600));
-            world.crash_vm(there, seconds(1));
+            sim.leave_vm(there, millis(600));
+            sim.run_for(millis(600));
+            sim.crash_vm(there, seconds(1));
         }
-        world.run_for(seconds(11));
+        sim.run_for(seconds(11));
     }
-    assert_eq!(state(&mut world, &job), ShownState::Running);
-    check(&mut world, &known(&[&job]), SIZE);
+    assert_eq!(state(&mut sim, &job), ShownState::Running);
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against losing the crash count when the shard gets a new owner.
 #[test]
 fn crashes_are_counted_over_takeovers() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let job = chain(1, 1, 1, crashing(usual(), AT_ONCE));
-    world.submit(SHARD, job.clone());
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let job = job_with_steps(1, 1, 1, crashing(usual(), AT_ONCE));
+    sim.submit(SHARD, job.clone());
     for _ in 0..20 {
-        let before = world.crashes;
-        world.run_for(seconds(1));
-        if world.crashes > before {
+        let before = sim.crashes;
+        sim.run_for(seconds(1));
+        if sim.crashes > before {
             // The crash is counted when the VM's next instance appears, 3 s later.
-            world.run_for(seconds(4));
-            world.replace_owner(SHARD);
+            sim.run_for(seconds(4));
+            sim.replace_owner(SHARD);
         }
     }
-    assert_eq!(state(&mut world, &job), ShownState::Failed);
-    assert!(starts(&world, &job) <= CRASHES + 2, "{}", starts(&world, &job));
-    check(&mut world, &known(&[&job]), SIZE);
+    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert!(starts(&sim, &job) <= CRASHES + 2, "{}", starts(&sim, &job));
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against uncounted crashes when the owner ends between a crash and its record.
 #[test]
 fn a_crash_is_counted_by_the_next_owner_if_it_was_not_yet() {
-    let mut world = World::new(Sound, &[SHARD], 6, SIZE);
-    let job = chain(1, 1, 1, crashing(usual(), AT_ONCE));
-    world.submit(SHARD, job.clone());
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 6, SIZE);
+    let job = job_with_steps(1, 1, 1, crashing(usual(), AT_ONCE));
+    sim.submit(SHARD, job.clone());
     for _ in 0..120 {
-        let before = world.crashes;
-        world.run_for(millis(500));
-        if world.crashes > before {
-            world.replace_owner(SHARD);
+        let before = sim.crashes;
+        sim.run_for(millis(500));
+        if sim.crashes > before {
+            sim.replace_owner(SHARD);
         }
     }
-    assert_eq!(state(&mut world, &job), ShownState::Failed);
-    assert!(starts(&world, &job) <= CRASHES + 2, "{}", starts(&world, &job));
-    check(&mut world, &known(&[&job]), SIZE);
+    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert!(starts(&sim, &job) <= CRASHES + 2, "{}", starts(&sim, &job));
+    check(&mut sim, &known(&[&job]), SIZE);
 }
 
 // Guards against a lent task that crashes VMs of several shards in turn.
 #[test]
 fn a_lent_task_that_crashes_its_vms_is_given_up() {
-    let mut world = World::new(Sound, &[SHARD, "remera"], 3, SIZE);
-    let full = chain(1, 1, 12, work(60_000, 2));
-    let bad = chain(2, 1, 1, crashing(work(2000, 2), AT_ONCE));
-    world.submit(SHARD, full.clone());
-    world.run_for(seconds(1));
-    world.submit(SHARD, bad.clone());
-    world.run_for(seconds(30));
-    assert_eq!(state(&mut world, &bad), ShownState::Failed);
-    assert!(starts(&world, &bad) <= CRASHES, "{}", starts(&world, &bad));
-    check(&mut world, &known(&[&full, &bad]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD, "remera"], 3, SIZE);
+    let full = job_with_steps(1, 1, 12, work(60_000, 2));
+    let bad = job_with_steps(2, 1, 1, crashing(work(2000, 2), AT_ONCE));
+    sim.submit(SHARD, full.clone());
+    sim.run_for(seconds(1));
+    sim.submit(SHARD, bad.clone());
+    sim.run_for(seconds(30));
+    assert_eq!(state(&mut sim, &bad), ShownState::Failed);
+    assert!(starts(&sim, &bad) <= CRASHES, "{}", starts(&sim, &bad));
+    check(&mut sim, &known(&[&full, &bad]), SIZE);
 }
 
 // Guards against a job whose tasks all crash their VMs, and that crashes VMs again with each
 // restarted task.
 #[test]
 fn a_wide_job_that_crashes_vms_takes_down_one_more_than_it_began_on() {
-    let mut world = World::new(Sound, &[SHARD], 8, SIZE);
-    let job = chain(1, 1, 8, crashing(work(2000, 5), AT_ONCE));
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(30));
-    assert_eq!(state(&mut world, &job), ShownState::Failed);
-    assert!(world.crashes <= 8 + 1, "{}", world.crashes);
-    check(&mut world, &known(&[&job]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 8, SIZE);
+    let job = job_with_steps(1, 1, 8, crashing(work(2000, 5), AT_ONCE));
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(30));
+    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert!(sim.crashes <= 8 + 1, "{}", sim.crashes);
+    check(&mut sim, &known(&[&job]), SIZE);
 }
--- a/tests/shards/faults.rs
+++ b/tests/shards/faults.rs
@@ -26,9 +26,9 @@
 }
 
 /// No faults.
-pub struct Sound;
+pub struct NoFaults;
 
-impl Faults for Sound {
+impl Faults for NoFaults {
     fn command_outcome(&mut self, _: Duration, _: &Action) -> Outcome {
         Outcome::Delivered
     }
--- a/tests/shards/hold.rs
+++ b/tests/shards/hold.rs
@@ -1,9 +1,9 @@
 //! Long-running tasks that need more resources on one VM than competing short tasks do.
 
-use crate::faults::Sound;
+use crate::faults::NoFaults;
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::{Job, JobId, ShownState};
@@ -16,39 +16,39 @@
 
 /// Two VMs under a constant load of short tasks, and long-running jobs.
 struct BusyShard {
-    world: World<Sound>,
+    sim: Simulation<NoFaults>,
     all: IndexMap<JobId, Job>,
     next: u64,
 }
 
 impl BusyShard {
     fn new() -> Self {
-        Self { world: World::new(Sound, &[SHARD], 2, SIZE), all: IndexMap::new(), next: 100 }
+        Self { sim: Simulation::new(NoFaults, &[SHARD], 2, SIZE), all: IndexMap::new(), next: 100 }
     }
 
     fn submit(&mut self, job: Job) {
-        self.world.submit(SHARD, job.clone());
+        self.sim.submit(SHARD, job.clone());
         self.all.insert(job.id, job);
     }
 
     /// Keeps submitting more short tasks than there is room for.
     fn add_load_for(&mut self, time: Duration) {
-        let until = self.world.now + time;
-        while self.world.now < until {
+        let until = self.sim.now + time;
+        while self.sim.now < until {
             self.next += 1;
-            self.submit(chain(self.next, 1, 3, work(600, 1)));
-            self.world.run_for(Duration::from_millis(100));
+            self.submit(job_with_steps(self.next, 1, 3, work(600, 1)));
+            self.sim.run_for(Duration::from_millis(100));
         }
     }
 
     fn is_running(&mut self, job: JobId) -> bool {
-        self.world.show(SHARD, job) == Some(Answer::Shown(ShownState::Running))
+        self.sim.show(SHARD, job) == Some(Answer::Shown(ShownState::Running))
     }
 }
 
 fn long_running(id: u64, cores: u32, memory_mib: u32) -> Job {
     let size = Resources::new(cores * 1000, memory_mib, 0);
-    chain(id, 1, 1, Work { size, ..work(0, cores) })
+    job_with_steps(id, 1, 1, Work { size, ..work(0, cores) })
 }
 
 // Guards against a long-running task that starves beside short tasks. The VM with the most free CPU
@@ -60,13 +60,13 @@
 fn a_lasting_task_does_not_wait_for_a_vm_whose_memory_is_taken_for_good() {
     let mut busy = BusyShard::new();
     busy.submit(long_running(1, 1, 7900));
-    busy.world.run_for(Duration::from_millis(300));
+    busy.sim.run_for(Duration::from_millis(300));
     busy.add_load_for(Duration::from_secs(2));
     let waiting = long_running(2, 4, 4000);
     busy.submit(waiting.clone());
     busy.add_load_for(Duration::from_secs(2));
     assert!(busy.is_running(waiting.id), "the task still waits");
-    check(&mut busy.world, &busy.all, SIZE);
+    check(&mut busy.sim, &busy.all, SIZE);
 }
 
 // The VM chosen for a long-running task must stay reserved until the task fits, even if another VM
@@ -79,5 +79,5 @@
     busy.submit(waiting.clone());
     busy.add_load_for(Duration::from_secs(2));
     assert!(busy.is_running(waiting.id), "the task still waits");
-    check(&mut busy.world, &busy.all, SIZE);
+    check(&mut busy.sim, &busy.all, SIZE);
 }
--- a/tests/shards/invariants.rs
+++ b/tests/shards/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants checked against the events that the VMs recorded.
 
 use crate::faults::Faults;
-use crate::world::World;
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::{Copies, Job, JobId, RunNumber, TaskRef};
@@ -24,13 +24,13 @@
 }
 
 /// Panics at the first violated invariant.
-pub fn check<F: Faults>(world: &mut World<F>, jobs: &IndexMap<JobId, Job>, size: Resources) {
-    let now = world.now;
+pub fn check<F: Faults>(sim: &mut Simulation<F>, jobs: &IndexMap<JobId, Job>, size: Resources) {
+    let now = sim.now;
     let mut runs = Vec::new();
-    for table in &world.ended_tables {
+    for table in &sim.ended_tables {
         runs.extend(runs_of(table));
     }
-    for vm in &mut world.vms {
+    for vm in &mut sim.vms {
         let _ = vm.table.runs(now);
         runs.extend(runs_of(&vm.table));
     }
@@ -130,10 +130,10 @@
 const SIZE_PROPAGATION: Duration = Duration::from_millis(3000 + 1500);
 
 /// No start exceeds the VM's current size, or a size it had until recently.
-pub fn check_sizes<F: Faults>(world: &mut World<F>) {
-    let now = world.now;
+pub fn check_sizes<F: Faults>(sim: &mut Simulation<F>) {
+    let now = sim.now;
     let mut starts = 0;
-    for vm in &mut world.vms {
+    for vm in &mut sim.vms {
         let _ = vm.table.runs(now);
         let runs = runs_of(&vm.table);
         starts += runs.len();
--- a/tests/shards/jobs.rs
+++ b/tests/shards/jobs.rs
@@ -11,7 +11,7 @@
 use waxwingstall_standin::runs::{Crash, Work};
 
 /// A job whose steps run one after the other.
-pub fn chain(id: u64, steps: u16, tasks: u32, work: Work) -> Job {
+pub fn job_with_steps(id: u64, steps: u16, tasks: u32, work: Work) -> Job {
     let step = |number: u16| Step {
         after: if number == 0 { Vec::new() } else { vec![number - 1] },
         resume: Resume::FromCheckpoint,
@@ -50,8 +50,8 @@
     if id.is_multiple_of(9) {
         work.time = Duration::ZERO;
         work.size = Resources::new(1000, 1000, 0);
-        return chain(id, 1, rng.random_range(1..4), work);
+        return job_with_steps(id, 1, rng.random_range(1..4), work);
     }
     let steps = rng.random_range(1..4);
-    chain(id, steps, rng.random_range(1..7), work)
+    job_with_steps(id, steps, rng.random_range(1..7), work)
 }
--- a/tests/shards/leaving.rs
+++ b/tests/shards/leaving.rs
@@ -1,9 +1,9 @@
 //! Long-running tasks that must be moved when their VMs leave.
 
-use crate::faults::{Faults, RandomFaults, Sound};
+use crate::faults::{Faults, NoFaults, RandomFaults};
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::{VmNode, World};
+use crate::jobs::{job_with_steps, work};
+use crate::world::{Simulation, VmNode};
 use indexmap::{IndexMap, IndexSet};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
 
 /// A shard filled with as many long-running jobs as it accepts.
 struct FilledShard<F> {
-    world: World<F>,
+    sim: Simulation<F>,
     jobs: IndexMap<JobId, Job>,
     /// Since when each task has been down although there was room for it.
     down_since: IndexMap<TaskRef, Duration>,
@@ -42,9 +42,9 @@
 
 impl<F: Faults> FilledShard<F> {
     fn new(faults: F, vms: usize, sizes: Range<u32>, rng: &mut SmallRng) -> Self {
-        let world = World::new(faults, &[SHARD], vms, SIZE);
+        let sim = Simulation::new(faults, &[SHARD], vms, SIZE);
         let (jobs, down_since) = (IndexMap::new(), IndexMap::new());
-        let mut filled = Self { world, jobs, down_since, next: 1 };
+        let mut filled = Self { sim, jobs, down_since, next: 1 };
         while filled.submit(long_running(filled.next, rng.random_range(sizes.clone()))) {}
         filled
     }
@@ -52,9 +52,9 @@
     /// Submits a job; returns whether the shard accepted it.
     fn submit(&mut self, job: Job) -> bool {
         self.next += 1;
-        let ticket = self.world.submit(SHARD, job.clone());
-        self.world.run_for(Duration::from_millis(200));
-        let accepted = self.world.answers.get(&ticket) == Some(&Answer::Accepted);
+        let ticket = self.sim.submit(SHARD, job.clone());
+        self.sim.run_for(Duration::from_millis(200));
+        let accepted = self.sim.answers.get(&ticket) == Some(&Answer::Accepted);
         if accepted {
             self.jobs.insert(job.id, job);
         }
@@ -62,15 +62,15 @@
     }
 
     fn leave(&mut self) {
-        for index in (0..self.world.vms.len()).step_by(LEAVING_EVERY) {
-            self.world.leave_vm(index, NOTICE);
+        for index in (0..self.sim.vms.len()).step_by(LEAVING_EVERY) {
+            self.sim.leave_vm(index, NOTICE);
         }
     }
 
     /// Free CPU on the VMs that stay, in millicores.
     fn free(&mut self) -> u32 {
-        let now = self.world.now;
-        let stay = self.world.vms.iter_mut().enumerate();
+        let now = self.sim.now;
+        let stay = self.sim.vms.iter_mut().enumerate();
         let stay = stay.filter(|(index, _)| index % LEAVING_EVERY != 0);
         let used = |vm: &mut VmNode| -> u32 {
             vm.table.runs(now).iter().map(|(_, _, size)| size.milli_cores.0).sum()
@@ -80,9 +80,9 @@
 
     /// Long-running tasks that run nowhere, with their CPU in millicores.
     fn tasks_down(&mut self) -> Vec<(TaskRef, u32)> {
-        let now = self.world.now;
+        let now = self.sim.now;
         let mut runs = IndexSet::new();
-        for vm in &mut self.world.vms {
+        for vm in &mut self.sim.vms {
             runs.extend(vm.table.runs(now).into_iter().map(|(task, ..)| task));
         }
         let long_running = self.jobs.values().filter(|job| job.steps[0].estimate.is_zero());
@@ -96,7 +96,7 @@
 
     /// The longest time that a task has been down while twice its size was free, and its size.
     fn track_downtime(&mut self) -> Option<(Duration, u32)> {
-        let (now, free) = (self.world.now, self.free());
+        let (now, free) = (self.sim.now, self.free());
         let down = self.tasks_down();
         let before = std::mem::take(&mut self.down_since);
         let placeable = down.iter().filter(|(_, size)| 2 * size <= free);
@@ -109,7 +109,7 @@
 /// A job of six long-running tasks of one image, each of `tenths` tenths of a core.
 fn long_running(id: u64, tenths: u32) -> Job {
     let size = Resources::new(tenths * 100, 6_000, 0);
-    let mut job = chain(id, 1, 6, Work { size, ..work(0, 1) });
+    let mut job = job_with_steps(id, 1, 6, Work { size, ..work(0, 1) });
     job.steps[0].image = Some(Image::new(&format!("voice-{}", id % 10)));
     job.steps[0].tail_target = Some(Duration::from_millis(18));
     job
@@ -120,11 +120,12 @@
 #[test]
 fn no_lasting_task_stands_still_for_long_beside_room_for_two() {
     for seed in 0..6 {
-        let mut filled = FilledShard::new(Sound, 32, 20..100, &mut SmallRng::seed_from_u64(seed));
+        let mut filled =
+            FilledShard::new(NoFaults, 32, 20..100, &mut SmallRng::seed_from_u64(seed));
         filled.leave();
         let mut longest = (Duration::ZERO, 0);
         for _ in 0..100 {
-            let short = chain(filled.next, 1, 2, work(800, 4));
+            let short = job_with_steps(filled.next, 1, 2, work(800, 4));
             filled.submit(short);
             longest = longest.max(filled.track_downtime().unwrap_or_default());
         }
@@ -133,7 +134,7 @@
             time <= MAX_DOWNTIME,
             "seed {seed}: a task of {milli_cores} millicores was down for {time:?}"
         );
-        check(&mut filled.world, &filled.jobs, SIZE);
+        check(&mut filled.sim, &filled.jobs, SIZE);
     }
 }
 
@@ -147,19 +148,19 @@
         let mut filled =
             FilledShard::new(RandomFaults::new(seed, 20, until), 16, 20..160, &mut rng);
         filled.leave();
-        while filled.world.now < until {
-            filled.world.run_for(Duration::from_millis(rng.random_range(500..2500)));
+        while filled.sim.now < until {
+            filled.sim.run_for(Duration::from_millis(rng.random_range(500..2500)));
             let (vm, time) =
                 (rng.random_range(0..16), Duration::from_millis(rng.random_range(300..4000)));
             match rng.random_range(0..10) {
-                0..2 => filled.world.replace_owner(SHARD),
-                2..4 => filled.world.pause_owner(SHARD, time),
-                4 => filled.world.disconnect_vm(vm, time),
-                5 => filled.world.crash_vm(vm, time),
+                0..2 => filled.sim.replace_owner(SHARD),
+                2..4 => filled.sim.pause_owner(SHARD, time),
+                4 => filled.sim.disconnect_vm(vm, time),
+                5 => filled.sim.crash_vm(vm, time),
                 _ => {}
             }
         }
-        filled.world.run_for(SETTLE_TIME);
-        check(&mut filled.world, &filled.jobs, SIZE);
+        filled.sim.run_for(SETTLE_TIME);
+        check(&mut filled.sim, &filled.jobs, SIZE);
     }
 }
--- a/tests/shards/limits.rs
+++ b/tests/shards/limits.rs
@@ -1,9 +1,9 @@
 //! Limits on the capacity that long-running tasks may take.
 
-use crate::faults::Sound;
+use crate::faults::NoFaults;
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::{Job, JobId, ShownState};
@@ -24,61 +24,61 @@
 // capacity must be refused at once as not run, with a retry delay.
 #[test]
 fn lasting_jobs_leave_room_for_short_ones() {
-    let mut world = World::new(Sound, &[SHARD], 1, SIZE);
-    let first = chain(1, 1, 3, work(0, 2));
-    let second = chain(2, 1, 1, work(0, 2));
-    let short = chain(3, 1, 1, work(500, 2));
-    let accepted = world.submit(SHARD, first.clone());
-    world.run_for(Duration::from_secs(1));
-    let refused = world.submit(SHARD, second);
-    world.submit(SHARD, short.clone());
-    world.run_for(Duration::from_secs(1));
-    assert_eq!(world.answers.get(&accepted), Some(&Answer::Accepted));
-    let answer = world.answers.get(&refused).cloned();
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 1, SIZE);
+    let first = job_with_steps(1, 1, 3, work(0, 2));
+    let second = job_with_steps(2, 1, 1, work(0, 2));
+    let short = job_with_steps(3, 1, 1, work(500, 2));
+    let accepted = sim.submit(SHARD, first.clone());
+    sim.run_for(Duration::from_secs(1));
+    let refused = sim.submit(SHARD, second);
+    sim.submit(SHARD, short.clone());
+    sim.run_for(Duration::from_secs(1));
+    assert_eq!(sim.answers.get(&accepted), Some(&Answer::Accepted));
+    let answer = sim.answers.get(&refused).cloned();
     let Some(Answer::NotRun { retry_after, .. }) = answer else { panic!("{answer:?}") };
     assert!(retry_after >= Duration::from_secs(1), "a retry that early is refused again");
-    assert_eq!(world.show(SHARD, short.id), Some(Answer::Shown(ShownState::Done)));
-    check(&mut world, &known(&[&first, &short]), SIZE);
+    assert_eq!(sim.show(SHARD, short.id), Some(Answer::Shown(ShownState::Done)));
+    check(&mut sim, &known(&[&first, &short]), SIZE);
 }
 
 // Guards against exceeding the limit with long-running jobs that are submitted at the same time:
 // none was durable when the next one arrived, and all were accepted.
 #[test]
 fn lasting_jobs_that_come_together_leave_room_for_short_ones() {
-    let mut world = World::new(Sound, &[SHARD], 1, SIZE);
-    world.run_for(Duration::from_secs(1));
-    let jobs = [1, 2, 3].map(|id| chain(id, 1, 1, work(0, 3)));
-    let tickets = jobs.each_ref().map(|job| world.submit(SHARD, job.clone()));
-    world.run_for(Duration::from_secs(1));
-    let accepted = tickets.iter().filter(|id| world.answers.get(*id) == Some(&Answer::Accepted));
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 1, SIZE);
+    sim.run_for(Duration::from_secs(1));
+    let jobs = [1, 2, 3].map(|id| job_with_steps(id, 1, 1, work(0, 3)));
+    let tickets = jobs.each_ref().map(|job| sim.submit(SHARD, job.clone()));
+    sim.run_for(Duration::from_secs(1));
+    let accepted = tickets.iter().filter(|id| sim.answers.get(*id) == Some(&Answer::Accepted));
     assert_eq!(accepted.count(), 2);
-    check(&mut world, &known(&jobs.each_ref()), SIZE);
+    check(&mut sim, &known(&jobs.each_ref()), SIZE);
 }
 
 // A long-running job must be accepted again once cancelling another one has freed the capacity.
 #[test]
 fn a_lasting_job_is_taken_once_room_has_come_back() {
-    let mut world = World::new(Sound, &[SHARD], 1, SIZE);
-    let first = chain(1, 1, 3, work(0, 2));
-    let second = chain(2, 1, 1, work(0, 2));
-    world.submit(SHARD, first.clone());
-    world.run_for(Duration::from_secs(1));
-    world.cancel(SHARD, first.id);
-    world.run_for(Duration::from_secs(2));
-    world.submit(SHARD, second.clone());
-    world.run_for(Duration::from_secs(1));
-    assert_eq!(world.show(SHARD, second.id), Some(Answer::Shown(ShownState::Running)));
-    check(&mut world, &known(&[&first, &second]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 1, SIZE);
+    let first = job_with_steps(1, 1, 3, work(0, 2));
+    let second = job_with_steps(2, 1, 1, work(0, 2));
+    sim.submit(SHARD, first.clone());
+    sim.run_for(Duration::from_secs(1));
+    sim.cancel(SHARD, first.id);
+    sim.run_for(Duration::from_secs(2));
+    sim.submit(SHARD, second.clone());
+    sim.run_for(Duration::from_secs(1));
+    assert_eq!(sim.show(SHARD, second.id), Some(Answer::Shown(ShownState::Running)));
+    check(&mut sim, &known(&[&first, &second]), SIZE);
 }
 
 // A long-running job that needs all of a small deployment must be accepted if no other
 // long-running job is there: nothing else would use the capacity.
 #[test]
 fn a_lasting_job_that_is_the_only_one_may_take_all_the_room() {
-    let mut world = World::new(Sound, &[SHARD], 1, SIZE);
-    let only = chain(1, 1, 4, work(0, 2));
-    world.submit(SHARD, only.clone());
-    world.run_for(Duration::from_secs(1));
-    assert_eq!(world.runs_on(0), 4);
-    check(&mut world, &known(&[&only]), SIZE);
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 1, SIZE);
+    let only = job_with_steps(1, 1, 4, work(0, 2));
+    sim.submit(SHARD, only.clone());
+    sim.run_for(Duration::from_secs(1));
+    assert_eq!(sim.runs_on(0), 4);
+    check(&mut sim, &known(&[&only]), SIZE);
 }
--- a/tests/shards/lists.rs
+++ b/tests/shards/lists.rs
@@ -1,9 +1,9 @@
 //! Behaviour of a shard whose list of VMs is out of date.
 
-use crate::faults::Sound;
+use crate::faults::NoFaults;
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::ShownState;
@@ -24,21 +24,21 @@
 // list. It must start nothing until it has read the list again.
 #[test]
 fn nothing_is_started_by_a_list_of_vms_that_has_become_old() {
-    let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
-    world.run_for(seconds(1));
-    world.block_vm_list(seconds(6));
-    world.run_for(Duration::from_millis(200));
-    world.leave_vm(0, seconds(8));
-    world.run_for(LAST_START);
-    let job = chain(1, 1, 6, work(700, 2));
-    world.submit("kacyiru", job.clone());
+    let mut sim = Simulation::new(NoFaults, &["kacyiru"], 2, SIZE);
+    sim.run_for(seconds(1));
+    sim.block_vm_list(seconds(6));
+    sim.run_for(Duration::from_millis(200));
+    sim.leave_vm(0, seconds(8));
+    sim.run_for(LAST_START);
+    let job = job_with_steps(1, 1, 6, work(700, 2));
+    sim.submit("kacyiru", job.clone());
     for _ in 0..30 {
-        world.run_for(Duration::from_millis(100));
-        assert_eq!(world.runs_on(0), 0, "a task runs on a leaving VM");
+        sim.run_for(Duration::from_millis(100));
+        assert_eq!(sim.runs_on(0), 0, "a task runs on a leaving VM");
     }
-    world.run_for(seconds(4));
-    assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
-    check(&mut world, &IndexMap::from([(job.id, job)]), SIZE);
+    sim.run_for(seconds(4));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    check(&mut sim, &IndexMap::from([(job.id, job)]), SIZE);
 }
 
 // The same failure, with a start that was decided in time but sent too late. The store fails while
@@ -48,21 +48,21 @@
 #[test]
 fn a_start_decided_before_an_outage_waits_for_the_list_of_vms() {
     for moment in (0..100).step_by(5) {
-        let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
-        world.run_for(seconds(1));
-        let job = chain(1, 1, 6, work(700, 2));
-        world.submit("kacyiru", job.clone());
-        world.run_for(Duration::from_millis(moment));
-        world.stop_store(seconds(4));
-        world.run_for(seconds(2));
-        world.leave_vm(0, seconds(8));
+        let mut sim = Simulation::new(NoFaults, &["kacyiru"], 2, SIZE);
+        sim.run_for(seconds(1));
+        let job = job_with_steps(1, 1, 6, work(700, 2));
+        sim.submit("kacyiru", job.clone());
+        sim.run_for(Duration::from_millis(moment));
+        sim.stop_store(seconds(4));
+        sim.run_for(seconds(2));
+        sim.leave_vm(0, seconds(8));
         for _ in 0..50 {
-            world.run_for(Duration::from_millis(100));
-            assert_eq!(world.runs_on(0), 0, "a task runs on a leaving VM, {moment} ms");
+            sim.run_for(Duration::from_millis(100));
+            assert_eq!(sim.runs_on(0), 0, "a task runs on a leaving VM, {moment} ms");
         }
-        world.run_for(seconds(3));
-        assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
-        check(&mut world, &IndexMap::from([(job.id, job)]), SIZE);
+        sim.run_for(seconds(3));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        check(&mut sim, &IndexMap::from([(job.id, job)]), SIZE);
     }
 }
 
@@ -72,19 +72,19 @@
 // new one for the dead one: it started the task elsewhere and never used the VM again.
 #[test]
 fn a_life_that_an_old_list_lacks_is_not_taken_for_over() {
-    let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
-    world.run_for(seconds(1));
-    world.keep_outdated_list("kacyiru");
-    world.crash_vm(0, Duration::from_millis(300));
-    world.run_for(seconds(1));
-    let job = chain(1, 1, 4, work(4000, 2));
-    world.submit("kacyiru", job.clone());
-    world.run_for(Duration::from_millis(500));
-    assert!(world.runs_on(0) > 0, "the task runs on the new instance");
-    world.replace_owner("kacyiru");
-    world.run_for(seconds(12));
-    check(&mut world, &IndexMap::from([(job.id, job.clone())]), SIZE);
-    assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    let mut sim = Simulation::new(NoFaults, &["kacyiru"], 2, SIZE);
+    sim.run_for(seconds(1));
+    sim.keep_outdated_list("kacyiru");
+    sim.crash_vm(0, Duration::from_millis(300));
+    sim.run_for(seconds(1));
+    let job = job_with_steps(1, 1, 4, work(4000, 2));
+    sim.submit("kacyiru", job.clone());
+    sim.run_for(Duration::from_millis(500));
+    assert!(sim.runs_on(0) > 0, "the task runs on the new instance");
+    sim.replace_owner("kacyiru");
+    sim.run_for(seconds(12));
+    check(&mut sim, &IndexMap::from([(job.id, job.clone())]), SIZE);
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
 }
 
 // Guards against a delay of 0.4 s at most takeovers. The list of VMs is requested as soon as a
@@ -92,17 +92,17 @@
 // older than the claim. The age of the list is known, and is a few milliseconds.
 #[test]
 fn a_list_asked_for_as_the_claim_succeeded_counts() {
-    let mut world = World::new(Sound, &["kacyiru"], 2, SIZE);
-    let job = chain(1, 1, 6, work(700, 2));
-    world.submit("kacyiru", job);
-    world.run_for(Duration::from_millis(840));
-    let asked = world.now;
-    world.run_for(Duration::from_millis(20));
-    world.block_vm_list(seconds(2));
-    world.replace_owner("kacyiru");
-    world.send_vm_list("kacyiru", asked);
-    let next = chain(2, 1, 2, work(700, 2));
-    world.submit("kacyiru", next);
-    world.run_for(Duration::from_millis(300));
-    assert!(world.runs_on(0) + world.runs_on(1) > 0, "a list 20 ms old is recent enough");
+    let mut sim = Simulation::new(NoFaults, &["kacyiru"], 2, SIZE);
+    let job = job_with_steps(1, 1, 6, work(700, 2));
+    sim.submit("kacyiru", job);
+    sim.run_for(Duration::from_millis(840));
+    let asked = sim.now;
+    sim.run_for(Duration::from_millis(20));
+    sim.block_vm_list(seconds(2));
+    sim.replace_owner("kacyiru");
+    sim.send_vm_list("kacyiru", asked);
+    let next = job_with_steps(2, 1, 2, work(700, 2));
+    sim.submit("kacyiru", next);
+    sim.run_for(Duration::from_millis(300));
+    assert!(sim.runs_on(0) + sim.runs_on(1) > 0, "a list 20 ms old is recent enough");
 }
--- a/tests/shards/loans.rs
+++ b/tests/shards/loans.rs
@@ -1,9 +1,9 @@
 //! Tasks lent to another shard.
 
-use crate::faults::Sound;
+use crate::faults::NoFaults;
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::units::Resources;
@@ -21,45 +21,45 @@
 // `fit_elsewhere=5` for the last 12 s of a run. The wait must count from the takeover.
 #[test]
 fn a_borrowed_task_without_room_is_given_back_by_the_next_owner() {
-    let mut world = World::new(Sound, &["kacyiru", "remera"], 1, SIZE);
-    let full = chain(1, 1, 4, work(60_000, 2));
-    let lent = chain(2, 1, 1, work(0, 2));
-    world.submit("kacyiru", full.clone());
-    world.run_for(seconds(1));
-    world.submit("kacyiru", lent.clone());
-    world.run_for(seconds(3));
-    assert_eq!(world.runs_on(1), 1, "the task was lent");
-    world.leave_vm(1, seconds(60));
-    while world.runs_on(1) > 0 {
-        world.run_for(Duration::from_millis(100));
+    let mut sim = Simulation::new(NoFaults, &["kacyiru", "remera"], 1, SIZE);
+    let full = job_with_steps(1, 1, 4, work(60_000, 2));
+    let lent = job_with_steps(2, 1, 1, work(0, 2));
+    sim.submit("kacyiru", full.clone());
+    sim.run_for(seconds(1));
+    sim.submit("kacyiru", lent.clone());
+    sim.run_for(seconds(3));
+    assert_eq!(sim.runs_on(1), 1, "the task was lent");
+    sim.leave_vm(1, seconds(60));
+    while sim.runs_on(1) > 0 {
+        sim.run_for(Duration::from_millis(100));
     }
-    world.run_for(Duration::from_millis(300));
-    world.replace_owner("remera");
-    world.cancel("kacyiru", full.id);
-    world.run_for(seconds(5));
-    assert_eq!(world.runs_on(0), 1, "the task was not returned");
-    check(&mut world, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
+    sim.run_for(Duration::from_millis(300));
+    sim.replace_owner("remera");
+    sim.cancel("kacyiru", full.id);
+    sim.run_for(seconds(5));
+    assert_eq!(sim.runs_on(0), 1, "the task was not returned");
+    check(&mut sim, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
 }
 
 // Guards against a task that runs twice because a paused owner that was replaced lends it again.
 #[test]
 fn an_owner_that_was_replaced_lends_nothing_again() {
-    let mut world = World::new(Sound, &["kacyiru", "remera"], 1, SIZE);
-    let full = chain(1, 1, 4, work(60_000, 2));
-    let lent = chain(2, 1, 1, work(1000, 2));
-    world.submit("kacyiru", full.clone());
-    world.run_for(seconds(1));
-    world.submit("kacyiru", lent.clone());
-    while world.runs_on(1) == 0 {
-        world.run_for(Duration::from_millis(20));
+    let mut sim = Simulation::new(NoFaults, &["kacyiru", "remera"], 1, SIZE);
+    let full = job_with_steps(1, 1, 4, work(60_000, 2));
+    let lent = job_with_steps(2, 1, 1, work(1000, 2));
+    sim.submit("kacyiru", full.clone());
+    sim.run_for(seconds(1));
+    sim.submit("kacyiru", lent.clone());
+    while sim.runs_on(1) == 0 {
+        sim.run_for(Duration::from_millis(20));
     }
-    world.pause_owner("kacyiru", seconds(6));
-    world.run_for(seconds(4));
-    assert_eq!(world.runs_on(1), 0, "the task is done and returned");
-    world.replace_owner("remera");
-    world.run_for(seconds(1));
+    sim.pause_owner("kacyiru", seconds(6));
+    sim.run_for(seconds(4));
+    assert_eq!(sim.runs_on(1), 0, "the task is done and returned");
+    sim.replace_owner("remera");
+    sim.run_for(seconds(1));
     // The old owner can't learn from the VM, which knows the new owner, that it was replaced.
-    world.disconnect_vm(0, seconds(4));
-    world.run_for(seconds(10));
-    check(&mut world, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
+    sim.disconnect_vm(0, seconds(4));
+    sim.run_for(seconds(10));
+    check(&mut sim, &IndexMap::from([(full.id, full), (lent.id, lent)]), SIZE);
 }
--- a/tests/shards/permits.rs
+++ b/tests/shards/permits.rs
@@ -1,9 +1,9 @@
 //! Steps that may run only on VMs permitted by an external service.
 
-use crate::faults::{Faults, RandomFaults, Sound};
+use crate::faults::{Faults, NoFaults, RandomFaults};
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::{Job, JobId, ShownState};
@@ -18,22 +18,22 @@
     Duration::from_secs(n)
 }
 
-fn world<F: Faults>(faults: F, percent: u64, vms: usize) -> World<F> {
-    World::new(faults, &["kacyiru"], vms, SIZE).with_permits(PermitTable::new(percent, VALID))
+fn sim<F: Faults>(faults: F, percent: u64, vms: usize) -> Simulation<F> {
+    Simulation::new(faults, &["kacyiru"], vms, SIZE).with_permits(PermitTable::new(percent, VALID))
 }
 
 fn known(jobs: &[Job]) -> IndexMap<JobId, Job> {
     jobs.iter().map(|job| (job.id, job.clone())).collect()
 }
 
-fn submit_all<F: Faults>(world: &mut World<F>, jobs: &[Job]) {
+fn submit_all<F: Faults>(sim: &mut Simulation<F>, jobs: &[Job]) {
     for job in jobs {
-        world.submit("kacyiru", job.clone());
+        sim.submit("kacyiru", job.clone());
     }
 }
 
-fn table<F: Faults>(world: &World<F>) -> &PermitTable {
-    world.permits.as_ref().expect("the world has permits")
+fn table<F: Faults>(sim: &Simulation<F>) -> &PermitTable {
+    sim.permits.as_ref().expect("the simulation has permits")
 }
 
 // Each of two steps may run on about half of ten VMs, which only the service knows. Every start
@@ -41,16 +41,16 @@
 // complete.
 #[test]
 fn tasks_start_only_where_they_are_permitted() {
-    let mut world = world(Sound, 50, 10);
-    let job = chain(1, 2, 6, work(500, 2));
-    world.submit("kacyiru", job.clone());
-    world.run_for(seconds(4));
-    assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
-    check(&mut world, &known(&[job]), SIZE);
-    assert_eq!(table(&world).refused, 0);
-    for (step, vms) in &table(&world).asked {
+    let mut sim = sim(NoFaults, 50, 10);
+    let job = job_with_steps(1, 2, 6, work(500, 2));
+    sim.submit("kacyiru", job.clone());
+    sim.run_for(seconds(4));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    check(&mut sim, &known(&[job]), SIZE);
+    assert_eq!(table(&sim).refused, 0);
+    for (step, vms) in &table(&sim).asked {
         let again = |vm: &&_| {
-            table(&world).asked.iter().filter(|(s, v)| s == step && v.contains(vm)).count() > 1
+            table(&sim).asked.iter().filter(|(s, v)| s == step && v.contains(vm)).count() > 1
         };
         assert_eq!(vms.iter().find(again), None, "step {step} is asked about twice");
     }
@@ -60,30 +60,30 @@
 // have expired. Permits must be renewed in time, so that no start is refused.
 #[test]
 fn permits_are_renewed_for_tasks_that_waited_long() {
-    let mut world = world(Sound, 100, 1);
-    let job = chain(1, 1, 8, work(3500, 2));
-    world.submit("kacyiru", job.clone());
-    world.run_for(seconds(9));
-    assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
-    check(&mut world, &known(&[job]), SIZE);
-    assert_eq!(table(&world).refused, 0);
-    assert!(table(&world).asked.len() >= 2, "{:?}", table(&world).asked);
+    let mut sim = sim(NoFaults, 100, 1);
+    let job = job_with_steps(1, 1, 8, work(3500, 2));
+    sim.submit("kacyiru", job.clone());
+    sim.run_for(seconds(9));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    check(&mut sim, &known(&[job]), SIZE);
+    assert_eq!(table(&sim).refused, 0);
+    assert!(table(&sim).asked.len() >= 2, "{:?}", table(&sim).asked);
 }
 
 // The service handles one request at a time. With thirty waiting jobs, at most one request may be
 // in flight, so that the request for an urgent job never queues behind thirty others.
 #[test]
 fn permit_requests_are_sent_one_at_a_time() {
-    let mut world = world(Sound, 50, 10);
-    let jobs: Vec<Job> = (1..=30).map(|id| chain(id, 1, 1, work(200, 1))).collect();
-    submit_all(&mut world, &jobs);
-    world.run_for(Duration::from_millis(30));
-    assert!(table(&world).asked.len() <= 1, "{:?}", table(&world).asked);
-    world.run_for(seconds(5));
+    let mut sim = sim(NoFaults, 50, 10);
+    let jobs: Vec<Job> = (1..=30).map(|id| job_with_steps(id, 1, 1, work(200, 1))).collect();
+    submit_all(&mut sim, &jobs);
+    sim.run_for(Duration::from_millis(30));
+    assert!(table(&sim).asked.len() <= 1, "{:?}", table(&sim).asked);
+    sim.run_for(seconds(5));
     for job in &jobs {
-        assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
     }
-    check(&mut world, &known(&jobs), SIZE);
+    check(&mut sim, &known(&jobs), SIZE);
 }
 
 // 30 % of commands, messages and permit requests are lost, unanswered or delayed for ten seconds,
@@ -92,14 +92,14 @@
 #[test]
 fn a_lost_permit_request_is_retried() {
     let faults = RandomFaults::new(7, 300, seconds(15));
-    let mut world = world(faults, 60, 6);
-    let jobs: Vec<Job> = (1..=6).map(|id| chain(id, 2, 3, work(300, 2))).collect();
-    submit_all(&mut world, &jobs);
-    world.run_for(seconds(3));
-    world.replace_owner("kacyiru");
-    world.run_for(seconds(40));
+    let mut sim = sim(faults, 60, 6);
+    let jobs: Vec<Job> = (1..=6).map(|id| job_with_steps(id, 2, 3, work(300, 2))).collect();
+    submit_all(&mut sim, &jobs);
+    sim.run_for(seconds(3));
+    sim.replace_owner("kacyiru");
+    sim.run_for(seconds(40));
     for job in &jobs {
-        assert_eq!(world.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
     }
-    check(&mut world, &known(&jobs), SIZE);
+    check(&mut sim, &known(&jobs), SIZE);
 }
--- a/tests/shards/random.rs
+++ b/tests/shards/random.rs
@@ -5,7 +5,7 @@
 use crate::faults::RandomFaults;
 use crate::invariants::check;
 use crate::jobs::random;
-use crate::world::World;
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -30,84 +30,84 @@
 const PERMITTED: u64 = 85;
 const PERMIT_VALID: Duration = Duration::from_secs(3);
 
-struct Simulation {
-    world: World<RandomFaults>,
+struct RandomRun {
+    sim: Simulation<RandomFaults>,
     jobs: IndexMap<JobId, Job>,
     home: IndexMap<JobId, &'static str>,
     cancelled: Vec<JobId>,
     accepted: Vec<JobId>,
 }
 
-fn simulate(seed: u64) -> Simulation {
+fn simulate(seed: u64) -> RandomRun {
     let mut rng = SmallRng::seed_from_u64(seed);
     let permille = rng.random_range(0..120);
     let until = Duration::from_secs(5) + FAULT_PERIOD;
-    let mut world = World::new(RandomFaults::new(seed, permille, until), &SHARDS, VMS, SIZE);
+    let mut sim = Simulation::new(RandomFaults::new(seed, permille, until), &SHARDS, VMS, SIZE);
     if seed.is_multiple_of(3) {
-        world = world.with_permits(PermitTable::new(PERMITTED, PERMIT_VALID));
+        sim = sim.with_permits(PermitTable::new(PERMITTED, PERMIT_VALID));
     }
-    let mut sim = Simulation {
-        world,
+    let mut run = RandomRun {
+        sim,
         jobs: IndexMap::new(),
         home: IndexMap::new(),
         cancelled: Vec::new(),
         accepted: Vec::new(),
     };
     let mut tickets = IndexMap::new();
-    while sim.world.now < until {
-        sim.world.run_for(Duration::from_millis(rng.random_range(20..600)));
+    while run.sim.now < until {
+        run.sim.run_for(Duration::from_millis(rng.random_range(20..600)));
         match rng.random_range(0..100) {
-            0..60 if sim.jobs.len() < 30 => {
-                let job = random(sim.jobs.len() as u64 + 1, &mut rng);
+            0..60 if run.jobs.len() < 30 => {
+                let job = random(run.jobs.len() as u64 + 1, &mut rng);
                 let home = SHARDS[rng.random_range(0..2)];
-                tickets.insert(sim.world.submit(home, job.clone()), job.id);
-                sim.home.insert(job.id, home);
-                sim.jobs.insert(job.id, job);
+                tickets.insert(run.sim.submit(home, job.clone()), job.id);
+                run.home.insert(job.id, home);
+                run.jobs.insert(job.id, job);
             }
-            60..66 if !sim.jobs.is_empty() => {
-                let id = *sim.jobs.get_index(rng.random_range(0..sim.jobs.len())).unwrap().0;
-                sim.world.cancel(sim.home[&id], id);
-                sim.cancelled.push(id);
+            60..66 if !run.jobs.is_empty() => {
+                let id = *run.jobs.get_index(rng.random_range(0..run.jobs.len())).unwrap().0;
+                run.sim.cancel(run.home[&id], id);
+                run.cancelled.push(id);
             }
-            66..70 => sim.world.replace_owner(SHARDS[rng.random_range(0..2)]),
+            66..70 => run.sim.replace_owner(SHARDS[rng.random_range(0..2)]),
             70..74 => {
                 let time = Duration::from_millis(rng.random_range(500..5000));
-                sim.world.pause_owner(SHARDS[rng.random_range(0..2)], time);
+                run.sim.pause_owner(SHARDS[rng.random_range(0..2)], time);
             }
             74..78 => {
                 let time = Duration::from_millis(rng.random_range(300..5000));
-                sim.world.crash_vm(rng.random_range(0..2 * VMS), time);
+                run.sim.crash_vm(rng.random_range(0..2 * VMS), time);
             }
             78..82 => {
                 let time = Duration::from_millis(rng.random_range(300..9000));
-                sim.world.disconnect_vm(rng.random_range(0..2 * VMS), time);
+                run.sim.disconnect_vm(rng.random_range(0..2 * VMS), time);
             }
             82..84 => {
                 let time = Duration::from_millis(rng.random_range(300..4000));
-                sim.world.stop_store(time);
+                run.sim.stop_store(time);
             }
             _ => {}
         }
     }
-    sim.world.run_for(SETTLE_TIME);
+    run.sim.run_for(SETTLE_TIME);
     for (ticket, id) in &tickets {
-        if sim.world.answers.get(ticket) == Some(&Answer::Accepted) {
-            sim.accepted.push(*id);
+        if run.sim.answers.get(ticket) == Some(&Answer::Accepted) {
+            run.accepted.push(*id);
         }
     }
-    sim
+    run
 }
 
 fn verify(seed: u64) {
-    let mut sim = simulate(seed);
-    check(&mut sim.world, &sim.jobs, SIZE);
-    for id in sim.accepted.clone() {
-        let shown = sim.world.show(sim.home[&id], id);
+    let mut run = simulate(seed);
+    check(&mut run.sim, &run.jobs, SIZE);
+    for id in run.accepted.clone() {
+        let shown = run.sim.show(run.home[&id], id);
         let Some(Answer::Shown(state)) = shown else {
             panic!("seed {seed}: job {id} was accepted and is answered with {shown:?}");
         };
-        let long_running = sim.jobs[&id].steps[0].life == waxwingstall::job::Life::Lasting;
-        let expected = match (sim.cancelled.contains(&id), long_running) {
+        let long_running = run.jobs[&id].steps[0].life == waxwingstall::job::Life::Lasting;
+        let expected = match (run.cancelled.contains(&id), long_running) {
             // A cancellation may arrive too late, or be lost with the shard's owner.
             (true, _) => continue,
             (false, true) => ShownState::Running,
--- a/tests/shards/state.rs
+++ b/tests/shards/state.rs
@@ -1,8 +1,8 @@
 //! The state that a shard reports in its log.
 
-use crate::faults::Sound;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::faults::NoFaults;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use std::time::Duration;
 use waxwingstall::note::Note;
 use waxwingstall::units::Resources;
@@ -15,13 +15,13 @@
 // would suggest that there is room.
 #[test]
 fn shard_state_reports_jobs_that_wait_beside_lasting_tasks() {
-    let mut world = World::new(Sound, &[SHARD], 1, SIZE);
-    world.submit(SHARD, chain(1, 1, 5, work(0, 2)));
-    world.run_for(Duration::from_secs(1));
-    world.submit(SHARD, chain(3, 1, 3, work(400, 1)));
-    world.run_for(Duration::from_secs(3));
+    let mut sim = Simulation::new(NoFaults, &[SHARD], 1, SIZE);
+    sim.submit(SHARD, job_with_steps(1, 1, 5, work(0, 2)));
+    sim.run_for(Duration::from_secs(1));
+    sim.submit(SHARD, job_with_steps(3, 1, 3, work(400, 1)));
+    sim.run_for(Duration::from_secs(3));
     let Some(Note::ShardState { lasting_cores, lasting_waiting, short_waiting, .. }) =
-        world.states.get(SHARD)
+        sim.states.get(SHARD)
     else {
         panic!("the shard did not report its state");
     };
--- a/tests/shards/vacate.rs
+++ b/tests/shards/vacate.rs
@@ -1,9 +1,9 @@
 //! VMs drained because their machines go down for maintenance.
 
-use crate::faults::Sound;
+use crate::faults::NoFaults;
 use crate::invariants::check;
-use crate::jobs::{chain, work};
-use crate::world::World;
+use crate::jobs::{job_with_steps, work};
+use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::job::{Job, JobId, Resume, ShownState};
@@ -18,8 +18,8 @@
     Duration::from_secs(n)
 }
 
-fn world(vms: usize) -> World<Sound> {
-    World::new(Sound, &[SHARD], vms, SIZE)
+fn sim(vms: usize) -> Simulation<NoFaults> {
+    Simulation::new(NoFaults, &[SHARD], vms, SIZE)
 }
 
 fn known(jobs: &[Job]) -> IndexMap<JobId, Job> {
@@ -30,26 +30,26 @@
 // drained, the next one must not stop before the previous one runs elsewhere.
 #[test]
 fn lasting_tasks_are_drained_within_their_budget() {
-    let mut world = world(2);
-    let mut job = chain(1, 1, 4, work(0, 2));
+    let mut sim = sim(2);
+    let mut job = job_with_steps(1, 1, 4, work(0, 2));
     job.steps[0].max_away = Some(1);
-    world.submit(SHARD, job.clone());
-    world.run_for(seconds(2));
-    let there = world.runs_on(0);
+    sim.submit(SHARD, job.clone());
+    sim.run_for(seconds(2));
+    let there = sim.runs_on(0);
     assert!((1..4).contains(&there), "{there} tasks are on the first VM");
-    world.drain_vm(SHARD, 0, Duration::ZERO);
-    world.run_for(seconds(6));
-    assert_eq!(world.runs_on(0), 0);
-    assert_eq!(world.runs_on(1), 4);
-    assert_eq!(world.drained_vms(SHARD), [world.vms[0].entry.id.clone()]);
-    check(&mut world, &known(&[job]), SIZE);
-    assert_apart(&world, there);
+    sim.drain_vm(SHARD, 0, Duration::ZERO);
+    sim.run_for(seconds(6));
+    assert_eq!(sim.runs_on(0), 0);
+    assert_eq!(sim.runs_on(1), 4);
+    assert_eq!(sim.drained_vms(SHARD), [sim.vms[0].entry.id.clone()]);
+    check(&mut sim, &known(&[job]), SIZE);
+    assert_apart(&sim, there);
 }
 
 /// Checks that each stop on the first VM follows the restart elsewhere of the task stopped before.
-fn assert_apart(world: &World<Sound>, stops: usize) {
-    let ended: Vec<Duration> = world.vms[0].table.seen.iter().filter_map(end_of).collect();
-    let started: Vec<Duration> = world.vms[1].table.seen.iter().filter_map(start_of).collect();
+fn assert_apart(sim: &Simulation<NoFaults>, stops: usize) {
+    let ended: Vec<Duration> = sim.vms[0].table.seen.iter().filter_map(end_of).collect();
+    let started: Vec<Duration> = sim.vms[1].table.seen.iter().filter_map(start_of).collect();
     let moved = &started[started.len() - stops..];
     assert_eq!(ended.len(), stops);
     for (next_end, start) in ended.iter().skip(1).zip(moved) {
@@ -70,18 +70,18 @@
 // start on the VM.
 #[test]
 fn a_drained_vm_lets_unresumable_tasks_finish() {
-    let mut world = world(1);
-    let resumable = chain(1, 1, 1, work(6000, 2));
-    let mut fixed = chain(2, 1, 1, work(1500, 2));
+    let mut sim = sim(1);
+    let resumable = job_with_steps(1, 1, 1, work(6000, 2));
+    let mut fixed = job_with_steps(2, 1, 1, work(1500, 2));
     fixed.steps[0].resume = Resume::FromStart;
-    world.submit(SHARD, resumable.clone());
-    world.submit(SHARD, fixed.clone());
-    world.run_for(Duration::from_millis(500));
-    world.drain_vm(SHARD, 0, seconds(3));
-    world.submit(SHARD, chain(3, 1, 1, work(200, 1)));
-    world.run_for(seconds(2));
-    assert_eq!(world.runs_on(0), 0);
-    assert_eq!(world.show(SHARD, fixed.id), Some(Answer::Shown(ShownState::Done)));
-    assert_eq!(world.show(SHARD, resumable.id), Some(Answer::Shown(ShownState::Running)));
-    assert_eq!(world.show(SHARD, JobId(3)), Some(Answer::Shown(ShownState::Queued)));
+    sim.submit(SHARD, resumable.clone());
+    sim.submit(SHARD, fixed.clone());
+    sim.run_for(Duration::from_millis(500));
+    sim.drain_vm(SHARD, 0, seconds(3));
+    sim.submit(SHARD, job_with_steps(3, 1, 1, work(200, 1)));
+    sim.run_for(seconds(2));
+    assert_eq!(sim.runs_on(0), 0);
+    assert_eq!(sim.show(SHARD, fixed.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show(SHARD, resumable.id), Some(Answer::Shown(ShownState::Running)));
+    assert_eq!(sim.show(SHARD, JobId(3)), Some(Answer::Shown(ShownState::Queued)));
 }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -87,7 +87,7 @@
 }
 
 /// The whole simulated system.
-pub struct World<F> {
+pub struct Simulation<F> {
     pub now: Duration,
     pub faults: F,
     pub kv: TxnTable,
@@ -126,10 +126,10 @@
     traced: bool,
 }
 
-impl<F: Faults> World<F> {
+impl<F: Faults> Simulation<F> {
     /// Creates a system of these shards with `vms` VMs each.
     pub fn new(faults: F, shards: &[&str], vms: usize, size: Resources) -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: Duration::from_secs(5),
             faults,
             kv: TxnTable::new(),
@@ -158,11 +158,11 @@
         };
         for shard in shards {
             for number in 0..vms {
-                world.add_vm(shard, number, size);
+                sim.add_vm(shard, number, size);
             }
         }
-        shards.iter().for_each(|shard| world.claim(shard, PreviousOwner::Ended));
-        world
+        shards.iter().for_each(|shard| sim.claim(shard, PreviousOwner::Ended));
+        sim
     }
 
     /// Makes the queue's steps require permits.
@@ -302,7 +302,7 @@
     fn end_group(&mut self, step: StepRef) {
         if self.groups.contains(&step.job) {
             let now = self.now;
-            self.vms.iter_mut().for_each(|vm| vm.table.break_off(now, step));
+            self.vms.iter_mut().for_each(|vm| vm.table.end_group(now, step));
         }
     }
 
