--- a/benches/shards/main.rs
+++ b/benches/shards/main.rs
@@ -1,4 +1,4 @@
-//! What a shard costs its owner, at the load of the grown sites.
+//! CPU time that a shard costs its owner, at the load of the grown sites.
 //!
 //! One shard of 30 VMs with long-running tasks on most of their processors, short jobs that must
 //! start at once, and wide jobs that take what is left over, in twice the amount that fits. The
@@ -33,10 +33,10 @@
 const QUICK_PER_S: f64 = 1.2;
 const WIDE_PER_S: f64 = 1.14;
 
-/// Long-running jobs that stand at the start.
+/// Number of long-running jobs, all submitted at the start.
 const LONG_RUNNING_JOBS: u64 = 10;
 
-const PLAYED: Duration = Duration::from_secs(30);
+const SIMULATED_TIME: Duration = Duration::from_secs(30);
 const TICK: Duration = Duration::from_millis(100);
 
 fn long_running(id: u64) -> Job {
@@ -71,7 +71,7 @@
     }
     sim.run_for(Duration::from_secs(2));
     let began = SystemClock.now();
-    let until = sim.now + PLAYED;
+    let until = sim.now + SIMULATED_TIME;
     let chance = |per_s: f64| (per_s * TICK.as_secs_f64()).min(1.0);
     while sim.now < until {
         for (per_s, kind) in [(QUICK_PER_S, quick as fn(u64) -> Job), (WIDE_PER_S, wide)] {
@@ -83,6 +83,10 @@
         sim.run_for(TICK);
     }
     let took = SystemClock.now() - began;
-    let share = took.as_secs_f64() / PLAYED.as_secs_f64() * 1000.0;
-    println!("{} jobs in {} s: {share:.2} ms of processor a second", next - 1, PLAYED.as_secs());
+    let share = took.as_secs_f64() / SIMULATED_TIME.as_secs_f64() * 1000.0;
+    println!(
+        "{} jobs in {} s: {share:.2} ms of processor a second",
+        next - 1,
+        SIMULATED_TIME.as_secs()
+    );
 }
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{DaemonId, DomainId};
 use crate::job::JobId;
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::{ReportedLapse, Summary};
 use serde::{Deserialize, Serialize};
 
@@ -69,7 +69,7 @@
     /// Jobs accepted lately.
     pub accepted: Vec<JobId>,
     /// What it has learned of how images disturb each other; empty if it tells that another time.
-    pub learned: Vec<Learned>,
+    pub learned: Vec<PairEstimate>,
     /// How long VMs that the store has as silent may keep their work running.
     pub lapses: Vec<ReportedLapse>,
 }
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -34,7 +34,7 @@
 use crate::permit::{self, PermitReq};
 use crate::queues::Queues;
 use crate::ring::{RING_CAPACITY, Ring, WhenFull};
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
 use crate::shard::{self, Action, Event, Now, ReportedLapse, Shard, Summary, VmLapse};
 use crate::upkeep::duty::{Duty, OwnShard};
@@ -146,7 +146,7 @@
     view: watch::Sender<Arc<View>>,
     directory: Arc<Mutex<Directory>>,
     /// Interference between images, as learned by other daemons' shards.
-    learned: IndexMap<String, Vec<Learned>>,
+    learned: IndexMap<String, Vec<PairEstimate>>,
     /// When a handler last started.
     last_wake: Duration,
     next_publish: Duration,
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -7,7 +7,7 @@
 use crate::jobs::follow::operators::ReadQueues;
 use crate::jobs::view::ShardView;
 use crate::note::Note;
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
 use crate::shard::{Answer, CommitResult, Event, FleetListStatus, Recovered, VmLapse};
 use crate::upkeep::{self, Wave};
@@ -173,7 +173,7 @@
             let lapses = TimedLapses { at: now, lapses: news.lapses.clone() };
             self.reported_lapses.insert(news.name.clone(), lapses);
         }
-        let learned: Vec<(String, Vec<Learned>)> =
+        let learned: Vec<(String, Vec<PairEstimate>)> =
             msg.0.shards.iter().map(|news| (news.name.clone(), news.learned.clone())).collect();
         for (from, learned) in learned {
             self.share_learned(&from, learned, cx);
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -7,7 +7,7 @@
 use crate::jobs::links::SendHello;
 use crate::jobs::view::{Owner, Readiness, ShardView, View};
 use crate::note::Note;
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::{Event, OtherShard};
 use actix::prelude::*;
 use indexmap::IndexMap;
@@ -178,7 +178,7 @@
     pub(super) fn share_learned(
         &mut self,
         from: &str,
-        learned: Vec<Learned>,
+        learned: Vec<PairEstimate>,
         cx: &mut Context<Self>,
     ) {
         if learned.is_empty() {
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -3,7 +3,7 @@
 //!
 //! A shard has one owner at a time. Whatever the owner accepts or binds is committed to the
 //! platform's store before it takes effect, on the condition that no other owner has taken over.
-//! The VMs know what is running and reject orders from earlier owners. An owner can therefore be
+//! The VMs know what is running and reject commands from earlier owners. An owner can therefore be
 //! replaced at any time: its successor reads the store, queries the VMs and continues.
 //!
 //! [`Shard::step`] maps an event to actions. It does no I/O, reads no clock and doesn't depend on
@@ -113,7 +113,7 @@
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Action> {
         self.now = now;
         self.handle(event);
-        self.follow_up();
+        self.run_due_work();
         std::mem::take(&mut self.actions)
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Returns the measured interference between pairs of images.
-    pub fn learned(&self) -> Vec<interference::Learned> {
+    pub fn learned(&self) -> Vec<interference::PairEstimate> {
         self.effects.learned()
     }
 
@@ -171,7 +171,7 @@
 
     /// Does the work that may be due after any event, because time has passed or the state has
     /// changed.
-    fn follow_up(&mut self) {
+    fn run_due_work(&mut self) {
         if self.stage == Stage::HandedOver {
             return;
         }
@@ -184,7 +184,7 @@
                 self.schedule();
             }
             self.send_pending_loan_messages();
-            self.send_orders();
+            self.send_due_commands();
             self.poll_due_vms();
         }
         self.expire_closed();
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -6,7 +6,7 @@
 use crate::note::Note;
 use crate::permit::{self, PermitReq, PermitResp};
 use crate::queues::Queues;
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
 use crate::units::Resources;
 use crate::vm::{
@@ -54,7 +54,7 @@
     /// A caller queries a job's state.
     Show { ticket: Ticket, job: JobId },
     /// Interference between images, as measured by another shard.
-    Interference { from: String, learned: Vec<Learned> },
+    Interference { from: String, learned: Vec<PairEstimate> },
     /// Last known state of the other shards.
     OtherShards(Vec<OtherShard>),
     /// VMs to drain now, and VMs to drain later.
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -221,8 +221,8 @@
         self.drop_run(vm, key);
     }
 
-    /// Abandons the start of a run: drops the run if no start order can still be carried out by the
-    /// VM, and otherwise stops it, which also prevents a delayed start.
+    /// Abandons the start of a run: drops the run if no start command can still be carried out by
+    /// the VM, and otherwise stops it, which also prevents a delayed start.
     pub(super) fn abandon_start(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let Some(run) = self.vms.get(vm).and_then(|vm| vm.runs.get(&key)) else { return };
         if run.pending_start == PendingStart::No {
--- a/src/shard/interference.rs
+++ b/src/shard/interference.rs
@@ -100,7 +100,7 @@
 
 /// A pair's estimated amount as sent to other shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct PairEstimate {
     pub pair: Pair,
     pub amount: Estimate,
 }
@@ -113,7 +113,7 @@
 
 /// Tail latency state of one serving task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Serving {
+pub struct TailState {
     /// Time of the last tail that was used as a reading.
     last_reading: Option<Duration>,
     /// Time since which the tail has been over the target.
@@ -222,7 +222,7 @@
     }
 
     /// Merges the estimates that another shard has learned locally.
-    pub fn merge(&mut self, from: &str, learned: &[Learned]) {
+    pub fn merge(&mut self, from: &str, learned: &[PairEstimate]) {
         for other in learned {
             let leftover = self.number(&other.pair.leftover);
             let pair = PairIx { leftover, serving: self.number(&other.pair.serving) };
@@ -256,11 +256,11 @@
     }
 
     /// Returns the local estimates, to be sent to other shards.
-    pub fn learned(&self) -> Vec<Learned> {
+    pub fn learned(&self) -> Vec<PairEstimate> {
         let name = |number: ImageIx| self.images.get_index(usize::from(number.0)).cloned();
         let learned = |(pair, known): (&PairIx, &LearnedAmount)| {
             let pair = Pair { leftover: name(pair.leftover)?, serving: name(pair.serving)? };
-            Some(Learned { pair, amount: known.amount })
+            Some(PairEstimate { pair, amount: known.amount })
         };
         self.local.iter().filter_map(learned).collect()
     }
@@ -284,7 +284,7 @@
     }
 }
 
-impl Serving {
+impl TailState {
     /// Records a tail and returns whether it is a new reading to learn from.
     pub fn note_tail(&mut self, tail: Duration, target: Duration, now: Duration) -> bool {
         let fresh = self.last_reading.is_none_or(|at| now.saturating_sub(at) >= READING_INTERVAL);
--- a/src/shard/interference/tests.rs
+++ b/src/shard/interference/tests.rs
@@ -1,4 +1,4 @@
-use super::{READING_INTERVAL, Serving};
+use super::{READING_INTERVAL, TailState};
 use std::time::Duration;
 
 const TARGET: Duration = Duration::from_millis(50);
@@ -6,7 +6,7 @@
 /// Returns since when the task counts as over its target, given tails in ms from consecutive
 /// measurement windows.
 fn over_since(tails: &[u64]) -> Option<Duration> {
-    let mut serving = Serving::default();
+    let mut serving = TailState::default();
     for (number, tail) in tails.iter().enumerate() {
         let now = READING_INTERVAL * (number as u32 + 1);
         serving.note_tail(Duration::from_millis(*tail), TARGET, now);
@@ -17,7 +17,7 @@
 /// Returns since when the task counts as over its target, given pairs of a time in ms after the
 /// first reading and a tail in ms.
 fn over_since_at(tails: &[(u64, u64)]) -> Option<Duration> {
-    let mut serving = Serving::default();
+    let mut serving = TailState::default();
     for (at, tail) in tails {
         let now = READING_INTERVAL + Duration::from_millis(*at);
         serving.note_tail(Duration::from_millis(*tail), TARGET, now);
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -241,7 +241,7 @@
     }
 
     /// Handles runs that the VM lists neither as running nor as ended, although the poll was sent
-    /// after the orders about them were answered.
+    /// after the commands about them were answered.
     fn resolve_absent(&mut self, id: &VmId, sent: Duration, seen: &IndexSet<RunKey>) {
         let Some(vm) = self.vms.get(id) else { return };
         let absent: Vec<(RunKey, Absence)> = vm
@@ -293,11 +293,11 @@
 
 fn absence(run: &Run, sent: Duration) -> Option<Absence> {
     match run.stage {
-        // The VM has seen this owner's fencing token and rejects any delayed start order from an
+        // The VM has seen this owner's fencing token and rejects any delayed start command from an
         // earlier owner.
         Stage::Recovered => Some(Absence::Proven("run was never started")),
         Stage::Stopping { answered: Some(at), .. } if at <= sent => {
-            Some(Absence::Proven("run was stopped before its start order arrived"))
+            Some(Absence::Proven("run was stopped before its start command arrived"))
         }
         Stage::Running if run.since < sent => Some(Absence::Unexpected),
         _ => None,
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -24,7 +24,7 @@
     /// Sends the start and stop commands that are due. Starts are held back while the list of
     /// leaving VMs is out of date: they may have been decided long before, for example when the
     /// store was unavailable while their bindings were being committed.
-    pub(super) fn send_orders(&mut self) {
+    pub(super) fn send_due_commands(&mut self) {
         let now = self.now.steady;
         let may_start = self.has_recent_vm_list();
         let mut starts = Vec::new();
--- a/src/shard/own_load.rs
+++ b/src/shard/own_load.rs
@@ -4,7 +4,7 @@
 //! the tasks of a step agree in phase within 0.2 radians and differ from those of other steps.
 //! Their tails are therefore treated as readings of a single load by a filter that tracks its level
 //! and slope. A dozen tails a second reduce the error to 0.03. Forecasting half a second ahead, the
-//! time that orders need to take effect, adds about as much.
+//! time that commands need to take effect, adds about as much.
 
 use std::time::Duration;
 
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -29,14 +29,14 @@
 /// Amount from which a pair counts as heavy; lies between the two groups of measured amounts.
 const HEAVY: f64 = 0.6;
 
-/// Smallest pace change in percent for which an order is sent.
+/// Smallest pace change in percent for which a command is sent.
 const MIN_PACE_CHANGE: u8 = 8;
 
-/// Largest pace increase in percent per order, so that an own load that was estimated too low is
+/// Largest pace increase in percent per command, so that an own load that was estimated too low is
 /// noticed at the next poll before the neighbours run at full speed again.
 const MAX_PACE_INCREASE: u8 = 34;
 
-/// Time from a poll to the middle of the half second for which its orders apply.
+/// Time from a poll to the middle of the half second for which its commands apply.
 const FORECAST_HORIZON: Duration = Duration::from_millis(350);
 
 /// Load reserved for changes that the forecast misses.
--- a/src/shard/relief/tests.rs
+++ b/src/shard/relief/tests.rs
@@ -1,6 +1,6 @@
 use super::{Neighbour, STOP_ALL_AFTER, ServingTask, paces::choose_paces};
 use crate::job::{Image, JobId, RunNumber, TaskRef};
-use crate::shard::interference::{Effects, Estimate, ImageIx, Learned, Pair};
+use crate::shard::interference::{Effects, Estimate, ImageIx, Pair, PairEstimate};
 use crate::shard::vm_run::RunKey;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 
 fn known() -> Known {
     let mut effects = Effects::default();
-    let learned = |leftover: &str, mean: f64| Learned {
+    let learned = |leftover: &str, mean: f64| PairEstimate {
         pair: Pair { leftover: Image::new(leftover), serving: Image::new("serving") },
         amount: Estimate { mean, variance: 0.0025 },
     };
--- a/src/shard/room/tests.rs
+++ b/src/shard/room/tests.rs
@@ -1,7 +1,7 @@
 use super::{ServingTask, VmCapacity};
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, Resume, Share, Step};
-use crate::shard::interference::{Effects, Estimate, ImageIx, Learned, Pair};
+use crate::shard::interference::{Effects, Estimate, ImageIx, Pair, PairEstimate};
 use crate::units::Resources;
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
     let mut effects = Effects::default();
     let pair = Pair { leftover: Image::new("leftover"), serving: Image::new("serving") };
     let amount = Estimate { mean: amount, variance: 0.0025 };
-    effects.merge("other", &[Learned { pair, amount }]);
+    effects.merge("other", &[PairEstimate { pair, amount }]);
     let [image, serving]: [ImageIx; 2] =
         ["leftover", "serving"].map(|name| effects.number(&Image::new(name)));
     let (rack, service) = (RackId::new("r0"), ServiceName::new("desk"));
--- a/src/shard/settings.rs
+++ b/src/shard/settings.rs
@@ -27,7 +27,7 @@
     pub notice: Duration,
     /// Time over the tail target after which a serving task counts as harmed.
     pub harm: Duration,
-    /// Delay between a pace order and its effect.
+    /// Delay between a pace command and its effect.
     pub pace_delay: Duration,
 }
 
@@ -85,11 +85,11 @@
 /// longest store outage that running tasks survive.
 pub const MAX_STALE_OWNER_EXTENSION: Duration = Duration::from_secs(12);
 
-/// Delay before an unanswered start order is sent again.
+/// Delay before an unanswered start command is sent again.
 pub const START_RETRY: Duration = Duration::from_millis(60);
 
-/// Maximum number of times a start order is sent before another VM is tried.
+/// Maximum number of times a start command is sent before another VM is tried.
 pub const MAX_START_ATTEMPTS: u32 = 4;
 
-/// Delay before an unanswered stop order is sent again.
+/// Delay before an unanswered stop command is sent again.
 pub const STOP_RETRY: Duration = Duration::from_millis(120);
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -1,6 +1,6 @@
 //! State of a VM of the shard: its runs, its clock, and when it last responded.
 
-use super::interference::Serving;
+use super::interference::TailState;
 use super::settings::{
     BUSY_POLL_WAIT, CLOCK_DRIFT, EXPIRY_MARGIN, IDLE_POLL_WAIT, POLL_RETRY_DELAY, SILENCE_TIMEOUT,
     UNCOMMITTED_POLL_DELAY,
@@ -90,7 +90,7 @@
     /// Since when the speed limit has been low.
     pub slowed: Option<Duration>,
     /// Tail latency measurements, for a task with a tail latency target.
-    pub serving: Serving,
+    pub serving: TailState,
 }
 
 /// Whether an unacknowledged start command may still take effect.
@@ -302,7 +302,7 @@
             gauge: 0,
             pace: 100,
             slowed: None,
-            serving: Serving::default(),
+            serving: TailState::default(),
         }
     }
 
