--- a/src/shard.rs
+++ b/src/shard.rs
@@ -71,7 +71,7 @@
     /// VM instances that have ended; later announcements of them are ignored.
     ended_vms: IndexSet<VmId>,
     log: Log,
-    effects: interference::Effects,
+    interference: interference::InterferenceModel,
     loans: loan::Loans,
     permit_requests: permits::PermitRequests,
     maintenance_drain: vacate::MaintenanceDrain,
@@ -124,7 +124,7 @@
 
     /// Returns the measured interference between pairs of images.
     pub fn learned(&self) -> Vec<interference::PairEstimate> {
-        self.effects.learned()
+        self.interference.learned()
     }
 
     /// Returns this owner's fencing token.
@@ -154,7 +154,7 @@
             Event::Submit { ticket, job, mode } => self.submit(ticket, job, mode),
             Event::Cancel { ticket, job } => self.cancel(ticket, job),
             Event::Show { ticket, job } => self.show(ticket, job),
-            Event::Interference { from, learned } => self.effects.merge(&from, &learned),
+            Event::Interference { from, learned } => self.interference.merge(&from, &learned),
             Event::OtherShards(other_shards) => self.loans.set_other_shards(other_shards),
             Event::Drain(order) => self.set_draining_vms(order),
             Event::PermitConcurrency(max_requests) => self.set_max_permit_requests(max_requests),
--- a/src/shard/interference.rs
+++ b/src/shard/interference.rs
@@ -68,13 +68,13 @@
 /// images.
 const MAX_IMAGES: usize = 256;
 
-/// Index of an image in [`Effects`].
+/// Index of an image in [`InterferenceModel`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageIx(u16);
 
 /// Estimated interference between pairs of images.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Effects {
+pub struct InterferenceModel {
     images: IndexSet<Image>,
     /// Estimates learned by this shard.
     local: IndexMap<PairIx, LearnedAmount>,
@@ -141,7 +141,7 @@
     pub share: f64,
 }
 
-impl Effects {
+impl InterferenceModel {
     /// Returns the index of an image, adding the image if necessary.
     pub fn number(&mut self, image: &Image) -> ImageIx {
         if let Some(known) = self.images.get_index_of(image) {
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -158,7 +158,7 @@
             }
             let Some(step) = job.step_run_mut(row.task) else { continue };
             let load = step.load.get_or_insert_with(|| OwnLoad::new(target, now));
-            self.effects.learn(load, image, row.tail(), &beside, now);
+            self.interference.learn(load, image, row.tail(), &beside, now);
         }
     }
 
--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -51,7 +51,7 @@
                     && self.speed(room, &step, image) >= MIN_LEFTOVER_SPEED
             };
             let Some(room) = pass.rooms.iter_mut().find(is_better) else { continue };
-            room.take(&step, image, key.task.of_step(), &self.effects);
+            room.take(&step, image, key.task.of_step(), &self.interference);
             moved += 1;
             self.stop_run(&vm, key, "run is slowed down; another VM can run it faster");
         }
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -226,7 +226,7 @@
             let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial_rooms) else {
                 return;
             };
-            trial_rooms[choice].take(step, self.image(*task), task.of_step(), &self.effects);
+            trial_rooms[choice].take(step, self.image(*task), task.of_step(), &self.interference);
             trial_rooms[choice].crash_suspects += usize::from(self.is_suspect(*task));
             choices.push(choice);
         }
@@ -327,7 +327,7 @@
     /// Returns the effective speed of leftover work on a VM, reduced by the harm to serving tasks,
     /// from 0 to 1.
     pub(super) fn speed(&self, room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
-        room.leftover_speed(step) * room.worth_after_harm(step, image, &self.effects)
+        room.leftover_speed(step) * room.worth_after_harm(step, image, &self.interference)
     }
 
     pub(super) fn has_label(&self, vm: &VmId, step: &Step) -> bool {
@@ -352,7 +352,7 @@
             vm.runs.insert(RunKey { task, run }, bound);
         }
         let (ready_ms, neighbours) = (Ms(now.saturating_sub(ready)), room.tasks());
-        room.take(step, self.image(task), task.of_step(), &self.effects);
+        room.take(step, self.image(task), task.of_step(), &self.interference);
         room.crash_suspects += usize::from(self.is_suspect(task));
         let free_cores = u64::from(room.free.milli_cores.0 / 1000);
         let milli_cores = step.size.milli_cores.0;
--- a/src/shard/place/tests.rs
+++ b/src/shard/place/tests.rs
@@ -1,7 +1,7 @@
 use super::long_running_cost;
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, JobId, Life, Step, TaskRef};
-use crate::shard::interference::{Effects, ImageIx};
+use crate::shard::interference::{ImageIx, InterferenceModel};
 use crate::shard::room::VmCapacity;
 use crate::units::Resources;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
     )
 }
 
-fn images(effects: &mut Effects) -> [ImageIx; 2] {
-    ["a", "b"].map(|name| effects.number(&Image::new(name)))
+fn images(interference: &mut InterferenceModel) -> [ImageIx; 2] {
+    ["a", "b"].map(|name| interference.number(&Image::new(name)))
 }
 
 // Long-running tasks of two images arrive alternately on four VMs. Each image must fill one VM,
 // leaving two VMs free for work that disturbs both images and for work that must start immediately.
 #[test]
 fn lasting_tasks_of_each_image_fill_one_vm_at_a_time() {
-    let mut effects = Effects::default();
-    let [a, b] = images(&mut effects);
+    let mut interference = InterferenceModel::default();
+    let [a, b] = images(&mut interference);
     let mut rooms = ["vm-0", "vm-1", "vm-2", "vm-3"].map(room);
     let step = long_running();
     for number in 0..10 {
@@ -45,7 +45,7 @@
         let fitting = rooms.iter_mut().filter(|room| room.takes(&step, task));
         let cost = |room: &VmCapacity| long_running_cost(room, &step, image);
         let best = fitting.min_by(|x, y| cost(x).total_cmp(&cost(y))).expect("there is room");
-        best.take(&step, image, task, &effects);
+        best.take(&step, image, task, &interference);
     }
     let there: Vec<(usize, usize)> = rooms.iter().map(|room| room.serving_by_image(a)).collect();
     assert_eq!(there, [(5, 0), (0, 5), (0, 0), (0, 0)]);
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -93,7 +93,7 @@
             maintenance_drain: super::vacate::MaintenanceDrain::default(),
             crash_log: super::crash::CrashLog::default(),
             reservations: super::compact::Reservations::default(),
-            effects: super::interference::Effects::default(),
+            interference: super::interference::InterferenceModel::default(),
             vm_list: super::fleet::VmListSource::Inherited { since: now.steady },
             inherited_runs_until: now.steady
                 + keep
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -76,7 +76,7 @@
         for neighbour in &mut neighbours {
             neighbour.target_pace = 1.0;
         }
-        let worst = paces::choose_paces(&mut neighbours, &served, &self.effects);
+        let worst = paces::choose_paces(&mut neighbours, &served, &self.interference);
         for neighbour in &neighbours {
             self.send_pace(id, neighbour, worst.map(|index| &served[index]));
         }
@@ -134,7 +134,7 @@
     pub(super) fn images_of(&mut self, job: &Job) -> Vec<ImageIx> {
         let queue = Image::new(job.queue.as_str());
         let images = job.steps.iter().map(|step| step.image.as_ref().unwrap_or(&queue));
-        images.map(|image| self.effects.number(image)).collect()
+        images.map(|image| self.interference.number(image)).collect()
     }
 
     fn send_pace(
--- a/src/shard/relief/paces.rs
+++ b/src/shard/relief/paces.rs
@@ -8,7 +8,7 @@
 //! bound, and one that adds little keeps running next to a task that is near it.
 
 use super::{HEAVY, Neighbour, STOP_ALL_AFTER, STOP_HEAVY_AFTER, ServingTask};
-use crate::shard::interference::{Effects, chance_over};
+use crate::shard::interference::{InterferenceModel, chance_over};
 
 /// Cost of one serving task over its target, in stopped neighbours. Operators count a serving task
 /// over its target four times and pay 0.65 as much for a second of its work as for one of a
@@ -32,13 +32,13 @@
 pub(super) fn choose_paces(
     neighbours: &mut [Neighbour],
     served: &[ServingTask],
-    effects: &Effects,
+    interference: &InterferenceModel,
 ) -> Option<usize> {
     for served in served {
-        stop_neighbours(neighbours, served, effects);
+        stop_neighbours(neighbours, served, interference);
     }
     let limits: Vec<f64> = neighbours.iter().map(|n| n.target_pace).collect();
-    let model = PaceModel::new(neighbours, served, effects);
+    let model = PaceModel::new(neighbours, served, interference);
     let (fast, slow) = (
         model.coordinate_descent(limits.clone(), &limits),
         model.coordinate_descent(vec![0.0; limits.len()], &limits),
@@ -60,9 +60,13 @@
 }
 
 impl PaceModel {
-    fn new(neighbours: &[Neighbour], served: &[ServingTask], effects: &Effects) -> Self {
+    fn new(
+        neighbours: &[Neighbour],
+        served: &[ServingTask],
+        interference: &InterferenceModel,
+    ) -> Self {
         let added = |n: &Neighbour| {
-            served.iter().map(|s| effects.amount(n.image, s.image) * n.full).collect()
+            served.iter().map(|s| interference.amount(n.image, s.image) * n.full).collect()
         };
         Self {
             own: served.iter().map(|s| s.own - s.bound).collect(),
@@ -147,9 +151,13 @@
 
 /// Stops the neighbours of a task that has been over its target for long, regardless of the
 /// estimated loss.
-fn stop_neighbours(neighbours: &mut [Neighbour], served: &ServingTask, effects: &Effects) {
+fn stop_neighbours(
+    neighbours: &mut [Neighbour],
+    served: &ServingTask,
+    interference: &InterferenceModel,
+) {
     for neighbour in neighbours {
-        let heavy = effects.amount(neighbour.image, served.image) >= HEAVY;
+        let heavy = interference.amount(neighbour.image, served.image) >= HEAVY;
         if served.over >= STOP_ALL_AFTER || (served.over >= STOP_HEAVY_AFTER && heavy) {
             neighbour.target_pace = 0.0;
         }
--- a/src/shard/relief/tests.rs
+++ b/src/shard/relief/tests.rs
@@ -1,6 +1,6 @@
 use super::{Neighbour, STOP_ALL_AFTER, ServingTask, paces::choose_paces};
 use crate::job::{Image, JobId, RunNumber, TaskRef};
-use crate::shard::interference::{Effects, Estimate, ImageIx, Pair, PairEstimate};
+use crate::shard::interference::{Estimate, ImageIx, InterferenceModel, Pair, PairEstimate};
 use crate::shard::vm_run::RunKey;
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 
 /// Learned effects of one heavy and one light leftover image on one serving image.
 struct Known {
-    effects: Effects,
+    interference: InterferenceModel,
     heavy: ImageIx,
     light: ImageIx,
     serving: ImageIx,
 }
 
 fn known() -> Known {
-    let mut effects = Effects::default();
+    let mut interference = InterferenceModel::default();
     let learned = |leftover: &str, mean: f64| PairEstimate {
         pair: Pair { leftover: Image::new(leftover), serving: Image::new("serving") },
         amount: Estimate { mean, variance: 0.0025 },
     };
-    effects.merge("other", &[learned("heavy", HEAVY), learned("light", LIGHT)]);
-    let mut number = |name| effects.number(&Image::new(name));
+    interference.merge("other", &[learned("heavy", HEAVY), learned("light", LIGHT)]);
+    let mut number = |name| interference.number(&Image::new(name));
     let (heavy, light, serving) = (number("heavy"), number("light"), number("serving"));
-    Known { effects, heavy, light, serving }
+    Known { interference, heavy, light, serving }
 }
 
 fn task(number: u64) -> TaskRef {
@@ -60,7 +60,7 @@
     let known = known();
     let mut neighbours = [neighbour(known.heavy, 0.1), neighbour(known.light, 0.1)];
     let three = [0.12, 0.12, 0.12].map(|slack| served(known.serving, slack, Duration::ZERO));
-    let worst = choose_paces(&mut neighbours, &three, &known.effects);
+    let worst = choose_paces(&mut neighbours, &three, &known.interference);
     assert!(worst.is_some());
     let [heavy, light] = target_paces(&neighbours)[..] else { panic!("two neighbours") };
     assert!((0.1..0.31).contains(&heavy), "{heavy}");
@@ -74,7 +74,7 @@
     let known = known();
     let mut neighbours: Vec<Neighbour> = (0..12).map(|_| neighbour(known.light, 0.08)).collect();
     let served = [served(known.serving, 0.0, Duration::ZERO)];
-    assert_eq!(choose_paces(&mut neighbours, &served, &known.effects), None);
+    assert_eq!(choose_paces(&mut neighbours, &served, &known.interference), None);
     assert_eq!(target_paces(&neighbours), vec![1.0; 12]);
 }
 
@@ -85,7 +85,7 @@
     let known = known();
     let mut neighbours: Vec<Neighbour> = (0..12).map(|_| neighbour(known.light, 0.08)).collect();
     let served = [served(known.serving, 0.0, STOP_ALL_AFTER)];
-    assert_eq!(choose_paces(&mut neighbours, &served, &known.effects), Some(0));
+    assert_eq!(choose_paces(&mut neighbours, &served, &known.interference), Some(0));
     assert_eq!(target_paces(&neighbours), vec![0.0; 12]);
 }
 
@@ -98,7 +98,7 @@
     let beside = |tasks: usize| {
         let mut neighbours = [neighbour(known.heavy, 0.1)];
         let served = vec![served(known.serving, 0.1, Duration::ZERO); tasks];
-        choose_paces(&mut neighbours, &served, &known.effects);
+        choose_paces(&mut neighbours, &served, &known.interference);
         target_paces(&neighbours)[0]
     };
     let (for_four, for_one) = (beside(4), beside(1));
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -5,7 +5,7 @@
 
 use super::Shard;
 use super::health::State;
-use super::interference::{Effects, ImageIx, chance_over};
+use super::interference::{ImageIx, InterferenceModel, chance_over};
 use super::relief::STOP_ALL_AFTER;
 use super::vm_run::{RunKey, Vm};
 use crate::ids::{RackId, ServiceName, VmId};
@@ -132,7 +132,7 @@
         }
         room.long_running_share = long_running_share;
         for (image, share) in beside {
-            room.add_beside(image, share, &self.effects);
+            room.add_beside(image, share, &self.interference);
         }
         Some(room)
     }
@@ -252,7 +252,13 @@
     }
 
     /// Reserves room for a task.
-    pub fn take(&mut self, step: &Step, image: ImageIx, key: StepRef, effects: &Effects) {
+    pub fn take(
+        &mut self,
+        step: &Step,
+        image: ImageIx,
+        key: StepRef,
+        interference: &InterferenceModel,
+    ) {
         self.free = self.free.saturating_sub(&step.reserved());
         if step.life == Life::Lasting {
             self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved());
@@ -261,7 +267,7 @@
         let share = f64::from(step.size.milli_cores.0) / self.size;
         if step.share == Share::Leftover {
             self.leftover_demand += f64::from(step.size.milli_cores.0);
-            self.add_beside(image, share, effects);
+            self.add_beside(image, share, interference);
         }
         if step.life == Life::Lasting && step.share == Share::Reserved {
             self.long_running_share += share;
@@ -279,10 +285,15 @@
     /// Harm is the increase in each serving task's probability of exceeding its target. A task that
     /// adds little load does little harm even next to a serving task that is at its bound or
     /// already over it. One that adds much harms several tasks that are still below theirs.
-    pub fn worth_after_harm(&self, step: &Step, image: ImageIx, effects: &Effects) -> f64 {
+    pub fn worth_after_harm(
+        &self,
+        step: &Step,
+        image: ImageIx,
+        interference: &InterferenceModel,
+    ) -> f64 {
         let share = f64::from(step.size.milli_cores.0) / self.size;
         let harm = |served: &ServingTask| {
-            let added = effects.amount(image, served.image) * share;
+            let added = interference.amount(image, served.image) * share;
             chance_over(added - served.slack) - chance_over(-served.slack)
         };
         (1.0 - HARM_COST * self.served.iter().map(harm).sum::<f64>()).max(0.0)
@@ -290,10 +301,10 @@
 
     /// Estimates the millicores that leftover work of an image can use here without harming serving
     /// tasks, if no other leftover work runs.
-    pub fn harmless_milli_cores(&self, image: ImageIx, effects: &Effects) -> u64 {
+    pub fn harmless_milli_cores(&self, image: ImageIx, interference: &InterferenceModel) -> u64 {
         let bound = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
         let most = |served: &ServingTask| {
-            let amount = effects.amount(image, served.image);
+            let amount = interference.amount(image, served.image);
             if amount <= 0.0 { self.size } else { bound / amount * self.size }
         };
         let most = self.served.iter().map(most).fold(self.size, f64::min);
@@ -305,9 +316,13 @@
     }
 
     /// Estimates the millicores that additional leftover work of an image can use without harm.
-    pub fn free_harmless_milli_cores(&self, image: ImageIx, effects: &Effects) -> u64 {
+    pub fn free_harmless_milli_cores(
+        &self,
+        image: ImageIx,
+        interference: &InterferenceModel,
+    ) -> u64 {
         let most = |served: &ServingTask| {
-            let amount = effects.amount(image, served.image);
+            let amount = interference.amount(image, served.image);
             if amount <= 0.0 { self.size } else { served.slack.max(0.0) / amount * self.size }
         };
         let most = self.served.iter().map(most).fold(self.size, f64::min);
@@ -333,9 +348,9 @@
         (same, self.served.len() - same)
     }
 
-    fn add_beside(&mut self, image: ImageIx, share: f64, effects: &Effects) {
+    fn add_beside(&mut self, image: ImageIx, share: f64, interference: &InterferenceModel) {
         for served in &mut self.served {
-            served.slack -= effects.amount(image, served.image) * share;
+            served.slack -= interference.amount(image, served.image) * share;
         }
     }
 
--- a/src/shard/room/tests.rs
+++ b/src/shard/room/tests.rs
@@ -1,7 +1,7 @@
 use super::{ServingTask, VmCapacity};
 use crate::ids::{RackId, ServiceName, VmId};
 use crate::job::{Image, Resume, Share, Step};
-use crate::shard::interference::{Effects, Estimate, ImageIx, Pair, PairEstimate};
+use crate::shard::interference::{Estimate, ImageIx, InterferenceModel, Pair, PairEstimate};
 use crate::units::Resources;
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 /// the load that each can take before it is over its target. `amount` is the interference of the
 /// pair of images; measured pairs fall into two groups, [`HEAVY`] and [`LIGHT`].
 fn worth(amount: f64, slack: f64) -> f64 {
-    let mut effects = Effects::default();
+    let mut interference = InterferenceModel::default();
     let pair = Pair { leftover: Image::new("leftover"), serving: Image::new("serving") };
     let amount = Estimate { mean: amount, variance: 0.0025 };
-    effects.merge("other", &[PairEstimate { pair, amount }]);
+    interference.merge("other", &[PairEstimate { pair, amount }]);
     let [image, serving]: [ImageIx; 2] =
-        ["leftover", "serving"].map(|name| effects.number(&Image::new(name)));
+        ["leftover", "serving"].map(|name| interference.number(&Image::new(name)));
     let (rack, service) = (RackId::new("r0"), ServiceName::new("desk"));
     let mut room = VmCapacity::empty(VmId::new("vm"), Arc::from("vm"), rack, service, SIZE);
     room.served = vec![ServingTask { image: serving, slack }; 5];
-    room.worth_after_harm(&leftover(), image, &effects)
+    room.worth_after_harm(&leftover(), image, &interference)
 }
 
 const HEAVY: f64 = 2.0;
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -32,12 +32,14 @@
             }
             rooms.push(room);
         }
-        for (number, image) in self.effects.leftover_images() {
-            let all =
-                rooms.iter().map(|room| room.harmless_milli_cores(number, &self.effects)).sum();
+        for (number, image) in self.interference.leftover_images() {
+            let all = rooms
+                .iter()
+                .map(|room| room.harmless_milli_cores(number, &self.interference))
+                .sum();
             let free = rooms
                 .iter()
-                .map(|room| room.free_harmless_milli_cores(number, &self.effects))
+                .map(|room| room.free_harmless_milli_cores(number, &self.interference))
                 .sum();
             summary.harmless.push((image.clone(), all));
             summary.harmless_free.push((image.clone(), free));
