--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -2,8 +2,8 @@
 
 use crate::ids::{DaemonId, DomainId};
 use crate::job::JobId;
-use crate::shard::interference::Learned;
-use crate::shard::{Summary, ToldLapse};
+use crate::shard::interference::PairEstimate;
+use crate::shard::{ReportedLapse, Summary};
 use serde::{Deserialize, Serialize};
 
 /// A daemon in the cluster.
@@ -69,7 +69,7 @@
     /// Recently accepted jobs.
     pub accepted: Vec<JobId>,
     /// Measured interference between images; empty if this hello doesn't include it.
-    pub learned: Vec<Learned>,
+    pub learned: Vec<PairEstimate>,
     /// How long VMs that the store lists as unresponsive may keep their runs.
-    pub lapses: Vec<ToldLapse>,
+    pub lapses: Vec<ReportedLapse>,
 }
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -19,7 +19,7 @@
 use super::plan::Plan;
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Note, Word};
-use crate::shard::Previous;
+use crate::shard::PreviousOwner;
 use crate::vm::Fence;
 use indexmap::IndexMap;
 use members::MemberState;
@@ -76,7 +76,7 @@
 pub enum Action {
     Claim {
         shard: String,
-        previous: Previous,
+        previous: PreviousOwner,
         replaces: Replaced,
     },
     ReadHeads,
@@ -326,7 +326,7 @@
             return;
         }
         let cause = Cause {
-            previous: Previous::Ended,
+            previous: PreviousOwner::Ended,
             reason: "handed over by its owner",
             silent: Duration::ZERO,
             grace: Duration::ZERO,
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -6,7 +6,7 @@
 use crate::cluster::member::{Member, MemberStage, StoreReach};
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Ms, Note, Word};
-use crate::shard::Previous;
+use crate::shard::PreviousOwner;
 use indexmap::IndexMap;
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
 /// Why a shard has no owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Cause {
-    pub(super) previous: Previous,
+    pub(super) previous: PreviousOwner,
     pub(super) reason: Word,
     /// Time since the owner was last heard from.
     pub(super) silent: Duration,
@@ -172,33 +172,33 @@
             start_time(&known.member.id) > start_time(owner) || known.last_heard > view.since;
         let timed_out = silent >= OWNER_TIMEOUT;
         return match (later, timed_out) {
-            (true, _) => cause(Previous::Ended, "its owner was restarted"),
-            (false, true) => cause(Previous::Unsure, "its owner is silent"),
+            (true, _) => cause(PreviousOwner::Ended, "its owner was restarted"),
+            (false, true) => cause(PreviousOwner::MaybeActive, "its owner is silent"),
             (false, false) => None,
         };
     }
     if known.refused_at.is_some() {
-        return cause(Previous::Ended, "its owner's process has ended");
+        return cause(PreviousOwner::Ended, "its owner's process has ended");
     }
     if silent >= PROBE_AFTER {
         probes.push(known.member.name.clone());
     }
     if silent >= OWNER_TIMEOUT {
-        return cause(Previous::Unsure, "its owner is silent");
+        return cause(PreviousOwner::MaybeActive, "its owner is silent");
     }
     // Hellos from before the daemon became the owner don't count, and it lists the shard only after
     // loading it from the store.
     let loading = !view.announced && now.saturating_sub(view.since) < RECOVERY_GRACE;
     let listed = known.last_heard < view.since || known.shards.iter().any(|name| name == shard);
     let is_owned = listed || loading;
-    let released = Cause { previous: Previous::Ended, ..unowned("its owner released it") };
+    let released = Cause { previous: PreviousOwner::Ended, ..unowned("its owner released it") };
     (!is_owned).then_some(released)
 }
 
 /// Cause for a shard that appears to have no owner, though one may become known during the grace
 /// period.
 fn unowned(reason: Word) -> Cause {
-    let (previous, silent) = (Previous::Unsure, Duration::ZERO);
+    let (previous, silent) = (PreviousOwner::MaybeActive, Duration::ZERO);
     Cause { previous, reason, silent, grace: PROPAGATION_DELAY }
 }
 
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -34,9 +34,9 @@
 use crate::permit::{self, PermitReq};
 use crate::queues::Queues;
 use crate::ring::{RING_CAPACITY, Ring, WhenFull};
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
-use crate::shard::{self, Action, Event, Lapse, Now, Shard, Summary, ToldLapse};
+use crate::shard::{self, Action, Event, Now, ReportedLapse, Shard, Summary, VmLapse};
 use crate::upkeep::duty::{Duty, OwnShard};
 use crate::upkeep::{self};
 use crate::vm::{Fence, VmEntry};
@@ -98,18 +98,18 @@
 struct ShardOffer {
     from: DaemonId,
     at: Duration,
-    lapses: Vec<Lapse>,
+    lapses: Vec<VmLapse>,
 }
 
 /// A shard owner's last report on silent VMs, with its time.
 struct TimedLapses {
     at: Duration,
-    lapses: Vec<ToldLapse>,
+    lapses: Vec<ReportedLapse>,
 }
 
 impl TimedLapses {
     /// Adjusts the report to the time passed since.
-    fn aged(self, now: Duration) -> Vec<ToldLapse> {
+    fn aged(self, now: Duration) -> Vec<ReportedLapse> {
         let passed = now.saturating_sub(self.at);
         self.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect()
     }
@@ -146,7 +146,7 @@
     view: watch::Sender<Arc<View>>,
     directory: Arc<Mutex<Directory>>,
     /// Interference between images, as learned by other daemons' shards.
-    learned: IndexMap<String, Vec<Learned>>,
+    learned: IndexMap<String, Vec<PairEstimate>>,
     /// When a handler last started.
     last_wake: Duration,
     next_publish: Duration,
@@ -235,7 +235,7 @@
 
     fn execute(&mut self, shard: &Arc<str>, fence: Fence, action: Action, cx: &mut Context<Self>) {
         match action {
-            Action::Look { .. }
+            Action::Poll { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => {
@@ -243,7 +243,7 @@
                 // The push fails only if the orders actor has ended; no order is answered then.
                 let _ = rings.orders.push(Order { shard: shard.clone(), fence, action });
             }
-            Action::Ask(req) => self.ask_permits(shard, fence, req, cx),
+            Action::RequestPermits(req) => self.ask_permits(shard, fence, req, cx),
             Action::Commit { seq, txn } => {
                 if let Some(rings) = &self.rings {
                     rings.commits.do_send(Commit { shard: shard.to_string(), seq, txn });
@@ -254,7 +254,9 @@
                 self.record_accepted_job(shard, &note);
                 self.journal.write(note);
             }
-            Action::Tell { to, fence, msg } => self.send_loan_message(shard, &to, fence, msg, cx),
+            Action::SendLoanMessage { to, fence, msg } => {
+                self.send_loan_message(shard, &to, fence, msg, cx)
+            }
             Action::Fenced => self.drop_shard(shard, "a VM reported a newer owner", cx),
             Action::HandedOver => self.complete_hand_over(shard, cx),
         }
@@ -347,7 +349,7 @@
         let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
-            vacated: hosted.shard.vacated(),
+            vacated: hosted.shard.drained_vms(),
         };
         let shards = self.hosted.iter().map(to_own_shard).collect();
         self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
@@ -360,7 +362,7 @@
             match action {
                 upkeep::duty::Action::Note(note) => self.journal.write(note),
                 upkeep::duty::Action::Vacate { shard, order } => {
-                    self.step_shard(&shard, Event::Vacate(order), cx);
+                    self.step_shard(&shard, Event::Drain(order), cx);
                 }
                 other => {
                     if let Some(rings) = &self.rings {
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -7,9 +7,9 @@
 use crate::jobs::follow::operators::ReadQueues;
 use crate::jobs::view::ShardView;
 use crate::note::Note;
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
-use crate::shard::{Announcements, Answer, CommitResult, Event, Lapse, Recovered};
+use crate::shard::{Answer, CommitResult, Event, FleetListStatus, Recovered, VmLapse};
 use crate::upkeep::{self, Wave};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
@@ -73,7 +73,7 @@
     /// VMs as of some time after `at`; `None` if the time is unknown.
     Fleet {
         vms: Vec<VmEntry>,
-        announcements: Announcements,
+        list_status: FleetListStatus,
         at: Option<Duration>,
     },
     Queues(Box<ReadQueues>),
@@ -124,8 +124,8 @@
                     }
                 }
             }
-            Stored::Fleet { vms, announcements, at } => {
-                self.update_fleet(vms, announcements, at, cx);
+            Stored::Fleet { vms, list_status, at } => {
+                self.update_fleet(vms, list_status, at, cx);
             }
             Stored::Queues(queues) => self.apply_config(*queues, cx),
             Stored::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
@@ -173,7 +173,7 @@
             let lapses = TimedLapses { at: now, lapses: news.lapses.clone() };
             self.reported_lapses.insert(news.name.clone(), lapses);
         }
-        let learned: Vec<(String, Vec<Learned>)> =
+        let learned: Vec<(String, Vec<PairEstimate>)> =
             msg.0.shards.iter().map(|news| (news.name.clone(), news.learned.clone())).collect();
         for (from, learned) in learned {
             self.share_learned(&from, learned, cx);
@@ -217,7 +217,7 @@
         let ticket = Ticket(self.next_ticket);
         self.tickets.insert(ticket, tx);
         let event = match msg.call {
-            Call::Submit(job, urge) => Event::Submit { ticket, job: Arc::from(job), urge },
+            Call::Submit(job, mode) => Event::Submit { ticket, job: Arc::from(job), mode },
             Call::Cancel(job) => Event::Cancel { ticket, job },
             Call::Show(job) => Event::Show { ticket, job },
         };
@@ -236,7 +236,7 @@
 pub struct HandleOffer {
     pub shard: String,
     pub from: DaemonId,
-    pub lapses: Vec<Lapse>,
+    pub lapses: Vec<VmLapse>,
 }
 
 impl Handler<HandleOffer> for Control {
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -12,7 +12,7 @@
 use crate::jobs::records::{Claim, Confirm, Confirmation, Forget, ReadHeads};
 use crate::journal::Journal;
 use crate::note::{Ms, Note};
-use crate::shard::{Action, Announcements, Event, Recovered, Shard};
+use crate::shard::{Action, Event, FleetListStatus, Recovered, Shard};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
 use std::sync::{Arc, PoisonError};
@@ -83,7 +83,7 @@
         if let (Some(to), Some(rings)) = (new_owner, &self.rings)
             && to.id != from
         {
-            let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.lapses());
+            let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.unresponsive_vms());
             let (shard, lapses) = (shard.to_owned(), lapses.unwrap_or_default());
             rings.links.do_send(OfferShard { shard, to, from, lapses });
         }
@@ -94,7 +94,7 @@
         let Some(mut hosted) = self.hosted.shift_remove(shard) else { return };
         // Kept because this daemon may become the shard's next owner.
         let now = self.now().steady;
-        let lapses = TimedLapses { at: now, lapses: hosted.shard.told_lapses(now) };
+        let lapses = TimedLapses { at: now, lapses: hosted.shard.reported_lapses(now) };
         self.reported_lapses.insert(shard.to_owned(), lapses);
         for event in hosted.deferred.take().into_iter().flatten() {
             // A deferred call had no effect; its caller still waits and can be sent to the owner.
@@ -102,7 +102,7 @@
                 self.reply(ticket, Reply::NotOwner);
             }
         }
-        for action in hosted.shard.abandon() {
+        for action in hosted.shard.reply_to_all_on_loss() {
             if let Action::Reply { ticket, answer } = action {
                 self.reply(ticket, Reply::Answer(answer));
             }
@@ -160,10 +160,11 @@
         // extended the time for which the VMs keep their work running.
         if let Some(offer) = offer.filter(|o| recovered.predecessor.as_ref() == Some(&o.from)) {
             let passed = now.steady.saturating_sub(offer.at);
-            recovered.lapses = offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
+            recovered.unresponsive_vms =
+                offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
         }
         if let Some(reported) = self.reported_lapses.shift_remove(&recovered.shard) {
-            recovered.told = reported.aged(now.steady);
+            recovered.reported_lapses = reported.aged(now.steady);
         }
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
@@ -178,7 +179,7 @@
         );
         let shared: Arc<str> = Arc::from(name.as_str());
         accepted_jobs.iter().for_each(|id| self.add_to_directory(*id, &shared));
-        let (_, runs) = shard.open_work();
+        let (_, runs) = shard.open_job_and_run_counts();
         journal_claim(&self.journal, &name, fence, jobs, runs);
         let summary = Arc::new(shard.summary());
         let hosted = HostedShard {
@@ -193,7 +194,7 @@
         };
         self.hosted.insert(name.clone(), hosted);
         for (from, learned) in self.learned.clone() {
-            self.step_shard(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Interference { from, learned }, cx);
         }
         self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
         self.step_shard(&name, Event::Tick, cx);
@@ -260,20 +261,20 @@
     pub(super) fn update_fleet(
         &mut self,
         vms: Vec<VmEntry>,
-        announcements: Announcements,
+        list_status: FleetListStatus,
         at: Option<Duration>,
         cx: &mut Context<Self>,
     ) {
-        if announcements == Announcements::Complete {
+        if list_status == FleetListStatus::Complete {
             Arc::make_mut(&mut self.shapes).add(&vms);
         }
-        if announcements == Announcements::Complete || !vms.is_empty() {
+        if list_status == FleetListStatus::Complete || !vms.is_empty() {
             self.fleet = vms;
         }
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let vms = self.shard_vms(&name);
-            self.step_shard(&name, Event::Fleet { vms, announcements, at }, cx);
+            self.step_shard(&name, Event::Fleet { vms, list_status, at }, cx);
         }
     }
 
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -15,7 +15,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Maximum number of VMs in one request.
-pub const MAX_ASKED: usize = 100;
+pub const MAX_VMS_PER_REQUEST: usize = 100;
 
 /// Authorizes tasks of a step to start on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitReq {
     pub step: StepRef,
-    /// At most [`MAX_ASKED`].
+    /// At most [`MAX_VMS_PER_REQUEST`].
     pub vms: Vec<VmId>,
     /// Time limit for the answer.
     pub timeout: Duration,
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitTimes {
     /// Base timeout of a request.
-    pub question: Duration,
+    pub base_time: Duration,
     /// Additional timeout for each VM in a request.
     pub each_vm: Duration,
     /// How long a permit is valid.
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -3,7 +3,7 @@
 //!
 //! A shard has one owner at a time. Whatever the owner accepts or binds is committed to the
 //! platform's store before it takes effect, on the condition that no other owner has taken over.
-//! The VMs know what is running and reject orders from earlier owners. An owner can therefore be
+//! The VMs know what is running and reject commands from earlier owners. An owner can therefore be
 //! replaced at any time: its successor reads the store, queries the VMs and continues.
 //!
 //! [`Shard::step`] maps an event to actions. It does no I/O, reads no clock and doesn't depend on
@@ -39,13 +39,13 @@
 mod waiting;
 
 pub use event::{
-    Action, Announcements, Answer, CommitResult, Event, Landed, Neighbour, Now, Summary, Urge,
-    VacateOrder,
+    Action, AdmissionMode, Answer, CommitResult, DrainOrder, Event, FleetListStatus, Now,
+    OtherShard, Summary, WriteOutcome,
 };
 pub use log::Keys;
-pub use recover::{Lapse, Previous, Recovered};
+pub use recover::{PreviousOwner, Recovered, VmLapse};
 pub use settings::Settings;
-pub use silence::{Mark, SilentVm, ToldLapse};
+pub use silence::{ReportedLapse, SilenceMark, SilentVm};
 
 use crate::ids::VmId;
 use crate::job::{JobId, Life, Share, ShownState};
@@ -69,24 +69,24 @@
     closed: IndexMap<JobId, Closed>,
     vms: IndexMap<VmId, Vm>,
     /// VM instances that have ended; later announcements of them are ignored.
-    gone: IndexSet<VmId>,
+    ended_vms: IndexSet<VmId>,
     log: Log,
-    effects: interference::Effects,
+    interference: interference::InterferenceModel,
     loans: loan::Loans,
-    questions: permits::Questions,
-    vacating: vacate::Vacating,
+    permit_requests: permits::PermitRequests,
+    maintenance_drain: vacate::MaintenanceDrain,
     crash_log: crash::CrashLog,
-    kept: compact::Kept,
-    list: fleet::List,
+    reservations: compact::Reservations,
+    vm_list: fleet::VmListSource,
     /// Latest time until which VMs that this owner hasn't reached may keep running tasks started by
     /// earlier owners.
-    inherited_until: Duration,
+    inherited_runs_until: Duration,
     stage: Stage,
     now: Now,
     last_schedule: Duration,
     next_schedule: Duration,
     next_report: Duration,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 /// A finished job of which only the final state is kept.
@@ -113,8 +113,8 @@
     pub fn step(&mut self, now: Now, event: Event) -> Vec<Action> {
         self.now = now;
         self.handle(event);
-        self.follow_up();
-        std::mem::take(&mut self.out)
+        self.run_due_work();
+        std::mem::take(&mut self.actions)
     }
 
     /// Returns the shard's name.
@@ -123,8 +123,8 @@
     }
 
     /// Returns the measured interference between pairs of images.
-    pub fn learned(&self) -> Vec<interference::Learned> {
-        self.effects.learned()
+    pub fn learned(&self) -> Vec<interference::PairEstimate> {
+        self.interference.learned()
     }
 
     /// Returns this owner's fencing token.
@@ -136,31 +136,33 @@
         match event {
             Event::Tick => {}
             Event::Queues(queues) => self.configure(queues),
-            Event::Fleet { vms, announcements, at } => self.announced(vms, announcements, at),
-            Event::Looked { vm, sent, result } => self.looked(&vm, sent, result),
+            Event::Fleet { vms, list_status, at } => self.update_vm_list(vms, list_status, at),
+            Event::Polled { vm, sent, result } => self.handle_poll_response(&vm, sent, result),
             Event::Started { vm, task, run, result } => {
-                self.start_answered(&vm, task, run, &result)
+                self.handle_start_response(&vm, task, run, &result)
+            }
+            Event::Stopped { vm, task, run, result } => {
+                self.handle_stop_response(&vm, task, run, &result)
             }
-            Event::Stopped { vm, task, run, result } => self.stop_answered(&vm, task, run, &result),
             Event::Paced { vm, task, run, percent, result } => {
-                self.pace_answered(&vm, task, run, percent, &result);
+                self.handle_pace_response(&vm, task, run, percent, &result);
             }
             Event::Permitted { step, vms, sent, result } => {
-                self.permitted(step, &vms, sent, result);
+                self.handle_permit_response(step, &vms, sent, result);
             }
-            Event::Committed { seq, result } => self.committed(seq, result),
-            Event::Submit { ticket, job, urge } => self.submit(ticket, job, urge),
+            Event::Committed { seq, result } => self.handle_commit_result(seq, result),
+            Event::Submit { ticket, job, mode } => self.submit(ticket, job, mode),
             Event::Cancel { ticket, job } => self.cancel(ticket, job),
             Event::Show { ticket, job } => self.show(ticket, job),
-            Event::Learned { from, learned } => self.effects.merge(&from, &learned),
-            Event::Neighbours(neighbours) => self.loans.know(neighbours),
-            Event::Vacate(order) => self.vacate(order),
-            Event::Askers(askers) => self.set_askers(askers),
+            Event::Interference { from, learned } => self.interference.merge(&from, &learned),
+            Event::OtherShards(other_shards) => self.loans.set_other_shards(other_shards),
+            Event::Drain(order) => self.set_draining_vms(order),
+            Event::PermitConcurrency(max_requests) => self.set_max_permit_requests(max_requests),
             Event::Message { from, to, msg } => {
                 // The message is for another owner, which may have answered it and settled the
                 // matter since.
                 if to == self.fence {
-                    self.hear_message(&from, msg);
+                    self.handle_loan_message(&from, msg);
                 }
             }
             Event::HandOver => self.stage = Stage::HandingOver,
@@ -169,29 +171,29 @@
 
     /// Does the work that may be due after any event, because time has passed or the state has
     /// changed.
-    fn follow_up(&mut self) {
+    fn run_due_work(&mut self) {
         if self.stage == Stage::HandedOver {
             return;
         }
-        self.begin_due();
+        self.start_due_occurrences();
         self.remove_expired_runs();
         if self.stage == Stage::Serving {
-            self.empty_leaving();
-            self.empty_vacating();
-            if self.knows_who_leaves() && self.has_queues() {
+            self.stop_runs_on_leaving_vms();
+            self.stop_runs_on_draining_vms();
+            if self.has_recent_vm_list() && self.has_queues() {
                 self.schedule();
             }
-            self.tell_loans();
-            self.send_orders();
-            self.look();
+            self.send_pending_loan_messages();
+            self.send_due_commands();
+            self.poll_due_vms();
         }
         self.expire_closed();
-        self.record_silence();
+        self.update_silence_record();
         self.commit();
         self.report();
-        if self.stage == Stage::HandingOver && self.log.is_settled() {
+        if self.stage == Stage::HandingOver && self.log.all_durable() {
             self.stage = Stage::HandedOver;
-            self.out.push(Action::HandedOver);
+            self.actions.push(Action::HandedOver);
         }
     }
 
@@ -217,12 +219,12 @@
     }
 
     fn note(&mut self, note: Note) {
-        self.out.push(Action::Note(note));
+        self.actions.push(Action::Note(note));
     }
 
     fn commit(&mut self) {
         if let Some((seq, txn)) = self.log.next(&mut self.jobs, self.now.steady) {
-            self.out.push(Action::Commit { seq, txn });
+            self.actions.push(Action::Commit { seq, txn });
         }
     }
 
@@ -243,7 +245,7 @@
         self.next_report = self.now.steady + REPORT_EVERY;
         let tasks = || self.jobs.values().flat_map(JobRun::tasks);
         let summary = self.summary();
-        self.out.push(Action::Note(Note::ShardState {
+        self.actions.push(Action::Note(Note::ShardState {
             shard: self.name.clone(),
             fence: self.fence.0,
             vms: self.vms.len(),
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -9,8 +9,8 @@
 //! task.
 
 use super::Shard;
-use super::job_run::{StepRun, Task, lasts};
-use super::vm_run::{Run, RunKey, Stage, Unanswered, Vm};
+use super::job_run::{StepRun, Task, is_long_running};
+use super::vm_run::{PendingStart, Run, RunKey, Stage, Vm};
 use crate::ids::VmId;
 use crate::job::progress::{Crashes, TaskPhase};
 use crate::job::{JobId, TaskRef};
@@ -100,8 +100,8 @@
     fn of(vm: &Vm, key: RunKey, run: &Run, before: Crashes) -> Option<Self> {
         let timing = match run.stage {
             Stage::Binding => return None,
-            Stage::Starting { .. } if run.unanswered == Unanswered::No => return None,
-            Stage::Running if vm.worked(key).is_zero() => {
+            Stage::Starting { .. } if run.pending_start == PendingStart::No => return None,
+            Stage::Running if vm.running_time(key).is_zero() => {
                 let failing = vm.contact.failing_since;
                 let immediate = failing.is_some_and(|at| at < run.since + IMMEDIATE_CRASH_WINDOW);
                 if immediate { CrashTiming::Immediate } else { CrashTiming::Sudden }
@@ -174,10 +174,10 @@
     }
 
     /// Handles a VM crash: counts it for the tasks on the VM and fails those that are to blame.
-    pub(super) fn vm_crashed(&mut self, id: &VmId) {
+    pub(super) fn handle_vm_crash(&mut self, id: &VmId) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return };
-        if vm.leaving.is_some() || self.vacating.has(id) {
+        if vm.leaving.is_some() || self.maintenance_drain.is_draining(id) {
             return;
         }
         let runs = vm.runs.iter();
@@ -214,7 +214,7 @@
         if let Some(step) = job.step_run_mut(task).filter(|_| affected.is_sudden()) {
             step.proven = false;
         }
-        self.log.touch(task.job);
+        self.log.mark_changed(task.job);
     }
 
     fn fail_for_crashes(&mut self, vm: &VmId, affected: &AffectedRun, reason: Word) {
@@ -229,15 +229,15 @@
     }
 
     /// Resets the crash counts of a task whose run has worked for long enough.
-    pub(super) fn note_worked(&mut self, key: RunKey, worked: Duration) {
+    pub(super) fn reset_crash_counts(&mut self, key: RunKey, worked: Duration) {
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
-        let lasting = job.step(key.task).is_some_and(lasts);
+        let long_running = job.step(key.task).is_some_and(is_long_running);
         let Some(task) = job.task_mut(key.task) else { return };
         let before = task.crashes;
         if worked >= SUDDEN_RESET_AFTER {
             task.crashes.sudden = 0;
         }
-        if worked >= TOTAL_RESET_AFTER && lasting {
+        if worked >= TOTAL_RESET_AFTER && long_running {
             task.crashes.all = 0;
         }
         if task.crashes == before {
@@ -246,6 +246,6 @@
         if let Some(step) = job.step_run_mut(key.task) {
             step.proven = true;
         }
-        self.log.touch(key.task.job);
+        self.log.mark_changed(key.task.job);
     }
 }
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -1,8 +1,8 @@
 //! Caller requests: submitting a job, cancelling it and querying its state.
 
-use super::event::{Action, Answer, CommitResult, Landed, Urge};
+use super::event::{Action, AdmissionMode, Answer, CommitResult, WriteOutcome};
 use super::job_run::{Effect, JobRun, RecordState, Started};
-use super::settings::STALLED_COMMIT;
+use super::settings::COMMIT_STALL_TIMEOUT;
 use super::vm_run::RunKey;
 use super::{Closed, Shard, Stage};
 use crate::ids::Ticket;
@@ -20,20 +20,20 @@
 
 /// Refusal when the shard accepts no more long-running tasks. Capacity is freed as other jobs are
 /// cancelled, which takes seconds.
-const LASTING_LIMIT_REACHED: (&str, Duration) =
+const LONG_RUNNING_LIMIT_REACHED: (&str, Duration) =
     ("lasting tasks have all the room that they may take", Duration::from_secs(2));
 
 /// Refusal when the shard has little room for a job's long-running tasks.
 const LITTLE_ROOM: (&str, Duration) = ("other shards have more room", Duration::ZERO);
 
 impl Shard {
-    pub(super) fn submit(&mut self, ticket: Ticket, job: Arc<Job>, urge: Urge) {
+    pub(super) fn submit(&mut self, ticket: Ticket, job: Arc<Job>, mode: AdmissionMode) {
         let id = job.id;
         if self.closed.contains_key(&id) {
             return self.reply(ticket, Answer::Accepted);
         }
         if let Some(known) = self.jobs.get_mut(&id) {
-            if known.is_guest() {
+            if known.is_borrowed() {
                 return self.reply(ticket, Answer::AcceptedElsewhere);
             }
             if known.durable.is_some() {
@@ -41,11 +41,11 @@
             }
             known.effects.push(Effect::Reply { ticket, answer: Answer::Accepted });
             // The commit that contains the job may already be in flight without this effect.
-            self.log.touch(id);
+            self.log.mark_changed(id);
             return;
         }
         if let Some((reason, retry_after)) =
-            self.unavailable().or_else(|| self.capacity_refusal(&job, urge))
+            self.unavailable().or_else(|| self.capacity_refusal(&job, mode))
         {
             let note = Note::JobRefused {
                 job: id,
@@ -61,7 +61,7 @@
         let mut run = JobRun::new(job, images, self.now.steady);
         run.effects.push(Effect::Reply { ticket, answer: Answer::Accepted });
         self.jobs.insert(id, run);
-        self.log.touch(id);
+        self.log.mark_changed(id);
     }
 
     /// Reason and retry delay if the shard can't accept any job at the moment.
@@ -69,7 +69,7 @@
         if self.stage != Stage::Serving {
             return Some(("the shard changes hands", RETRY_AFTER_HANDOVER));
         }
-        if self.log.age(self.now.steady) > STALLED_COMMIT {
+        if self.log.age(self.now.steady) > COMMIT_STALL_TIMEOUT {
             return Some(("the store does not answer", RETRY_AFTER_OUTAGE));
         }
         None
@@ -77,16 +77,17 @@
 
     /// Refuses a job whose long-running tasks would take the capacity reserved for jobs that must
     /// start immediately.
-    fn capacity_refusal(&self, job: &Job, urge: Urge) -> Option<(&'static str, Duration)> {
-        let lasting = lasting_cores(job);
-        if lasting == 0 {
+    fn capacity_refusal(&self, job: &Job, mode: AdmissionMode) -> Option<(&'static str, Duration)> {
+        let long_running = long_running_milli_cores(job);
+        if long_running == 0 {
             return None;
         }
         let summary = self.summary();
-        let full = summary.is_full_with((summary.lasting + lasting) as f64, urge);
-        full.then_some(match urge {
-            Urge::IfRoom => LITTLE_ROOM,
-            Urge::Always => LASTING_LIMIT_REACHED,
+        let full =
+            summary.exceeds_long_running_limit((summary.lasting + long_running) as f64, mode);
+        full.then_some(match mode {
+            AdmissionMode::IfRoom => LITTLE_ROOM,
+            AdmissionMode::Always => LONG_RUNNING_LIMIT_REACHED,
         })
     }
 
@@ -94,7 +95,7 @@
         if self.closed.contains_key(&id) {
             return self.reply(ticket, Answer::Cancelling);
         }
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_guest()) else {
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_borrowed()) else {
             return self.reply(ticket, Answer::NotHere);
         };
         if job.is_final() && job.durable == Some(job.state) {
@@ -103,17 +104,17 @@
         job.effects.push(Effect::Reply { ticket, answer: Answer::Cancelling });
         if !job.is_final() {
             job.state = ShownState::Cancelled;
-            let (queue, runs) = (job.job.queue.clone(), job.places().len());
+            let (queue, runs) = (job.job.queue.clone(), job.placed_runs().len());
             self.note(Note::JobCancelled { job: id, queue, runs });
             self.stop_job(id, "cancelled");
         }
-        self.log.touch(id);
+        self.log.mark_changed(id);
     }
 
     pub(super) fn show(&mut self, ticket: Ticket, id: JobId) {
         let state = match (self.closed.get(&id), self.jobs.get(&id)) {
             (Some(closed), _) => Some(closed.state),
-            (None, Some(job)) if !job.is_guest() => {
+            (None, Some(job)) if !job.is_borrowed() => {
                 job.durable.map(|durable| visible_state(job, durable))
             }
             (None, _) => return self.reply(ticket, Answer::NotHere),
@@ -128,34 +129,34 @@
     /// Stops all runs of a job.
     pub(super) fn stop_job(&mut self, id: JobId, reason: &'static str) {
         let Some(job) = self.jobs.get(&id) else { return };
-        for (task, place) in job.places() {
-            self.stop_run(&place.vm, RunKey { task, run: place.run }, reason);
+        for (task, placed) in job.placed_runs() {
+            self.stop_run(&placed.vm, RunKey { task, run: placed.run }, reason);
         }
     }
 
-    pub(super) fn committed(&mut self, seq: u64, result: CommitResult) {
-        let Some(commit) = self.log.answered(seq) else { return };
+    pub(super) fn handle_commit_result(&mut self, seq: u64, result: CommitResult) {
+        let Some(commit) = self.log.complete(seq) else { return };
         match result {
             CommitResult::Durable => {
-                self.out.extend(commit.actions);
-                self.log.silence.written();
-                self.loans.hurry(self.now.steady);
+                self.actions.extend(commit.actions);
+                self.log.silence.write_done();
+                self.loans.send_soon(self.now.steady);
                 for part in commit.parts {
-                    self.recorded(part.id, part.state, part.record, seq);
-                    part.effects.into_iter().for_each(|effect| self.take_effect(effect));
+                    self.handle_job_committed(part.id, part.state, part.record, seq);
+                    part.effects.into_iter().for_each(|effect| self.apply_effect(effect));
                 }
             }
             CommitResult::JobExists(known) => {
-                self.log.redo(commit, &mut self.jobs);
+                self.log.requeue(commit, &mut self.jobs);
                 known.into_iter().for_each(|id| self.drop_duplicate(id));
             }
-            CommitResult::Superseded(landed) => {
+            CommitResult::Superseded(outcome) => {
                 // The commit may not have been applied, so its effects must not be reported as
                 // durable.
                 self.stage = Stage::HandedOver;
                 for effect in commit.parts.into_iter().flat_map(|part| part.effects) {
                     if let Effect::Reply { ticket, answer } = effect {
-                        self.reply_superseded(ticket, answer, landed);
+                        self.reply_superseded(ticket, answer, outcome);
                     }
                 }
             }
@@ -163,41 +164,41 @@
     }
 
     /// Replies to all waiting callers, because this owner no longer decides for the shard.
-    pub fn abandon(&mut self) -> Vec<Action> {
-        let parts = self.log.abandon().map(|commit| commit.parts).unwrap_or_default();
+    pub fn reply_to_all_on_loss(&mut self) -> Vec<Action> {
+        let parts = self.log.take_in_flight().map(|commit| commit.parts).unwrap_or_default();
         let sent: IndexSet<JobId> = parts.iter().map(|part| part.id).collect();
         let mut effects = Vec::new();
         for part in parts {
-            effects.extend(part.effects.into_iter().map(|effect| (Landed::Unknown, effect)));
+            effects.extend(part.effects.into_iter().map(|effect| (WriteOutcome::Unknown, effect)));
         }
         for job in self.jobs.values_mut() {
             // A new job that is not part of any commit was never written.
             let unwritten = job.record == RecordState::New && !sent.contains(&job.id());
-            let landed = if unwritten { Landed::No } else { Landed::Unknown };
-            effects.extend(job.effects.drain(..).map(|effect| (landed, effect)));
+            let outcome = if unwritten { WriteOutcome::No } else { WriteOutcome::Unknown };
+            effects.extend(job.effects.drain(..).map(|effect| (outcome, effect)));
         }
-        for (landed, effect) in effects {
+        for (outcome, effect) in effects {
             if let Effect::Reply { ticket, answer } = effect {
-                self.reply_superseded(ticket, answer, landed);
+                self.reply_superseded(ticket, answer, outcome);
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    fn reply_superseded(&mut self, ticket: Ticket, answer: Answer, landed: Landed) {
+    fn reply_superseded(&mut self, ticket: Ticket, answer: Answer, outcome: WriteOutcome) {
         let retry_after = RETRY_AFTER_HANDOVER;
         let reason = "the shard has another owner".to_owned();
-        let answer = match (landed, answer) {
-            (Landed::Yes, answer) => answer,
-            (Landed::No, Answer::Accepted) => Answer::NotRun { reason, retry_after },
-            (Landed::No | Landed::Unknown, _) => Answer::Unknown { reason },
+        let answer = match (outcome, answer) {
+            (WriteOutcome::Yes, answer) => answer,
+            (WriteOutcome::No, Answer::Accepted) => Answer::NotRun { reason, retry_after },
+            (WriteOutcome::No | WriteOutcome::Unknown, _) => Answer::Unknown { reason },
         };
         self.reply(ticket, answer);
     }
 
     /// Drops a submitted job that already exists in another shard, so that it is not run twice.
     fn drop_duplicate(&mut self, id: JobId) {
-        self.log.forget(id);
+        self.log.remove(id);
         let Some(job) = self.jobs.shift_remove(&id) else { return };
         for effect in job.effects {
             if let Effect::Reply { ticket, .. } = effect {
@@ -209,16 +210,24 @@
         }
     }
 
-    fn recorded(&mut self, id: JobId, state: ShownState, record: RecordState, seq: u64) {
+    fn handle_job_committed(
+        &mut self,
+        id: JobId,
+        state: ShownState,
+        record: RecordState,
+        seq: u64,
+    ) {
         let now = self.now.steady;
-        let Some(aim) = self.jobs.get(&id).map(|job| self.aim(job)) else { return };
+        let Some(target_duration) = self.jobs.get(&id).map(|job| self.target_duration(job)) else {
+            return;
+        };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let before = job.durable.replace(state);
         let was = std::mem::replace(&mut job.record, record);
         let queue = job.job.queue.clone();
         let (waited, tasks) = (now.saturating_sub(job.since), task_count(&job.job));
-        if job.is_guest() {
-            if record == RecordState::Dropped && !self.log.waits(id) {
+        if job.is_borrowed() {
+            if record == RecordState::Dropped && !self.log.is_pending(id) {
                 self.jobs.shift_remove(&id);
             }
             return;
@@ -228,25 +237,25 @@
             self.note(Note::JobAccepted { job: id, queue: queue.clone(), tasks, waited_ms, seq });
         }
         if state.is_final() && before != Some(state) {
-            let aim_ms = Ms(aim);
+            let aim_ms = Ms(target_duration);
             let (state, took_ms) = (state_word(state), Ms(waited));
             self.note(Note::JobEnded { job: id, queue, state, took_ms, aim_ms, seq });
         }
-        if record == RecordState::Closed && !self.log.waits(id) {
+        if record == RecordState::Closed && !self.log.is_pending(id) {
             self.jobs.shift_remove(&id);
             self.closed.insert(id, Closed { state, since: now });
         }
     }
 
-    pub(super) fn take_effect(&mut self, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { ticket, answer } => self.reply(ticket, answer),
-            Effect::Start { task, run, vm } => self.start_bound(task, run, &vm),
+            Effect::Start { task, run, vm } => self.mark_start_due(task, run, &vm),
             Effect::Forget { vm, number } => {
                 if let Some(vm) = self.vms.get_mut(&vm) {
-                    vm.ends.settle(number);
-                    if !vm.ends.has_listed() {
-                        vm.contact.next_look = vm.contact.next_look.min(self.now.steady);
+                    vm.ends.mark_durable(number);
+                    if !vm.ends.has_unforgotten() {
+                        vm.contact.next_poll = vm.contact.next_poll.min(self.now.steady);
                     }
                 }
             }
@@ -267,7 +276,7 @@
     }
 
     pub(super) fn reply(&mut self, ticket: Ticket, answer: Answer) {
-        self.out.push(Action::Reply { ticket, answer });
+        self.actions.push(Action::Reply { ticket, answer });
     }
 }
 
@@ -285,10 +294,10 @@
 }
 
 /// CPU reserved by a job's long-running tasks, in millicores.
-pub(super) fn lasting_cores(job: &Job) -> u64 {
-    let lasting =
+pub(super) fn long_running_milli_cores(job: &Job) -> u64 {
+    let long_running =
         job.steps.iter().filter(|s| s.life == Life::Lasting && s.share == Share::Reserved);
-    lasting.map(|step| u64::from(step.tasks) * u64::from(step.size.milli_cores.0)).sum()
+    long_running.map(|step| u64::from(step.tasks) * u64::from(step.size.milli_cores.0)).sum()
 }
 
 fn task_count(job: &Job) -> u32 {
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -2,11 +2,11 @@
 
 use super::Shard;
 use super::event::Action;
-use super::finish::End;
+use super::finish::RunEnd;
 use super::interference::LeftoverNeighbour;
 use super::own_load::OwnLoad;
-use super::settings::{LOOK_RETRY, SILENT_AFTER, UNFORGOTTEN_LOOK};
-use super::vm_run::{Looking, Run, RunKey, Silent, Stage, Unanswered, Vm};
+use super::settings::{POLL_RETRY_DELAY, SILENCE_TIMEOUT, UNCOMMITTED_POLL_DELAY};
+use super::vm_run::{PendingStart, PollState, Responsiveness, Run, RunKey, Stage, Vm};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
 use crate::job::{Share, TaskRef};
@@ -21,40 +21,46 @@
 
 impl Shard {
     /// Polls the VMs that are due.
-    pub(super) fn look(&mut self) {
+    pub(super) fn poll_due_vms(&mut self) {
         let (now, keep, fence) = (self.now.steady, self.settings.max_keep, self.fence);
         for vm in self.vms.values_mut() {
-            if vm.contact.looking == Looking::Yes || now < vm.contact.next_look {
+            if vm.contact.poll == PollState::InFlight || now < vm.contact.next_poll {
                 continue;
             }
             // A silence recorded in the store must be withdrawn before the VM's work is extended,
             // since the next owner relies on that record.
-            let extends = vm.extends(now) && self.log.silence.may_extend(&vm.id);
+            let extends = vm.may_extend_runs(now) && self.log.silence.may_extend_lease(&vm.id);
             let keep_until = extends.then(|| vm.clock_now(now)).flatten();
             if keep_until.is_some() {
-                vm.extended(now, keep);
+                vm.record_extension(now, keep);
             }
             let keep_until = keep_until.map(|clock| VmTime(clock.0 + keep));
-            let (forget, wait) = (vm.ends.forget(), vm.look_wait());
-            vm.contact.looking = Looking::Yes;
+            let (forget, wait) = (vm.ends.forget(), vm.poll_wait());
+            vm.contact.poll = PollState::InFlight;
             let req = LookReq { fence, forget, keep_until, wait };
-            self.out.push(Action::Look { vm: vm.addr(), req });
+            self.actions.push(Action::Poll { vm: vm.addr(), req });
         }
     }
 
-    pub(super) fn looked(&mut self, id: &VmId, sent: Duration, result: vm::Result<LookResp>) {
+    pub(super) fn handle_poll_response(
+        &mut self,
+        id: &VmId,
+        sent: Duration,
+        result: vm::Result<LookResp>,
+    ) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
-        vm.contact.looking = Looking::No;
+        vm.contact.poll = PollState::Idle;
         match result {
             Ok(resp) => {
                 let before = vm.contact.heard.replace(sent);
                 vm.contact.failures = 0;
                 vm.contact.failing_since = None;
                 vm.read_clock(resp.clock, now);
-                let was = std::mem::replace(&mut vm.contact.silent, Silent::No);
-                let met = before.is_none() || was != Silent::No;
-                if let Silent::Since(since) = was {
+                let was =
+                    std::mem::replace(&mut vm.contact.responsiveness, Responsiveness::Responsive);
+                let met = before.is_none() || was != Responsiveness::Responsive;
+                if let Responsiveness::SilentSince(since) = was {
                     let (runs, silent_ms) = (vm.runs.len(), Ms(now.saturating_sub(since)));
                     self.note(Note::VmHeard { vm: id.clone(), silent_ms, runs });
                 } else if before.is_none() {
@@ -63,48 +69,49 @@
                     self.note(Note::VmKnown { vm: id.clone(), cores, memory_mib });
                 }
                 if met {
-                    self.replan();
+                    self.request_schedule();
                 }
-                self.apply_look_response(id, sent, resp);
+                self.apply_poll_response(id, sent, resp);
                 let configured = self.has_queues();
                 if let Some(vm) = self.vms.get_mut(id) {
-                    vm.plan_look(now);
+                    vm.schedule_poll(now);
                     if !configured {
-                        vm.contact.next_look = now + UNFORGOTTEN_LOOK;
+                        vm.contact.next_poll = now + UNCOMMITTED_POLL_DELAY;
                     }
                 }
             }
-            Err(vm::Error::OtherLife) => self.vm_gone(id, "another life at its address"),
+            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
             Err(vm::Error::Fenced) => {
-                vm.contact.next_look = now + LOOK_RETRY;
-                self.fenced(id);
+                vm.contact.next_poll = now + POLL_RETRY_DELAY;
+                self.handle_fenced(id);
             }
-            Err(e) => self.look_failed(id, &e),
+            Err(e) => self.handle_poll_failure(id, &e),
         }
     }
 
-    pub(super) fn fenced(&mut self, id: &VmId) {
+    pub(super) fn handle_fenced(&mut self, id: &VmId) {
         self.note(Note::VmFenced { vm: id.clone(), fence: self.fence.0 });
         self.stage = super::Stage::HandedOver;
-        self.out.push(Action::Fenced);
+        self.actions.push(Action::Fenced);
     }
 
-    fn look_failed(&mut self, id: &VmId, error: &vm::Error) {
+    fn handle_poll_failure(&mut self, id: &VmId, error: &vm::Error) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.contact.failures += 1;
         vm.contact.failing_since.get_or_insert(now);
-        vm.plan_look(now);
+        vm.schedule_poll(now);
         let heard = vm.contact.heard.unwrap_or(now);
         let silent_ms = Ms(now.saturating_sub(heard));
-        if vm.contact.silent == Silent::No && silent_ms.0 >= SILENT_AFTER {
-            vm.contact.silent = Silent::Since(heard);
+        if vm.contact.responsiveness == Responsiveness::Responsive && silent_ms.0 >= SILENCE_TIMEOUT
+        {
+            vm.contact.responsiveness = Responsiveness::SilentSince(heard);
             let (runs, reason) = (vm.runs.len(), error.to_string());
             self.note(Note::VmSilent { vm: id.clone(), silent_ms, runs, reason });
         }
     }
 
-    fn apply_look_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
+    fn apply_poll_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
         let complete = resp.ended.len() < MAX_LISTED_ENDS;
         let mut seen = IndexSet::new();
         for row in &resp.running {
@@ -151,7 +158,7 @@
             }
             let Some(step) = job.step_run_mut(row.task) else { continue };
             let load = step.load.get_or_insert_with(|| OwnLoad::new(target, now));
-            self.effects.learn(load, image, row.tail(), &beside, now);
+            self.interference.learn(load, image, row.tail(), &beside, now);
         }
     }
 
@@ -166,13 +173,13 @@
             run.stage = Stage::Running;
             run.since = now;
         }
-        run.unanswered = Unanswered::No;
+        run.pending_start = PendingStart::No;
         run.running_since.get_or_insert(now);
         let worked = run.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         run.percent = row.percent;
         run.gauge = row.gauge;
-        self.note_began(row.task.job);
-        self.note_worked(key, worked);
+        self.mark_started(row.task.job);
+        self.reset_crash_counts(key, worked);
         let Some(job) = self.jobs.get_mut(&row.task.job) else { return };
         let over = job.is_final();
         let Some(task) = job.task_mut(row.task) else { return };
@@ -180,7 +187,7 @@
             task.checkpoint.clone_from(&row.checkpoint);
         }
         if row.percent == 100 {
-            task.away_since = None;
+            task.not_running_since = None;
         }
         // An earlier owner may have been replaced before it could stop a run that is no longer
         // needed.
@@ -216,15 +223,15 @@
         let key = RunKey { task: row.task, run: row.run };
         let known = self.is_open_task(row.task);
         let Some(vm) = self.vms.get_mut(id) else { return };
-        if !vm.ends.list(row.number) {
+        if !vm.ends.record(row.number) {
             return;
         }
         let (bound, number) = (vm.runs.contains_key(&key), row.number);
         if bound || (row.how == EndKind::Succeeded && known) {
             let (vm, how, checkpoint) = (id.clone(), row.how, row.checkpoint);
-            self.run_ended(End { vm, key, how, checkpoint, number });
+            self.handle_run_end(RunEnd { vm, key, how, checkpoint, number });
         } else {
-            vm.ends.settle(number);
+            vm.ends.mark_durable(number);
         }
     }
 
@@ -234,7 +241,7 @@
     }
 
     /// Handles runs that the VM lists neither as running nor as ended, although the poll was sent
-    /// after the orders about them were answered.
+    /// after the commands about them were answered.
     fn resolve_absent(&mut self, id: &VmId, sent: Duration, seen: &IndexSet<RunKey>) {
         let Some(vm) = self.vms.get(id) else { return };
         let absent: Vec<(RunKey, Absence)> = vm
@@ -245,7 +252,7 @@
             .collect();
         for (key, absence) in absent {
             match absence {
-                Absence::Proven(proof) => self.run_gone(id, key, proof),
+                Absence::Proven(proof) => self.remove_vanished_run(id, key, proof),
                 Absence::Unexpected => self.stop_run(id, key, "VM does not list the run"),
             }
         }
@@ -255,7 +262,9 @@
     pub(super) fn remove_expired_runs(&mut self) {
         let now = self.now.steady;
         let lapsed = |vm: &Vm| {
-            !vm.runs.is_empty() && now >= vm.lapsed_by && (!vm.is_heard(now) || !vm.extends(now))
+            !vm.runs.is_empty()
+                && now >= vm.runs_ended_by
+                && (!vm.is_responsive(now) || !vm.may_extend_runs(now))
         };
         let ids: Vec<VmId> =
             self.vms.values().filter(|vm| lapsed(vm)).map(|vm| vm.id.clone()).collect();
@@ -269,7 +278,7 @@
         let Some(vm) = self.vms.get(id) else { return };
         let keys: Vec<RunKey> = vm.runs.keys().copied().collect();
         for key in keys {
-            self.run_gone(id, key, proof);
+            self.remove_vanished_run(id, key, proof);
         }
     }
 }
@@ -284,11 +293,11 @@
 
 fn absence(run: &Run, sent: Duration) -> Option<Absence> {
     match run.stage {
-        // The VM has seen this owner's fencing token and rejects any delayed start order from an
+        // The VM has seen this owner's fencing token and rejects any delayed start command from an
         // earlier owner.
         Stage::Recovered => Some(Absence::Proven("run was never started")),
         Stage::Stopping { answered: Some(at), .. } if at <= sent => {
-            Some(Absence::Proven("run was stopped before its start order arrived"))
+            Some(Absence::Proven("run was stopped before its start command arrived"))
         }
         Stage::Running if run.since < sent => Some(Absence::Unexpected),
         _ => None,
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -5,9 +5,9 @@
 
 use super::Shard;
 use super::interference::ImageIx;
-use super::job_run::{Effect, Place};
+use super::job_run::{Effect, PlacedRun};
 use super::order::Candidate;
-use super::room::{Room, Trial};
+use super::room::{Probation, VmCapacity};
 use super::vm_run::{Run, RunKey};
 use crate::ids::{ServiceName, VmId};
 use crate::job::{Job, JobId, Life, Share, Step, StepRef, TaskRef};
@@ -30,27 +30,28 @@
 /// Weight of a leftover task's speed relative to one spare core.
 const SPEED_WEIGHT: f64 = 100.0;
 
-/// Share of a shard's processors up to which it is preferred for lasting tasks. The rest is for
-/// tasks that must start immediately, which take a tenth of all processors on average.
-pub(super) const LASTING_SHARE: f64 = 0.8;
+/// Share of a shard's processors up to which it is preferred for long-running tasks. The rest is
+/// for tasks that must start immediately, which take a tenth of all processors on average.
+pub(super) const PREFERRED_LONG_RUNNING_SHARE: f64 = 0.8;
 
-/// Share of a shard's processors that lasting tasks may fill once every shard has its part. An
-/// eighth of the VMs can then leave and all lasting tasks still have a place. The remaining room is
-/// fragmented and hardly fits short tasks: above this limit, callers of short tasks waited for room
-/// on a single VM for as long as the lasting tasks ran.
-pub(super) const LASTING_LIMIT: f64 = 0.8;
+/// Share of a shard's processors that long-running tasks may fill once every shard has its part. An
+/// eighth of the VMs can then leave and all long-running tasks still have a place. The remaining
+/// room is fragmented and hardly fits short tasks: above this limit, callers of short tasks waited
+/// for room on a single VM for as long as the long-running tasks ran.
+pub(super) const MAX_LONG_RUNNING_SHARE: f64 = 0.8;
 
-/// Share of a shard's processors above which its lasting tasks count as crowded: the room on each
-/// VM must then be kept for the largest task that fits there.
+/// Share of a shard's processors above which its long-running tasks count as crowded: the room on
+/// each VM must then be kept for the largest task that fits there.
 const CROWDED_SHARE: f64 = 0.9;
 
-/// Costs of placing a lasting task: next to other images only, and on a VM without serving tasks.
+/// Costs of placing a long-running task: next to other images only, and on a VM without serving
+/// tasks.
 const MIXED_IMAGES_COST: f64 = 3.0;
 const FIRST_SERVING_TASK_COST: f64 = 0.8;
 
-/// Cost of placing a lasting task on a VM that must be vacated soon; exceeds any cost of mixing
-/// images.
-const VACATES_SOON_COST: f64 = 10.0;
+/// Cost of placing a long-running task on a VM that must be drained soon; exceeds any cost of
+/// mixing images.
+const DRAINS_SOON_COST: f64 = 10.0;
 
 /// Cost of placing leftover work on a VM without serving tasks, which is kept for work that is slow
 /// everywhere else. It exceeds the spare cores of any VM but is less than half of the weight of a
@@ -61,7 +62,7 @@
 const SAME_STEP_COST: f64 = 0.01;
 
 /// Costs that outweigh all others. VMs with the higher ones are used as a last resort.
-const LASTING_NEIGHBOUR_COST: f64 = 1e3;
+const LONG_RUNNING_NEIGHBOUR_COST: f64 = 1e3;
 const SUSPECT_NEIGHBOUR_COST: f64 = 5e3;
 const REMOTE_DATA_COST: f64 = 1e4;
 const SUSPECT_PAIR_COST: f64 = 5e4;
@@ -84,8 +85,8 @@
 const MAX_LOAN_OFFERS: usize = 64;
 
 /// State of one scheduling pass.
-pub(super) struct Pass {
-    pub rooms: Vec<Room>,
+pub(super) struct SchedulePass {
+    pub rooms: Vec<VmCapacity>,
     /// Task shapes that could not be placed in this pass. Room only shrinks during a pass, so they
     /// aren't tried again.
     unplaceable: Vec<Shape>,
@@ -134,7 +135,7 @@
     }
 }
 
-impl Pass {
+impl SchedulePass {
     fn is_unplaceable(&self, shape: &Shape) -> bool {
         self.unplaceable.iter().any(|unplaceable| shape.requires_at_least(unplaceable))
     }
@@ -142,7 +143,7 @@
 
 impl Shard {
     /// Schedules an early pass because a waiting task may now be able to start.
-    pub(super) fn replan(&mut self) {
+    pub(super) fn request_schedule(&mut self) {
         self.next_schedule = self.next_schedule.min(self.last_schedule + SCHEDULE_GAP);
     }
 
@@ -154,33 +155,33 @@
         }
         self.last_schedule = now;
         self.next_schedule = now + SCHEDULE_EVERY;
-        self.release_kept();
+        self.release_reservations();
         let slowed = self.slowed();
         if self.candidates().is_empty() && slowed.is_empty() {
             return;
         }
-        let mut rooms: Vec<Room> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
-        let is_crowded = self.lasting_share(&rooms) > CROWDED_SHARE;
+        let mut rooms: Vec<VmCapacity> = self.vms.values().filter_map(|vm| self.room(vm)).collect();
+        let is_crowded = self.long_running_fraction(&rooms) > CROWDED_SHARE;
         rooms.iter_mut().for_each(|room| room.is_crowded = is_crowded);
-        let mut pass = Pass { rooms, unplaceable: Vec::new() };
-        self.place_kept(&mut pass);
+        let mut pass = SchedulePass { rooms, unplaceable: Vec::new() };
+        self.place_reserved(&mut pass);
         let candidates = self.candidates();
         for candidate in &candidates {
             self.place_job(candidate, &mut pass);
         }
         self.move_slowed(slowed, &mut pass);
-        self.ask_permits(&candidates, &pass.rooms);
+        self.request_missing_permits(&candidates, &pass.rooms);
         let waits = |task: &&TaskRef| {
             let task = self.jobs.get(&task.job).and_then(|job| job.task(**task));
             task.is_some_and(super::job_run::Task::is_waiting)
         };
         let tasks = candidates.iter().flat_map(|candidate| &candidate.tasks);
         let left: Vec<TaskRef> = tasks.filter(waits).take(MAX_LOAN_OFFERS).copied().collect();
-        self.lend(&left);
-        self.make_room(&left, &pass);
+        self.lend_waiting_tasks(&left);
+        self.plan_moves(&left, &pass);
     }
 
-    fn place_job(&mut self, candidate: &Candidate, pass: &mut Pass) {
+    fn place_job(&mut self, candidate: &Candidate, pass: &mut SchedulePass) {
         let Some(job) = self.jobs.get(&candidate.id) else { return };
         let spec = job.job.clone();
         for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
@@ -209,18 +210,24 @@
     }
 
     /// Places all tasks of a group, or none of them.
-    fn place_together(&mut self, group: &[TaskRef], step: &Step, shape: &Shape, pass: &mut Pass) {
+    fn place_together(
+        &mut self,
+        group: &[TaskRef],
+        step: &Step,
+        shape: &Shape,
+        pass: &mut SchedulePass,
+    ) {
         if group.len() != step.tasks as usize {
             return;
         }
-        let mut trial = pass.rooms.clone();
+        let mut trial_rooms = pass.rooms.clone();
         let mut choices = Vec::new();
         for task in group {
-            let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial) else {
+            let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial_rooms) else {
                 return;
             };
-            trial[choice].take(step, self.image(*task), task.of_step(), &self.effects);
-            trial[choice].suspects += usize::from(self.is_suspect(*task));
+            trial_rooms[choice].take(step, self.image(*task), task.of_step(), &self.interference);
+            trial_rooms[choice].crash_suspects += usize::from(self.is_suspect(*task));
             choices.push(choice);
         }
         let run = group.iter().filter_map(|task| {
@@ -246,22 +253,22 @@
         step: &Step,
         need: Need,
         shape: &Shape,
-        rooms: &[Room],
+        rooms: &[VmCapacity],
     ) -> Option<usize> {
         let (key, now) = (task.of_step(), self.now.steady);
         let permits = self.permits_of(task);
         let suspect = self.is_suspect(task);
         let failed_on = self.jobs.get(&task.job).and_then(|job| job.task(task)?.failed_on.clone());
-        let fits = |(_, room): &(usize, &Room)| {
-            let held = room.held_for_lasting && step.life == Life::Finite;
-            !held && !room.is_kept && room.service == shape.service && room.takes(step, key)
+        let fits = |(_, room): &(usize, &VmCapacity)| {
+            let held = room.held_for_long_running && step.life == Life::Finite;
+            !held && !room.is_reserved && room.service == shape.service && room.takes(step, key)
         };
         rooms
             .iter()
             .enumerate()
             .filter(fits)
             .filter(|(_, room)| self.has_label(&room.vm, step))
-            .filter(|(_, room)| permits.is_none_or(|p| p.valid(&room.vm, now).is_some()))
+            .filter(|(_, room)| permits.is_none_or(|p| p.valid_permit(&room.vm, now).is_some()))
             .filter_map(|(index, room)| {
                 let cost = self.cost(room, step, shape.image, need)?;
                 let cost = cost + penalty(room, key, step, failed_on.as_ref());
@@ -273,11 +280,11 @@
 
     /// Computes the cost of placing a task on a VM (lower is better), or `None` if the task should
     /// rather wait.
-    fn cost(&self, room: &Room, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
+    fn cost(&self, room: &VmCapacity, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
         let cost = match (step.share, step.life) {
             (Share::Leftover, _) => self.leftover_cost(room, step, image, need)?,
             (Share::Reserved, Life::Lasting) if room.is_crowded => crowded_cost(room, step, image),
-            (Share::Reserved, Life::Lasting) => lasting_cost(room, step, image),
+            (Share::Reserved, Life::Lasting) => long_running_cost(room, step, image),
             (Share::Reserved, Life::Finite) => -f64::from(room.free.milli_cores.0) / 1000.0,
         };
         Some(cost)
@@ -298,7 +305,13 @@
     /// Nothing is started next to a task that has been over its target for long. New work runs at
     /// full speed until the VM is polled again, so successive starts kept such a task over its
     /// target while all its earlier neighbours were stopped for it.
-    fn leftover_cost(&self, room: &Room, step: &Step, image: ImageIx, need: Need) -> Option<f64> {
+    fn leftover_cost(
+        &self,
+        room: &VmCapacity,
+        step: &Step,
+        image: ImageIx,
+        need: Need,
+    ) -> Option<f64> {
         if room.is_overloaded {
             return None;
         }
@@ -313,8 +326,8 @@
 
     /// Returns the effective speed of leftover work on a VM, reduced by the harm to serving tasks,
     /// from 0 to 1.
-    pub(super) fn speed(&self, room: &Room, step: &Step, image: ImageIx) -> f64 {
-        room.leftover_speed(step) * room.worth_after_harm(step, image, &self.effects)
+    pub(super) fn speed(&self, room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
+        room.leftover_speed(step) * room.worth_after_harm(step, image, &self.interference)
     }
 
     pub(super) fn has_label(&self, vm: &VmId, step: &Step) -> bool {
@@ -323,7 +336,7 @@
     }
 
     /// Binds a task to a VM. It is started once the binding is durable.
-    pub(super) fn bind(&mut self, task: TaskRef, step: &Step, room: &mut Room) {
+    pub(super) fn bind(&mut self, task: TaskRef, step: &Step, room: &mut VmCapacity) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let run = Self::next_run(job, task);
@@ -331,16 +344,16 @@
         let ready = job.step_run(task).and_then(|step| step.ready).unwrap_or(now);
         let Some(known) = job.task_mut(task) else { return };
         known.last_run = run;
-        known.runs.push(Place { vm: vm_id.clone(), addr: room.addr.clone(), run });
+        known.runs.push(PlacedRun { vm: vm_id.clone(), addr: room.addr.clone(), run });
         job.effects.push(Effect::Start { task, run, vm: vm_id.clone() });
-        self.log.touch(task.job);
+        self.log.mark_changed(task.job);
         let bound = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
         if let Some(vm) = self.vms.get_mut(&vm_id) {
             vm.runs.insert(RunKey { task, run }, bound);
         }
         let (ready_ms, neighbours) = (Ms(now.saturating_sub(ready)), room.tasks());
-        room.take(step, self.image(task), task.of_step(), &self.effects);
-        room.suspects += usize::from(self.is_suspect(task));
+        room.take(step, self.image(task), task.of_step(), &self.interference);
+        room.crash_suspects += usize::from(self.is_suspect(task));
         let free_cores = u64::from(room.free.milli_cores.0 / 1000);
         let milli_cores = step.size.milli_cores.0;
         self.note(Note::TaskBound {
@@ -356,12 +369,12 @@
 }
 
 /// Computes the part of the cost that doesn't depend on the kind of task.
-fn penalty(room: &Room, key: StepRef, step: &Step, failed_on: Option<&VmId>) -> f64 {
+fn penalty(room: &VmCapacity, key: StepRef, step: &Step, failed_on: Option<&VmId>) -> f64 {
     let mut cost = SAME_STEP_COST * room.count(key) as f64;
     if failed_on == Some(&room.vm) {
         cost += PREVIOUS_FAILURE_COST;
     }
-    if room.trial == Trial::Yes {
+    if room.probation == Probation::Yes {
         cost += PROBATION_COST;
     }
     if step.rack.as_ref().is_some_and(|rack| *rack != room.rack) {
@@ -372,56 +385,57 @@
 
 /// Computes the cost that keeps tasks suspected of crashing their VM away from each other and, as
 /// far as possible, from other tasks.
-fn suspect_cost(room: &Room, suspect: bool) -> f64 {
-    let beside = SUSPECT_NEIGHBOUR_COST * room.suspects as f64;
+fn suspect_cost(room: &VmCapacity, suspect: bool) -> f64 {
+    let beside = SUSPECT_NEIGHBOUR_COST * room.crash_suspects as f64;
     if !suspect {
         return beside;
     }
-    SUSPECT_PAIR_COST * room.suspects as f64 + LASTING_NEIGHBOUR_COST * room.lasting_tasks as f64
+    SUSPECT_PAIR_COST * room.crash_suspects as f64
+        + LONG_RUNNING_NEIGHBOUR_COST * room.long_running_tasks as f64
 }
 
-/// Computes the cost of a lasting task when the shard isn't crowded.
+/// Computes the cost of a long-running task when the shard isn't crowded.
 ///
-/// Lasting tasks of one image are grouped, so that the same leftover work can run next to all of
-/// them. They fill one VM after another, which leaves some VMs without any: work that disturbs
+/// Long-running tasks of one image are grouped, so that the same leftover work can run next to all
+/// of them. They fill one VM after another, which leaves some VMs without any: work that disturbs
 /// every image runs there, and work that must start immediately finds room. This scored 0.43 on
 /// days with faults on 66 VMs; keeping a fifth of each VM free instead scored 0.38 to 0.40.
-fn lasting_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
+fn long_running_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
     let opened = if same + others == 0 { FIRST_SERVING_TASK_COST } else { 0.0 };
-    let share = room.lasting_share_with(step);
-    let closes = if room.closes { VACATES_SOON_COST } else { 0.0 };
-    MIXED_IMAGES_COST * mixed + opened + share + closes
+    let share = room.long_running_share_with(step);
+    let drains_soon = if room.drains_soon { DRAINS_SOON_COST } else { 0.0 };
+    MIXED_IMAGES_COST * mixed + opened + share + drains_soon
 }
 
-/// Computes the cost of a lasting task when the shard is crowded. The task goes where the least
-/// room is left, so that a larger one can still find enough room on a single VM; mixing images only
-/// breaks ties.
-fn crowded_cost(room: &Room, step: &Step, image: ImageIx) -> f64 {
+/// Computes the cost of a long-running task when the shard is crowded. The task goes where the
+/// least room is left, so that a larger one can still find enough room on a single VM; mixing
+/// images only breaks ties.
+fn crowded_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
-    let closes = if room.closes { VACATES_SOON_COST } else { 0.0 };
-    closes + room.share_left_with(step) + SAME_STEP_COST * mixed
+    let drains_soon = if room.drains_soon { DRAINS_SOON_COST } else { 0.0 };
+    drains_soon + room.share_left_with(step) + SAME_STEP_COST * mixed
 }
 
-/// Holds the VM where a lasting task can fit soonest, so that finite tasks aren't placed there. The
-/// task needs more room at once than a short one and would otherwise wait for as long as short
-/// tasks arrive.
+/// Holds the VM where a long-running task can fit soonest, so that finite tasks aren't placed
+/// there. The task needs more room at once than a short one and would otherwise wait for as long as
+/// short tasks arrive.
 ///
 /// Memory is checked as well: a VM whose memory was permanently taken used to be held for its free
 /// processors, and the task never fit.
-fn hold_vm_for(task: TaskRef, step: &Step, shape: &Shape, rooms: &mut [Room]) {
+fn hold_vm_for(task: TaskRef, step: &Step, shape: &Shape, rooms: &mut [VmCapacity]) {
     if step.life != Life::Lasting || step.share != Share::Reserved {
         return;
     }
-    let fits = |room: &&mut Room| {
-        room.could_take(step, task.of_step())
-            && !room.held_for_lasting
+    let fits = |room: &&mut VmCapacity| {
+        room.fits_without_finite(step, task.of_step())
+            && !room.held_for_long_running
             && room.service == shape.service
     };
     let best = rooms.iter_mut().filter(fits).max_by_key(|room| room.free.milli_cores);
     if let Some(room) = best {
-        room.held_for_lasting = true;
+        room.held_for_long_running = true;
     }
 }
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -1,11 +1,11 @@
 //! Takeover of a shard: rebuilds its state from the store, to be reconciled with what the VMs
 //! report.
 
-use super::job_run::{JobRun, Place};
+use super::job_run::{JobRun, PlacedRun};
 use super::log::{Keys, Log};
-use super::settings::{BLIND_EXTENSION, CLOCK_DRIFT, LAPSE_MARGIN, Settings};
-use super::silence::{SilenceRecord, SilentVm, ToldLapse};
-use super::vm_run::{Announced, Run, RunKey, Stage, Vm};
+use super::settings::{CLOCK_DRIFT, EXPIRY_MARGIN, MAX_STALE_OWNER_EXTENSION, Settings};
+use super::silence::{ReportedLapse, SilenceRecord, SilentVm};
+use super::vm_run::{Listing, Run, RunKey, Stage, Vm};
 use super::{Closed, Now, Shard};
 use crate::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use crate::job::progress::Progress;
@@ -27,27 +27,27 @@
     pub fence: Fence,
     /// Number of the last commit.
     pub seq: u64,
-    pub previous: Previous,
+    pub previous: PreviousOwner,
     pub jobs: Vec<Arc<Job>>,
     pub progress: Vec<(JobId, Progress)>,
     /// Previous owner.
     pub predecessor: Option<DaemonId>,
     /// VMs that did not answer the previous owner when it handed the shard over.
-    pub lapses: Vec<Lapse>,
+    pub unresponsive_vms: Vec<VmLapse>,
     /// VMs that are recorded as silent in the store.
     pub silent: Vec<SilentVm>,
     /// Remaining times of these VMs that owners reported, as of now.
-    pub told: Vec<ToldLapse>,
+    pub reported_lapses: Vec<ReportedLapse>,
 }
 
 /// A VM that does not answer, and how long it may still keep its work running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lapse {
+pub struct VmLapse {
     pub vm: VmId,
     pub left: Duration,
 }
 
-impl Lapse {
+impl VmLapse {
     /// Returns the lapse as seen after `passed`.
     pub fn aged(self, passed: Duration) -> Self {
         Self { left: self.left.saturating_sub(passed), ..self }
@@ -56,11 +56,11 @@
 
 /// State of the previous owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Previous {
+pub enum PreviousOwner {
     /// It has ended or has handed the shard over, and keeps no work running any more.
     Ended,
     /// It may not have noticed that it lost the shard, and may still extend its VMs' leases.
-    Unsure,
+    MaybeActive,
 }
 
 impl Shard {
@@ -73,9 +73,9 @@
         now: Now,
     ) -> Self {
         let keep = settings.max_keep;
-        let blind_extension = match recovered.previous {
-            Previous::Ended => Duration::ZERO,
-            Previous::Unsure => BLIND_EXTENSION,
+        let stale_owner_extension = match recovered.previous {
+            PreviousOwner::Ended => Duration::ZERO,
+            PreviousOwner::MaybeActive => MAX_STALE_OWNER_EXTENSION,
         };
         let keys = Keys::new(&recovered.shard);
         let mut shard = Self {
@@ -86,35 +86,35 @@
             jobs: IndexMap::new(),
             closed: IndexMap::new(),
             vms: IndexMap::new(),
-            gone: IndexSet::new(),
+            ended_vms: IndexSet::new(),
             log: Log::new(keys, recovered.seq, SilenceRecord::new(recovered.silent)),
             loans: super::loan::Loans::default(),
-            questions: super::permits::Questions::default(),
-            vacating: super::vacate::Vacating::default(),
+            permit_requests: super::permits::PermitRequests::default(),
+            maintenance_drain: super::vacate::MaintenanceDrain::default(),
             crash_log: super::crash::CrashLog::default(),
-            kept: super::compact::Kept::default(),
-            effects: super::interference::Effects::default(),
-            list: super::fleet::List::Inherited { since: now.steady },
-            inherited_until: now.steady
+            reservations: super::compact::Reservations::default(),
+            interference: super::interference::InterferenceModel::default(),
+            vm_list: super::fleet::VmListSource::Inherited { since: now.steady },
+            inherited_runs_until: now.steady
                 + keep
                 + keep.mul_f64(CLOCK_DRIFT)
-                + blind_extension
-                + LAPSE_MARGIN,
+                + stale_owner_extension
+                + EXPIRY_MARGIN,
             stage: super::Stage::Serving,
             now,
             last_schedule: Duration::ZERO,
             next_schedule: now.steady,
             next_report: now.steady,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
         for entry in fleet {
-            let vm = Vm::new(entry, now.steady, shard.inherited_until);
+            let vm = Vm::new(entry, now.steady, shard.inherited_runs_until);
             shard.vms.insert(vm.id.clone(), vm);
         }
         let progress: IndexMap<JobId, Progress> = recovered.progress.into_iter().collect();
         shard.recover_jobs(recovered.jobs, &progress);
-        shard.apply_lapses(&recovered.lapses);
-        shard.apply_told_lapses(recovered.told);
+        shard.apply_lapses(&recovered.unresponsive_vms);
+        shard.apply_reported_lapses(recovered.reported_lapses);
         shard
     }
 
@@ -123,18 +123,19 @@
     /// The new owner cannot know when the leases of these VMs were last extended, and would wait
     /// for the full time again before it starts their work elsewhere. Over three planned stops in a
     /// row, tasks of a dead VM were delayed by half a minute.
-    pub fn lapses(&self) -> Vec<Lapse> {
+    pub fn unresponsive_vms(&self) -> Vec<VmLapse> {
         let now = self.now.steady;
-        let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_heard(now));
-        let lapse = |vm: &Vm| Lapse { vm: vm.id.clone(), left: vm.lapsed_by.saturating_sub(now) };
+        let silent = self.vms.values().filter(|vm| !vm.runs.is_empty() && !vm.is_responsive(now));
+        let lapse =
+            |vm: &Vm| VmLapse { vm: vm.id.clone(), left: vm.runs_ended_by.saturating_sub(now) };
         silent.map(lapse).collect()
     }
 
-    fn apply_lapses(&mut self, lapses: &[Lapse]) {
+    fn apply_lapses(&mut self, lapses: &[VmLapse]) {
         let now = self.now.steady;
         for lapse in lapses {
             if let Some(vm) = self.vms.get_mut(&lapse.vm) {
-                vm.lapsed_by = vm.lapsed_by.min(now + lapse.left);
+                vm.runs_ended_by = vm.runs_ended_by.min(now + lapse.left);
             }
         }
     }
@@ -143,10 +144,12 @@
     /// since nobody has extended their leases.
     ///
     /// Without this, a task on a VM that died before its owner did was delayed for twice the time.
-    fn apply_told_lapses(&mut self, told: Vec<ToldLapse>) {
+    fn apply_reported_lapses(&mut self, reported_lapses: Vec<ReportedLapse>) {
         let silence = &self.log.silence;
-        let holds = |told: &ToldLapse| silence.mark(&told.lapse.vm) == Some(told.mark);
-        let lapses: Vec<Lapse> = told.into_iter().filter(holds).map(|told| told.lapse).collect();
+        let holds =
+            |reported: &ReportedLapse| silence.mark(&reported.lapse.vm) == Some(reported.mark);
+        let lapses: Vec<VmLapse> =
+            reported_lapses.into_iter().filter(holds).map(|reported| reported.lapse).collect();
         self.apply_lapses(&lapses);
         for lapse in lapses {
             let Some(vm) = self.vms.get(&lapse.vm) else { continue };
@@ -156,7 +159,7 @@
     }
 
     /// Numbers of jobs and runs that are not known to have ended.
-    pub fn open_work(&self) -> (usize, usize) {
+    pub fn open_job_and_run_counts(&self) -> (usize, usize) {
         (self.jobs.len(), self.vms.values().map(|vm| vm.runs.len()).sum())
     }
 
@@ -173,7 +176,7 @@
             if self.jobs.get(&id).is_some_and(|job| job.is_final()) {
                 // Stop the remaining runs and close the job record.
                 self.stop_job(id, "its job has ended");
-                self.log.touch(id);
+                self.log.mark_changed(id);
             }
         }
         // If there are two instances of a VM at one address, the address is asked which of them is
@@ -189,34 +192,39 @@
     fn recover_runs(&mut self, id: JobId) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get(&id) else { return };
-        for (task, place) in job.places() {
+        for (task, placed) in job.placed_runs() {
             let Some(step) = job.step(task) else { continue };
             let mut run = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
             run.stage = Stage::Recovered;
             let service = &job.job.service;
             let vm = self
                 .vms
-                .entry(place.vm.clone())
-                .or_insert_with(|| unlisted_vm(&place, service, now, self.inherited_until));
-            vm.runs.insert(RunKey { task, run: place.run }, run);
+                .entry(placed.vm.clone())
+                .or_insert_with(|| unlisted_vm(&placed, service, now, self.inherited_runs_until));
+            vm.runs.insert(RunKey { task, run: placed.run }, run);
         }
     }
 }
 
 /// Creates an entry for a VM that has work bound to it but is not in the list: it may be
 /// unreachable or gone.
-fn unlisted_vm(place: &Place, service: &ServiceName, now: Duration, lapsed_by: Duration) -> Vm {
+fn unlisted_vm(
+    placed: &PlacedRun,
+    service: &ServiceName,
+    now: Duration,
+    runs_ended_by: Duration,
+) -> Vm {
     let entry = VmEntry {
-        id: place.vm.clone(),
+        id: placed.vm.clone(),
         service: service.clone(),
         domain: DomainId::new(""),
         rack: RackId::new(""),
         labels: Vec::new(),
         size: Resources::ZERO,
         state: VmState::Ready,
-        addr: place.addr.clone(),
+        addr: placed.addr.clone(),
     };
-    let mut vm = Vm::new(entry, now, lapsed_by);
-    vm.announced = Announced::Missing { since: now };
+    let mut vm = Vm::new(entry, now, runs_ended_by);
+    vm.listing = Listing::Missing { since: now };
     vm
 }
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -29,14 +29,14 @@
 /// Amount from which a pair counts as heavy; lies between the two groups of measured amounts.
 const HEAVY: f64 = 0.6;
 
-/// Smallest pace change in percent for which an order is sent.
+/// Smallest pace change in percent for which a command is sent.
 const MIN_PACE_CHANGE: u8 = 8;
 
-/// Largest pace increase in percent per order, so that an own load that was estimated too low is
+/// Largest pace increase in percent per command, so that an own load that was estimated too low is
 /// noticed at the next poll before the neighbours run at full speed again.
 const MAX_PACE_INCREASE: u8 = 34;
 
-/// Time from a poll to the middle of the half second for which its orders apply.
+/// Time from a poll to the middle of the half second for which its commands apply.
 const FORECAST_HORIZON: Duration = Duration::from_millis(350);
 
 /// Load reserved for changes that the forecast misses.
@@ -76,7 +76,7 @@
         for neighbour in &mut neighbours {
             neighbour.target_pace = 1.0;
         }
-        let worst = paces::choose_paces(&mut neighbours, &served, &self.effects);
+        let worst = paces::choose_paces(&mut neighbours, &served, &self.interference);
         for neighbour in &neighbours {
             self.send_pace(id, neighbour, worst.map(|index| &served[index]));
         }
@@ -134,7 +134,7 @@
     pub(super) fn images_of(&mut self, job: &Job) -> Vec<ImageIx> {
         let queue = Image::new(job.queue.as_str());
         let images = job.steps.iter().map(|step| step.image.as_ref().unwrap_or(&queue));
-        images.map(|image| self.effects.number(image)).collect()
+        images.map(|image| self.interference.number(image)).collect()
     }
 
     fn send_pace(
@@ -164,7 +164,7 @@
         run.slowed = (percent <= SLOW_PACE).then(|| run.slowed.unwrap_or(now));
         let RunKey { task, run } = neighbour.key;
         let req = PaceReq { fence: self.fence, task, run, percent };
-        self.out.push(Action::Pace { vm: addr, req });
+        self.actions.push(Action::Pace { vm: addr, req });
         self.note(Note::TaskPaced {
             task,
             run,
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -5,7 +5,7 @@
 
 use super::Shard;
 use super::health::State;
-use super::interference::{Effects, ImageIx, chance_over};
+use super::interference::{ImageIx, InterferenceModel, chance_over};
 use super::relief::STOP_ALL_AFTER;
 use super::vm_run::{RunKey, Vm};
 use crate::ids::{RackId, ServiceName, VmId};
@@ -14,13 +14,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Expected utilization of a lasting task's reserved processors; the rest is available to leftover
-/// work. An initial estimate, corrected by what leftover work is measured to get.
-const LASTING_UTILIZATION: f64 = 0.5;
+/// Expected utilization of a long-running task's reserved processors; the rest is available to
+/// leftover work. An initial estimate, corrected by what leftover work is measured to get.
+const LONG_RUNNING_UTILIZATION: f64 = 0.5;
 
 /// Available capacity of one VM.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct VmCapacity {
     pub vm: VmId,
     /// Address of the VM as `ip:port`.
     pub addr: Arc<str>,
@@ -31,27 +31,27 @@
     pub leftover: f64,
     /// Processors that the leftover work on the VM demands, in millicores.
     pub leftover_demand: f64,
-    pub trial: Trial,
-    /// Whether the VM is held for a waiting lasting task.
-    pub held_for_lasting: bool,
-    /// Whether the shard's lasting tasks are crowded.
+    pub probation: Probation,
+    /// Whether the VM is held for a waiting long-running task.
+    pub held_for_long_running: bool,
+    /// Whether the shard's long-running tasks are crowded.
     pub is_crowded: bool,
-    /// Whether the VM is kept for a single task that is to be placed on it.
-    pub is_kept: bool,
+    /// Whether the VM is reserved for a single task that is to be placed on it.
+    pub is_reserved: bool,
     /// Whether a serving task on the VM has been over its target for long.
     pub is_overloaded: bool,
     /// Number of tasks on the VM that are suspected of crashing their VM.
-    pub suspects: usize,
-    /// Whether the VM must be vacated soon.
-    pub closes: bool,
+    pub crash_suspects: usize,
+    /// Whether the VM must be drained soon.
+    pub drains_soon: bool,
     /// Serving tasks on the VM.
     pub served: Vec<ServingTask>,
-    /// Processors reserved for lasting tasks, as a share of the VM's processors.
-    pub lasting: f64,
-    /// Number of lasting tasks on the VM.
-    pub lasting_tasks: usize,
+    /// Processors reserved for long-running tasks, as a share of the VM's processors.
+    pub long_running_share: f64,
+    /// Number of long-running tasks on the VM.
+    pub long_running_tasks: usize,
     size: f64,
-    /// Capacity that lasting tasks leave to finite ones.
+    /// Capacity that long-running tasks leave to finite ones.
     finite_capacity: Resources,
     /// Step of each task on the VM, to count tasks by step.
     steps: Vec<StepRef>,
@@ -67,7 +67,7 @@
 
 /// Whether a VM is on probation and gets one task at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trial {
+pub enum Probation {
     No,
     Yes,
 }
@@ -92,30 +92,30 @@
 
 impl Shard {
     /// Returns the room on a VM, or `None` if it accepts no work at the moment.
-    pub(super) fn room(&self, vm: &Vm) -> Option<Room> {
-        if self.vacating.has(&vm.id) {
+    pub(super) fn room(&self, vm: &Vm) -> Option<VmCapacity> {
+        if self.maintenance_drain.is_draining(&vm.id) {
             return None;
         }
-        let mut room = Room::of(vm, self.now.steady)?;
+        let mut room = VmCapacity::of(vm, self.now.steady)?;
         let now = self.now.steady;
-        room.is_kept = self.kept.has(&vm.id);
-        room.closes = self.vacating.comes(&vm.id);
+        room.is_reserved = self.reservations.is_reserved(&vm.id);
+        room.drains_soon = self.maintenance_drain.is_drain_scheduled(&vm.id);
         room.is_overloaded =
             vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
-        let mut lasting = 0.0;
+        let mut long_running_share = 0.0;
         let mut beside = Vec::new();
         for (key, run) in &vm.runs {
             let Some(step) = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task)) else {
                 continue;
             };
-            room.suspects += usize::from(self.is_suspect(key.task));
+            room.crash_suspects += usize::from(self.is_suspect(key.task));
             let image = self.image(key.task);
             if step.life == Life::Lasting {
                 room.finite_capacity = room.finite_capacity.saturating_sub(&run.reserved);
-                room.lasting_tasks += 1;
+                room.long_running_tasks += 1;
             }
             if step.life == Life::Lasting && step.share == Share::Reserved {
-                lasting += f64::from(run.milli_cores) / room.size;
+                long_running_share += f64::from(run.milli_cores) / room.size;
             }
             if step.tail_target.is_some() {
                 let load =
@@ -130,9 +130,9 @@
                 beside.push((image, f64::from(run.milli_cores) / room.size));
             }
         }
-        room.lasting = lasting;
+        room.long_running_share = long_running_share;
         for (image, share) in beside {
-            room.add_beside(image, share, &self.effects);
+            room.add_beside(image, share, &self.interference);
         }
         Some(room)
     }
@@ -141,23 +141,25 @@
 /// Load bound of a serving task that has reported nothing yet.
 const DEFAULT_LOAD_BOUND: f64 = 0.72;
 
-impl Room {
+impl VmCapacity {
     /// Returns the room on a VM as far as its own state tells, or `None` if it accepts no work at
     /// the moment.
     fn of(vm: &Vm, now: Duration) -> Option<Self> {
-        if !vm.takes_work(now) || vm.is_over() {
+        if !vm.takes_work(now) || vm.is_overcommitted() {
             return None;
         }
-        let trial = match vm.health.state(now) {
-            State::Healthy => Trial::No,
-            State::Probation if vm.runs.values().all(super::vm_run::Run::is_running) => Trial::Yes,
+        let probation = match vm.health.state(now) {
+            State::Healthy => Probation::No,
+            State::Probation if vm.runs.values().all(super::vm_run::Run::is_running) => {
+                Probation::Yes
+            }
             State::Probation | State::Quarantined { .. } => return None,
         };
         let mut used = 0.0;
         let mut leftover_demand = 0.0;
         for run in vm.runs.values() {
             match run.share {
-                Share::Reserved => used += f64::from(run.milli_cores) * LASTING_UTILIZATION,
+                Share::Reserved => used += f64::from(run.milli_cores) * LONG_RUNNING_UTILIZATION,
                 Share::Leftover => leftover_demand += f64::from(run.milli_cores),
             }
         }
@@ -168,7 +170,7 @@
             free: vm.free(),
             leftover: (room.leftover - used).max(0.0),
             leftover_demand,
-            trial,
+            probation,
             steps: vm.runs.keys().map(|key: &RunKey| key.task.of_step()).collect(),
             ..room
         })
@@ -191,16 +193,16 @@
             free: size,
             leftover: cores,
             leftover_demand: 0.0,
-            trial: Trial::No,
-            held_for_lasting: false,
+            probation: Probation::No,
+            held_for_long_running: false,
             is_crowded: false,
-            is_kept: false,
+            is_reserved: false,
             is_overloaded: false,
-            suspects: 0,
-            closes: false,
+            crash_suspects: 0,
+            drains_soon: false,
             served: Vec::new(),
-            lasting: 0.0,
-            lasting_tasks: 0,
+            long_running_share: 0.0,
+            long_running_tasks: 0,
             size: cores.max(1.0),
             finite_capacity: size,
             steps: Vec::new(),
@@ -213,7 +215,7 @@
     }
 
     /// Returns whether a task of the step will fit once all finite tasks have ended.
-    pub fn could_take(&self, step: &Step, key: StepRef) -> bool {
+    pub fn fits_without_finite(&self, step: &Step, key: StepRef) -> bool {
         step.reserved().fits_in(&self.finite_capacity) && self.is_below_vm_limit(step, key)
     }
 
@@ -227,8 +229,8 @@
         self.size
     }
 
-    /// Returns the capacity that lasting tasks leave free.
-    pub fn beside_lasting(&self) -> Resources {
+    /// Returns the capacity that long-running tasks leave free.
+    pub fn capacity_beside_long_running(&self) -> Resources {
         self.finite_capacity
     }
 
@@ -250,19 +252,25 @@
     }
 
     /// Reserves room for a task.
-    pub fn take(&mut self, step: &Step, image: ImageIx, key: StepRef, effects: &Effects) {
+    pub fn take(
+        &mut self,
+        step: &Step,
+        image: ImageIx,
+        key: StepRef,
+        interference: &InterferenceModel,
+    ) {
         self.free = self.free.saturating_sub(&step.reserved());
         if step.life == Life::Lasting {
             self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved());
-            self.lasting_tasks += 1;
+            self.long_running_tasks += 1;
         }
         let share = f64::from(step.size.milli_cores.0) / self.size;
         if step.share == Share::Leftover {
             self.leftover_demand += f64::from(step.size.milli_cores.0);
-            self.add_beside(image, share, effects);
+            self.add_beside(image, share, interference);
         }
         if step.life == Life::Lasting && step.share == Share::Reserved {
-            self.lasting += share;
+            self.long_running_share += share;
         }
         if step.tail_target.is_some() {
             let slack = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
@@ -277,10 +285,15 @@
     /// Harm is the increase in each serving task's probability of exceeding its target. A task that
     /// adds little load does little harm even next to a serving task that is at its bound or
     /// already over it. One that adds much harms several tasks that are still below theirs.
-    pub fn worth_after_harm(&self, step: &Step, image: ImageIx, effects: &Effects) -> f64 {
+    pub fn worth_after_harm(
+        &self,
+        step: &Step,
+        image: ImageIx,
+        interference: &InterferenceModel,
+    ) -> f64 {
         let share = f64::from(step.size.milli_cores.0) / self.size;
         let harm = |served: &ServingTask| {
-            let added = effects.amount(image, served.image) * share;
+            let added = interference.amount(image, served.image) * share;
             chance_over(added - served.slack) - chance_over(-served.slack)
         };
         (1.0 - HARM_COST * self.served.iter().map(harm).sum::<f64>()).max(0.0)
@@ -288,10 +301,10 @@
 
     /// Estimates the millicores that leftover work of an image can use here without harming serving
     /// tasks, if no other leftover work runs.
-    pub fn harmless(&self, image: ImageIx, effects: &Effects) -> u64 {
+    pub fn harmless_milli_cores(&self, image: ImageIx, interference: &InterferenceModel) -> u64 {
         let bound = DEFAULT_LOAD_BOUND - DEFAULT_EXPECTED_LOAD;
         let most = |served: &ServingTask| {
-            let amount = effects.amount(image, served.image);
+            let amount = interference.amount(image, served.image);
             if amount <= 0.0 { self.size } else { bound / amount * self.size }
         };
         let most = self.served.iter().map(most).fold(self.size, f64::min);
@@ -303,26 +316,30 @@
     }
 
     /// Estimates the millicores that additional leftover work of an image can use without harm.
-    pub fn harmless_free(&self, image: ImageIx, effects: &Effects) -> u64 {
+    pub fn free_harmless_milli_cores(
+        &self,
+        image: ImageIx,
+        interference: &InterferenceModel,
+    ) -> u64 {
         let most = |served: &ServingTask| {
-            let amount = effects.amount(image, served.image);
+            let amount = interference.amount(image, served.image);
             if amount <= 0.0 { self.size } else { served.slack.max(0.0) / amount * self.size }
         };
         let most = self.served.iter().map(most).fold(self.size, f64::min);
         most.min(self.leftover - self.leftover_demand).max(0.0) as u64
     }
 
-    /// Returns the share of the VM's processors left by lasting tasks once a task of the step is
-    /// added.
+    /// Returns the share of the VM's processors left by long-running tasks once a task of the step
+    /// is added.
     pub fn share_left_with(&self, step: &Step) -> f64 {
         let left = self.finite_capacity.saturating_sub(&step.reserved());
         f64::from(left.milli_cores.0) / self.size
     }
 
-    /// Returns the share of the VM's processors reserved by lasting tasks once a task of the step
-    /// is added.
-    pub fn lasting_share_with(&self, step: &Step) -> f64 {
-        self.lasting + f64::from(step.size.milli_cores.0) / self.size
+    /// Returns the share of the VM's processors reserved by long-running tasks once a task of the
+    /// step is added.
+    pub fn long_running_share_with(&self, step: &Step) -> f64 {
+        self.long_running_share + f64::from(step.size.milli_cores.0) / self.size
     }
 
     /// Counts the serving tasks with this image and with other images.
@@ -331,9 +348,9 @@
         (same, self.served.len() - same)
     }
 
-    fn add_beside(&mut self, image: ImageIx, share: f64, effects: &Effects) {
+    fn add_beside(&mut self, image: ImageIx, share: f64, interference: &InterferenceModel) {
         for served in &mut self.served {
-            served.slack -= effects.amount(image, served.image) * share;
+            served.slack -= interference.amount(image, served.image) * share;
         }
     }
 
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -9,7 +9,7 @@
 use crate::ids::VmId;
 use crate::kv::Rev;
 use crate::note::{Ms, Note};
-use crate::shard::VacateOrder;
+use crate::shard::DrainOrder;
 use crate::vm::Fence;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -92,7 +92,7 @@
     /// Vacates VMs of a shard.
     Vacate {
         shard: String,
-        order: VacateOrder,
+        order: DrainOrder,
     },
     Note(Note),
 }
@@ -140,7 +140,7 @@
     listing: bool,
     next_list: Duration,
     /// Last vacate order sent to the current owner of each shard.
-    last_orders: IndexMap<(String, Fence), VacateOrder>,
+    last_orders: IndexMap<(String, Fence), DrainOrder>,
     actions: Vec<Action>,
 }
 
@@ -261,7 +261,7 @@
     }
 
     fn tick(&mut self, shards: &[OwnShard]) {
-        let mut vacate: IndexMap<String, VacateOrder> = IndexMap::new();
+        let mut vacate: IndexMap<String, DrainOrder> = IndexMap::new();
         if self.has_open() && !shards.is_empty() {
             self.start_reads();
             let numbers: Vec<u64> = self.waves.keys().copied().collect();
@@ -296,7 +296,7 @@
         &mut self,
         number: u64,
         shards: &[OwnShard],
-        vacate: &mut IndexMap<String, VacateOrder>,
+        vacate: &mut IndexMap<String, DrainOrder>,
     ) -> DataAge {
         let now = self.now;
         let is_fresh = |at: Duration| now.saturating_sub(at) < MAX_DATA_AGE;
@@ -327,7 +327,7 @@
     fn send_vacate_orders(
         &mut self,
         shards: &[OwnShard],
-        mut vacate: IndexMap<String, VacateOrder>,
+        mut vacate: IndexMap<String, DrainOrder>,
     ) {
         self.last_orders.retain(|(name, fence), _| {
             shards.iter().any(|shard| shard.name == *name && shard.fence == *fence)
@@ -463,7 +463,7 @@
         owned: &OwnedMachines<'_>,
         record: &Record,
         now: Duration,
-        vacate: &mut IndexMap<String, VacateOrder>,
+        vacate: &mut IndexMap<String, DrainOrder>,
     ) {
         let time_left = (self.since + self.wave.within).saturating_sub(now);
         let mut open: IndexMap<&str, Vec<(&MachineId, &Machine)>> = IndexMap::new();
@@ -480,7 +480,7 @@
         for (shard, machines) in open {
             let order = vacate.entry(shard.to_owned()).or_default();
             let mut ahead = self.ahead(machines.len(), time_left);
-            order.patience = patience(machines.len(), ahead, time_left);
+            order.finish_timeout = patience(machines.len(), ahead, time_left);
             for (id, machine) in machines {
                 let Some(vm) = machine.vm.clone() else { continue };
                 let is_next = ahead > 0 && machine.state == MachineState::Up;
@@ -490,7 +490,7 @@
                     ahead -= 1;
                     order.vms.push(vm);
                 } else {
-                    order.later.push(vm);
+                    order.upcoming.push(vm);
                 }
             }
         }
