--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -134,7 +134,7 @@
         }
         let deadline = self.clock.now() + budget;
         let mut refusals = Refusals::default();
-        let mut last = not_run("no shard has an owner at the moment", RETRY_AFTER_NO_OWNER);
+        let mut last = not_run("no shard has an owner just now", RETRY_AFTER_NO_OWNER);
         loop {
             let cached = self.cached_shard(job.id).map(|shard| (shard, Urge::Always));
             let is_cached = cached.is_some();
@@ -226,7 +226,7 @@
                 }
                 Attempt::NotRun => {
                     if !self.wait_to_retry(deadline).await {
-                        let reason = "the job's shard has no owner at the moment".to_owned();
+                        let reason = "the job's shard has no owner just now".to_owned();
                         return Answer::Unknown { reason };
                     }
                 }
@@ -254,9 +254,7 @@
             Ok(Ok(Found::Nowhere)) => JobLocation::Nowhere,
             Ok(Ok(Found::Unknown(reason))) => JobLocation::Unknown(reason),
             Ok(Err(e)) => JobLocation::Unknown(e.to_string()),
-            Err(_) => JobLocation::Unknown(
-                "the store did not answer the lookup of the job's shard in time".to_owned(),
-            ),
+            Err(_) => JobLocation::Unknown("the store has not said where the job is".to_owned()),
         }
     }
 
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -223,8 +223,7 @@
         };
         self.step_shard(&msg.shard, event, cx);
         Box::pin(async move {
-            let lost =
-                || Answer::Unknown { reason: "the shard has moved to another owner".to_owned() };
+            let lost = || Answer::Unknown { reason: "the shard has changed hands".to_owned() };
             rx.await.unwrap_or_else(|_| Reply::Answer(lost()))
         })
     }
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -110,15 +110,15 @@
     ) -> Readiness {
         let not = |reason| Readiness::Not { reason };
         if self.ownership.me().stage == MemberStage::Draining {
-            return not("the daemon is stopping");
+            return not("the daemon stops");
         }
         if self.queues.is_none() {
-            return not("no configuration has been read yet");
+            return not("no configuration was read yet");
         }
         match self.confirmed.standing(now) {
             Standing::Unconfirmed => return not("the configuration isn't confirmed"),
             Standing::CutOff if !self.ownership.store_in_reach() => {
-                return not("the store is unreachable");
+                return not("the store can't be reached");
             }
             Standing::CutOff | Standing::Confirmed => {}
         }
--- a/src/jobs/status.rs
+++ b/src/jobs/status.rs
@@ -17,7 +17,7 @@
     match control.send(GetStatus).await {
         Ok(status) => HttpResponse::Ok().json(status),
         Err(e) => {
-            let message = format!("the daemon is shutting down ({e})");
+            let message = format!("the daemon stops ({e})");
             let error = ApiError::new(ErrorKind::Unreachable, message, "ask another daemon");
             HttpResponse::ServiceUnavailable().json(error)
         }
