--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -35,14 +35,14 @@
 /// A store entry that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("can't decode `{key}` ({reason}); it may be in a newer format than this release supports")]
-pub struct Unreadable {
+pub struct UnreadableEntry {
     pub key: String,
     pub reason: String,
 }
 
 /// A decoded operator entry.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Written {
+pub enum OperatorEntry {
     /// The complete configuration.
     Queues(Queues),
     Wave(Wave),
@@ -74,10 +74,10 @@
     fn machines(&self) -> Self::Machines;
 
     /// Key prefix of the VM announcements.
-    fn fleet_prefix(&self) -> &str;
+    fn vm_prefix(&self) -> &str;
 
     /// Decodes a VM announcement.
-    fn read_vm(&self, item: &Item) -> Result<VmEntry, Unreadable>;
+    fn parse_vm_entry(&self, item: &Item) -> Result<VmEntry, UnreadableEntry>;
 
     /// Key prefix of the operator entries.
     fn operator_prefix(&self) -> &str;
@@ -86,8 +86,8 @@
     fn config_key(&self) -> &str;
 
     /// Decodes an operator entry.
-    fn read_operators(&self, item: &Item) -> Result<Written, Unreadable>;
+    fn parse_operator_entry(&self, item: &Item) -> Result<OperatorEntry, UnreadableEntry>;
 
     /// Builds the store write that reports a wave's progress to operators.
-    fn wave_state(&self, wave: u64, state: WaveState) -> Put;
+    fn wave_status(&self, wave: u64, state: WaveState) -> Put;
 }
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -13,7 +13,7 @@
 use crate::cluster::StoreReach;
 use crate::jobs::control::Stored;
 use crate::jobs::records::{retry_delay, unreadable_note};
-use crate::jobs::{Platform, Unreadable};
+use crate::jobs::{Platform, UnreadableEntry};
 use crate::kv::{Change, Freshness, Item, Kv, Result, Rev, Watch};
 use crate::note::{Ms, Note};
 use crate::shard::Announcements;
@@ -143,7 +143,7 @@
         freshness: Freshness,
     ) -> Result<()> {
         let asked = ctx.store.clock().now();
-        let prefix = ctx.platform.fleet_prefix();
+        let prefix = ctx.platform.vm_prefix();
         let (items, after) = read_all(&ctx.store, prefix, freshness).await?;
         (self.requested_at, self.after) =
             ((freshness == Freshness::Latest).then_some(asked), after);
@@ -161,7 +161,7 @@
         let mut read = 0;
         loop {
             let (newest, asked) = (ctx.store.reach().newest(), ctx.store.clock().now());
-            let watch = Watch::new(ctx.platform.fleet_prefix(), self.after, WATCH_TIMEOUT);
+            let watch = Watch::new(ctx.platform.vm_prefix(), self.after, WATCH_TIMEOUT);
             let answer = ctx.store.call(|store| store.watch(&watch)).await?;
             self.after = self.after.max(answer.at);
             let changes = answer.changes.len();
@@ -186,7 +186,7 @@
     }
 
     fn apply_item<P: Platform>(&mut self, ctx: &FollowContext<P>, item: &Item) {
-        let (novelty, note) = self.apply(item, ctx.platform.read_vm(item));
+        let (novelty, note) = self.apply(item, ctx.platform.parse_vm_entry(item));
         if novelty == Novelty::New {
             self.plan_update.set(PlanUpdate::Needed);
         }
@@ -200,7 +200,7 @@
     fn apply(
         &mut self,
         item: &Item,
-        read: std::result::Result<VmEntry, Unreadable>,
+        read: std::result::Result<VmEntry, UnreadableEntry>,
     ) -> (Novelty, Option<Note>) {
         match read {
             Ok(vm) => {
--- a/src/jobs/follow/fleet/tests.rs
+++ b/src/jobs/follow/fleet/tests.rs
@@ -1,6 +1,6 @@
 use super::{Fleet, MAX_UNREADABLE, Novelty};
 use crate::ids::{DomainId, RackId, ServiceName, VmId};
-use crate::jobs::Unreadable;
+use crate::jobs::UnreadableEntry;
 use crate::kv::{Item, Rev};
 use crate::units::Resources;
 use crate::vm::{VmEntry, VmState};
@@ -24,8 +24,8 @@
     }
 }
 
-fn unreadable(key: &str) -> Unreadable {
-    Unreadable { key: key.to_owned(), reason: "not UTF-8".to_owned() }
+fn unreadable(key: &str) -> UnreadableEntry {
+    UnreadableEntry { key: key.to_owned(), reason: "not UTF-8".to_owned() }
 }
 
 // Another writer repeatedly overwrites a VM's announcement with an entry that can't be decoded.
--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -8,7 +8,7 @@
 use super::{FailureStreak, FollowContext, ReadProgress, read_all};
 use crate::jobs::control::Stored;
 use crate::jobs::records::{retry_delay, unreadable_note};
-use crate::jobs::{Platform, Written};
+use crate::jobs::{OperatorEntry, Platform};
 use crate::kv::{Change, Changes, Error, Freshness, Item, Kv, Result, Rev, Watch};
 use crate::queues::Queues;
 use std::time::Duration;
@@ -125,16 +125,16 @@
 
     fn apply<P: Platform>(&mut self, ctx: &FollowContext<P>, item: &Item) {
         let began = ctx.store.clock().now();
-        match ctx.platform.read_operators(item) {
-            Ok(Written::Queues(queues)) => {
+        match ctx.platform.parse_operator_entry(item) {
+            Ok(OperatorEntry::Queues(queues)) => {
                 let decode = ctx.store.clock().now().saturating_sub(began);
                 let bytes = item.value.len();
                 (self.config, self.config_bytes) = (ConfigState::Read, bytes);
                 let read = ReadQueues { queues, bytes, decode };
                 ctx.control.do_send(Stored::Queues(Box::new(read)));
             }
-            Ok(Written::Wave(wave)) => ctx.control.do_send(Stored::Wave(wave)),
-            Ok(Written::Other) => {}
+            Ok(OperatorEntry::Wave(wave)) => ctx.control.do_send(Stored::Wave(wave)),
+            Ok(OperatorEntry::Other) => {}
             Err(e) => {
                 if item.key == ctx.platform.config_key() {
                     self.config = ConfigState::Unreadable;
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -67,7 +67,7 @@
                 }
                 Action::Read { wave } => read_record(&store, wave).await,
                 Action::Write { wave, rev, record, state } => {
-                    let status = platform.wave_state(wave, state);
+                    let status = platform.wave_status(wave, state);
                     write_record(&store, wave, rev, record, status).await
                 }
                 // Handled by control itself.
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -7,7 +7,7 @@
 use super::claim::{self, ShardWriter};
 use super::control::Stored;
 use super::follow::{self, FollowContext, OwnershipSignal};
-use super::{Platform, Unreadable};
+use super::{Platform, UnreadableEntry};
 use crate::clock::Clock;
 use crate::cluster::{Member, Replaced, StoreReach};
 use crate::ids::DaemonId;
@@ -418,7 +418,7 @@
 }
 
 /// Log entry for a store entry that can't be decoded.
-pub fn unreadable_note(rev: u64, e: &Unreadable) -> crate::note::Note {
+pub fn unreadable_note(rev: u64, e: &UnreadableEntry) -> crate::note::Note {
     crate::note::Note::EntryUnreadable { entry: e.key.clone(), rev, reason: e.reason.clone() }
 }
 
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -15,7 +15,7 @@
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use waxwingstall::jobs::control::Stored;
 use waxwingstall::jobs::records::{Claim, Records};
-use waxwingstall::jobs::{Platform, Unreadable, Written};
+use waxwingstall::jobs::{OperatorEntry, Platform, UnreadableEntry};
 use waxwingstall::kv::{
     self, Change, Changes, Freshness, Item, Kv, LeaseId, Page, Put, Rev, Txn, Watch,
 };
@@ -208,11 +208,11 @@
         UnreachableService
     }
 
-    fn fleet_prefix(&self) -> &str {
+    fn vm_prefix(&self) -> &str {
         "vm/"
     }
 
-    fn read_vm(&self, item: &Item) -> Result<VmEntry, Unreadable> {
+    fn parse_vm_entry(&self, item: &Item) -> Result<VmEntry, UnreadableEntry> {
         let leaves = item.value.starts_with(b"leaving");
         let state = if leaves { VmState::Leaving { left: None } } else { VmState::Ready };
         Ok(VmEntry {
@@ -235,16 +235,16 @@
         "op/config"
     }
 
-    fn read_operators(&self, item: &Item) -> Result<Written, Unreadable> {
+    fn parse_operator_entry(&self, item: &Item) -> Result<OperatorEntry, UnreadableEntry> {
         let text = str::from_utf8(&item.value).unwrap_or_default();
-        let version = text
-            .trim()
-            .parse()
-            .map_err(|_| Unreadable { key: item.key.clone(), reason: "no version".to_owned() })?;
-        Ok(Written::Queues(Queues { version, ..Queues::default() }))
+        let version = text.trim().parse().map_err(|_| UnreadableEntry {
+            key: item.key.clone(),
+            reason: "no version".to_owned(),
+        })?;
+        Ok(OperatorEntry::Queues(Queues { version, ..Queues::default() }))
     }
 
-    fn wave_state(&self, wave: u64, _: WaveState) -> Put {
+    fn wave_status(&self, wave: u64, _: WaveState) -> Put {
         Put { key: format!("status/{wave}"), value: Bytes::new(), lease: None }
     }
 }
