--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -8,7 +8,7 @@
 
 use super::control::{Control, HandleCall};
 use super::links::{self, ForwardCall, Links};
-use super::records::{FindJob, Found};
+use super::records::{FindJob, JobLocation};
 use super::view::{Directory, Owner, ShardView, View};
 use crate::clock::Clock;
 use crate::job::check::{self, Fault};
@@ -200,7 +200,7 @@
         loop {
             let shard = match self.locate(id, deadline).await {
                 JobLocation::Shard(shard) => shard,
-                JobLocation::Nowhere => return Answer::NotHere,
+                JobLocation::NotFound => return Answer::NotHere,
                 JobLocation::Unknown(reason) => {
                     if self.wait_to_retry(deadline).await {
                         continue;
@@ -213,7 +213,7 @@
                     match self.find_in_store(id, deadline).await {
                         JobLocation::Shard(other) if other != shard => {}
                         // A finished job that its owner has deleted is deleted from the store, too.
-                        JobLocation::Shard(_) | JobLocation::Nowhere => return Answer::NotHere,
+                        JobLocation::Shard(_) | JobLocation::NotFound => return Answer::NotHere,
                         JobLocation::Unknown(reason) => return Answer::Unknown { reason },
                     }
                 }
@@ -247,12 +247,12 @@
         let found =
             tokio::time::timeout(self.time_left(deadline), self.finder.send(FindJob(id))).await;
         match found {
-            Ok(Ok(Found::Shard(shard))) => {
-                self.remember_shard(id, &shard);
-                JobLocation::Shard(shard)
+            Ok(Ok(location)) => {
+                if let JobLocation::Shard(shard) = &location {
+                    self.remember_shard(id, shard);
+                }
+                location
             }
-            Ok(Ok(Found::Nowhere)) => JobLocation::Nowhere,
-            Ok(Ok(Found::Unknown(reason))) => JobLocation::Unknown(reason),
             Ok(Err(e)) => JobLocation::Unknown(e.to_string()),
             Err(_) => JobLocation::Unknown("the store has not said where the job is".to_owned()),
         }
@@ -358,12 +358,6 @@
     }
 }
 
-enum JobLocation {
-    Shard(String),
-    Nowhere,
-    Unknown(String),
-}
-
 /// Resources that a job requires of a shard.
 struct Demand<'a> {
     /// Largest concurrent reservation, in thousandths of a core.
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -5,7 +5,7 @@
 use crate::job::{Job, JobId, Life, QueueName, Repeat, ShownState, Step};
 use crate::jobs::control::Control;
 use crate::jobs::links::{JobsRpc, Links};
-use crate::jobs::records::{FindJob, Found};
+use crate::jobs::records::{FindJob, JobLocation};
 use crate::jobs::view::{Directory, Owner, ShardView, View};
 use crate::journal::Journal;
 use crate::note::Weight;
@@ -34,14 +34,14 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Answers job lookups with a fixed result, or never if it is `None`.
-struct FakeStore(Option<Found>);
+struct FakeStore(Option<JobLocation>);
 
 impl Actor for FakeStore {
     type Context = Context<Self>;
 }
 
 impl Handler<FindJob> for FakeStore {
-    type Result = ResponseFuture<Found>;
+    type Result = ResponseFuture<JobLocation>;
 
     fn handle(&mut self, _: FindJob, _: &mut Self::Context) -> Self::Result {
         match self.0.clone() {
@@ -63,7 +63,7 @@
 }
 
 /// Client on a daemon that owns no shard; `owner` is the address of the shard's owner, if any.
-fn calls(found: Option<Found>, owner: Option<SocketAddr>) -> Calls {
+fn calls(found: Option<JobLocation>, owner: Option<SocketAddr>) -> Calls {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let journal = Journal::start(clock.clone(), Weight::Urgent, std::io::sink());
     let directory: Arc<Mutex<Directory>> = Arc::default();
@@ -136,7 +136,7 @@
 // Guards against the call being cut off without an answer when the daemon exits.
 #[actix::test]
 async fn an_open_call_is_answered_before_a_planned_shutdown() {
-    let calls = calls(Some(Found::Unknown("the store is unreachable".to_owned())), None);
+    let calls = calls(Some(JobLocation::Unknown("the store is unreachable".to_owned())), None);
     let (waiting, clock) = (calls.clone(), SystemClock);
     let caller = actix::spawn(async move { waiting.show(JOB, 10 * TEST_TIMEOUT).await });
     tokio::task::yield_now().await;
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -22,7 +22,7 @@
 use super::links::{ForwardPermitRequest, Links, SendLoanMessage};
 use super::machines::Upkeep;
 use super::orders::{AskHere, Order};
-use super::records::{Claim, Commit, Confirm, Forget, ReadHeads};
+use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
 use super::view::{Directory, ShardView, View};
 use crate::clock::Clock;
 use crate::cluster::ownership::OWN_PAUSE;
@@ -71,11 +71,11 @@
     pub asker: Recipient<AskHere>,
     pub upkeep: Recipient<Upkeep>,
     pub links: Addr<Links>,
-    pub claims: Recipient<Claim>,
-    pub commits: Recipient<Commit>,
-    pub forget: Recipient<Forget>,
+    pub claims: Recipient<ClaimShard>,
+    pub commits: Recipient<CommitShard>,
+    pub forget: Recipient<RemoveShard>,
     pub heads: Recipient<ReadHeads>,
-    pub confirm: Recipient<Confirm>,
+    pub confirm: Recipient<ConfirmOwnership>,
 }
 
 /// A shard owned by this daemon.
@@ -246,7 +246,7 @@
             Action::Ask(req) => self.ask_permits(shard, fence, req, cx),
             Action::Commit { seq, txn } => {
                 if let Some(rings) = &self.rings {
-                    rings.commits.do_send(Commit { shard: shard.to_string(), seq, txn });
+                    rings.commits.do_send(CommitShard { shard: shard.to_string(), seq, txn });
                 }
             }
             Action::Reply { ticket, answer } => self.reply(ticket, Reply::Answer(answer)),
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -9,7 +9,7 @@
 use crate::jobs::confirmed::Standing;
 use crate::jobs::follow::operators::ReadQueues;
 use crate::jobs::links::{OfferShard, ProbeMember};
-use crate::jobs::records::{Claim, Confirm, Confirmation, Forget, ReadHeads};
+use crate::jobs::records::{ClaimShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard};
 use crate::journal::Journal;
 use crate::note::{Ms, Note};
 use crate::shard::{Action, Announcements, Event, Recovered, Shard};
@@ -35,11 +35,11 @@
     pub(super) fn confirm_ownership(&mut self, shard: String, cx: &mut Context<Self>) {
         let Some(rings) = &self.rings else { return };
         let owner = self.ownership.me().id.clone();
-        let confirmation = rings.confirm.send(Confirm { shard: shard.clone(), owner });
+        let confirmation = rings.confirm.send(ConfirmOwnership { shard: shard.clone(), owner });
         cx.spawn(confirmation.into_actor(self).map(move |answer, this, cx| match answer {
-            Ok(Confirmation::Owned) => this.resume_shard(&shard, cx),
-            Ok(Confirmation::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
-            Ok(Confirmation::Unknown) | Err(_) => {
+            Ok(OwnershipStatus::Owned) => this.resume_shard(&shard, cx),
+            Ok(OwnershipStatus::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
+            Ok(OwnershipStatus::Unknown) | Err(_) => {
                 cx.run_later(CONFIRM_RETRY_DELAY, move |this, cx| {
                     if this.hosted.get(&shard).is_some_and(|hosted| hosted.deferred.is_some()) {
                         this.confirm_ownership(shard, cx);
@@ -108,7 +108,7 @@
             }
         }
         if let Some(rings) = &self.rings {
-            rings.forget.do_send(Forget { shard: shard.to_owned() });
+            rings.forget.do_send(RemoveShard { shard: shard.to_owned() });
         }
         let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
         self.step_ownership(dropped, cx);
@@ -139,7 +139,7 @@
         let Some(rings) = &self.rings else { return };
         match action {
             cluster::Action::Claim { shard, previous, replaces } => {
-                rings.claims.do_send(Claim { shard, previous, replaces });
+                rings.claims.do_send(ClaimShard { shard, previous, replaces });
             }
             cluster::Action::ReadHeads => rings.heads.do_send(ReadHeads),
             cluster::Action::Probe(member) => rings.links.do_send(ProbeMember(member)),
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -9,7 +9,9 @@
 use crate::jobs::links::Links;
 use crate::jobs::machines::Upkeep;
 use crate::jobs::orders::{AskHere, Order};
-use crate::jobs::records::{Claim, Commit, Confirm, Confirmation, Forget, ReadHeads};
+use crate::jobs::records::{
+    ClaimShard, CommitShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard,
+};
 use crate::jobs::view::View;
 use crate::journal::Journal;
 use crate::note::Weight;
@@ -35,11 +37,11 @@
     type Context = Context<Self>;
 }
 
-impl Handler<Confirm> for FakeActors {
-    type Result = Confirmation;
+impl Handler<ConfirmOwnership> for FakeActors {
+    type Result = OwnershipStatus;
 
-    fn handle(&mut self, _: Confirm, _: &mut Self::Context) -> Self::Result {
-        Confirmation::Lost
+    fn handle(&mut self, _: ConfirmOwnership, _: &mut Self::Context) -> Self::Result {
+        OwnershipStatus::Lost
     }
 }
 
@@ -62,7 +64,7 @@
     };
 }
 
-ignored!(Order, Upkeep, Claim, Commit, Forget, ReadHeads);
+ignored!(Order, Upkeep, ClaimShard, CommitShard, RemoveShard, ReadHeads);
 
 fn me() -> Member {
     Member {
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -222,16 +222,16 @@
 /// Claims a shard and reads its state from the store.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Claim {
+pub struct ClaimShard {
     pub shard: String,
     pub previous: Previous,
     pub replaces: Replaced,
 }
 
-impl<P: Platform> Handler<Claim> for Records<P> {
+impl<P: Platform> Handler<ClaimShard> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Claim, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: ClaimShard, cx: &mut Self::Context) {
         let (store, me, control) = (self.store.clone(), self.me.id.clone(), self.control.clone());
         self.claims += 1;
         self.update_ownership();
@@ -287,16 +287,16 @@
 /// Commits changes to a shard.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Commit {
+pub struct CommitShard {
     pub shard: String,
     pub seq: u64,
     pub txn: Txn,
 }
 
-impl<P: Platform> Handler<Commit> for Records<P> {
+impl<P: Platform> Handler<CommitShard> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Commit, _: &mut Self::Context) {
+    fn handle(&mut self, msg: CommitShard, _: &mut Self::Context) {
         if let Some(tx) = self.shards.get(&msg.shard) {
             // Control sends one commit at a time, so the queue has room. If the writer task has
             // ended, it has already reported that the shard is lost.
@@ -308,14 +308,14 @@
 /// Removes a shard that is no longer owned here.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Forget {
+pub struct RemoveShard {
     pub shard: String,
 }
 
-impl<P: Platform> Handler<Forget> for Records<P> {
+impl<P: Platform> Handler<RemoveShard> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Forget, _: &mut Self::Context) {
+    fn handle(&mut self, msg: RemoveShard, _: &mut Self::Context) {
         self.shards.shift_remove(&msg.shard);
         self.update_ownership();
     }
@@ -342,30 +342,30 @@
 /// Asks the store whether `owner` still owns a shard. Control handles a loss like a superseded
 /// commit.
 #[derive(Message)]
-#[rtype(result = "Confirmation")]
-pub struct Confirm {
+#[rtype(result = "OwnershipStatus")]
+pub struct ConfirmOwnership {
     pub shard: String,
     pub owner: DaemonId,
 }
 
-/// Answer to [`Confirm`].
+/// Answer to [`ConfirmOwnership`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, MessageResponse)]
-pub enum Confirmation {
+pub enum OwnershipStatus {
     Owned,
     Lost,
     Unknown,
 }
 
-impl<P: Platform> Handler<Confirm> for Records<P> {
-    type Result = ResponseFuture<Confirmation>;
+impl<P: Platform> Handler<ConfirmOwnership> for Records<P> {
+    type Result = ResponseFuture<OwnershipStatus>;
 
-    fn handle(&mut self, msg: Confirm, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: ConfirmOwnership, _: &mut Self::Context) -> Self::Result {
         let store = self.store.clone();
         Box::pin(async move {
             match claim::read_head(&store, &msg.shard).await {
-                Ok(Some((_, head))) if head.owner == msg.owner => Confirmation::Owned,
-                Ok(_) => Confirmation::Lost,
-                Err(_) => Confirmation::Unknown,
+                Ok(Some((_, head))) if head.owner == msg.owner => OwnershipStatus::Owned,
+                Ok(_) => OwnershipStatus::Lost,
+                Err(_) => OwnershipStatus::Unknown,
             }
         })
     }
@@ -373,20 +373,20 @@
 
 /// Asks the store which shard a job is in.
 #[derive(Message)]
-#[rtype(result = "Found")]
+#[rtype(result = "JobLocation")]
 pub struct FindJob(pub JobId);
 
 /// Answer to [`FindJob`].
 #[derive(Clone, Debug, PartialEq, Eq, MessageResponse)]
-pub enum Found {
+pub enum JobLocation {
     Shard(String),
     /// The job was never accepted, or its record was deleted.
-    Nowhere,
+    NotFound,
     Unknown(String),
 }
 
 impl<P: Platform> Handler<FindJob> for Records<P> {
-    type Result = ResponseFuture<Found>;
+    type Result = ResponseFuture<JobLocation>;
 
     fn handle(&mut self, msg: FindJob, _: &mut Self::Context) -> Self::Result {
         let store = self.store.clone();
@@ -394,11 +394,11 @@
             let key = Keys::id(msg.0);
             match store.call(|store| store.get(&key)).await {
                 Ok(Some(item)) => match String::from_utf8(item.value.to_vec()) {
-                    Ok(shard) => Found::Shard(shard),
-                    Err(e) => Found::Unknown(e.to_string()),
+                    Ok(shard) => JobLocation::Shard(shard),
+                    Err(e) => JobLocation::Unknown(e.to_string()),
                 },
-                Ok(None) => Found::Nowhere,
-                Err(e) => Found::Unknown(e.to_string()),
+                Ok(None) => JobLocation::NotFound,
+                Err(e) => JobLocation::Unknown(e.to_string()),
             }
         })
     }
--- a/tests/followers/fleet.rs
+++ b/tests/followers/fleet.rs
@@ -3,7 +3,7 @@
 use crate::harness::{Harness, LATENCY, unowned_claim};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
-use waxwingstall::jobs::records::Forget;
+use waxwingstall::jobs::records::RemoveShard;
 use waxwingstall_standin::txns::ANSWER_CHANGES;
 
 /// Maximum time from a VM's announcement until owners know of it. Nothing may be started on a VM
@@ -24,8 +24,8 @@
     harness.claim("kacyiru.0").await;
     harness.advance(30, Duration::from_millis(100)).await;
     harness.claim("kacyiru.1").await;
-    let forget = Forget { shard: "kacyiru.0".to_owned() };
-    harness.records.send(forget).await.expect("the actor is running");
+    let remove = RemoveShard { shard: "kacyiru.0".to_owned() };
+    harness.records.send(remove).await.expect("the actor is running");
     harness.advance(30, Duration::from_secs(10)).await;
     for number in 0..5 {
         harness.announce(number, "leaving");
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -14,7 +14,7 @@
 use waxwingstall::cluster::{Member, MemberStage, Replaced};
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use waxwingstall::jobs::control::Stored;
-use waxwingstall::jobs::records::{Claim, Records};
+use waxwingstall::jobs::records::{ClaimShard, Records};
 use waxwingstall::jobs::{OperatorEntry, Platform, UnreadableEntry};
 use waxwingstall::kv::{
     self, Change, Changes, Freshness, Item, Kv, LeaseId, Page, Put, Rev, Txn, Watch,
@@ -449,9 +449,9 @@
 }
 
 /// A claim of a shard that is known to have no owner.
-pub fn unowned_claim(shard: &str) -> Claim {
+pub fn unowned_claim(shard: &str) -> ClaimShard {
     let (previous, replaces) = (Previous::Ended, Replaced::default());
-    Claim { shard: shard.to_owned(), previous, replaces }
+    ClaimShard { shard: shard.to_owned(), previous, replaces }
 }
 
 fn member(name: &str) -> Member {
