--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorEntry {
     /// The complete configuration.
-    Queues(Queues),
+    Config(Queues),
     Wave(Wave),
     /// A kind of entry that this release does not know.
     Other,
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -13,8 +13,8 @@
 pub use status::GetStatus;
 
 pub use messages::{
-    Connect, ConnectionRefused, Drain, GiveUp, HandleCall, HandleLoanMessage, HandleOffer,
-    HelloReceived, OwnsAny, Stored, Told, Upkept,
+    Connect, ConnectionRefused, Drain, ExternalCallResult, HandleCall, HandleLoanMessage,
+    HandleOffer, HasShards, HelloReceived, MaintenanceResult, ReleaseShards, StoreEvent,
 };
 
 use super::calls::Reply;
@@ -55,7 +55,7 @@
 /// Interval at which the view of the shards and their owners is published.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which upkeep waves are advanced.
+/// Interval at which maintenance waves are advanced.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval at which the local shards are summarized and informed about the other shards. Each of
@@ -293,7 +293,7 @@
             let ended = |e: MailboxError| permit::Error::NotSent { reason: e.to_string() };
             let result = answer.map_err(ended).flatten();
             let event = Event::Permitted { step, vms, sent, result };
-            cx.notify(Told { shard, fence, event });
+            cx.notify(ExternalCallResult { shard, fence, event });
         }));
     }
 
@@ -353,7 +353,7 @@
         self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
     }
 
-    /// Passes an event to the upkeep state machine and executes the resulting actions.
+    /// Passes an event to the maintenance state machine and executes the resulting actions.
     fn step_upkeep(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
         let now = self.clock.now();
         for action in self.upkeep.step(now, event) {
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -30,21 +30,21 @@
     }
 }
 
-/// The answer to an order.
+/// Result of a call to a VM or the permit service.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Told {
+pub struct ExternalCallResult {
     pub shard: Arc<str>,
     pub fence: Fence,
     pub event: Event,
 }
 
-impl Handler<Told> for Control {
+impl Handler<ExternalCallResult> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: Told, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: ExternalCallResult, cx: &mut Self::Context) {
         self.begin_handler(cx);
-        // Answers to orders from an earlier ownership of the shard are stale.
+        // Results of calls made under an earlier ownership of the shard are stale.
         if self.hosted.get(&*msg.shard).is_some_and(|hosted| hosted.shard.fence() == msg.fence) {
             self.step_shard(&msg.shard, msg.event, cx);
         }
@@ -54,7 +54,7 @@
 /// Data read from the store, or the result of a store operation.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub enum Stored {
+pub enum StoreEvent {
     Members(Vec<Member>),
     Heads(Vec<(String, Head)>),
     Plan(Plan),
@@ -76,14 +76,14 @@
         announcements: Announcements,
         at: Option<Duration>,
     },
-    Queues(Box<ReadQueues>),
+    Config(Box<ReadQueues>),
     Wave(Wave),
     /// At that time the configuration in force was the newest one.
     ConfigConfirmed {
         at: Duration,
     },
     /// The configuration couldn't be read.
-    ConfigUnread {
+    ConfigReadFailed {
         reason: String,
     },
     Reach {
@@ -94,28 +94,28 @@
     Note(Note),
 }
 
-impl Handler<Stored> for Control {
+impl Handler<StoreEvent> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: Stored, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: StoreEvent, cx: &mut Self::Context) {
         self.begin_handler(cx);
         match msg {
-            Stored::Members(members) => {
+            StoreEvent::Members(members) => {
                 self.step_ownership(cluster::Event::Registered(members), cx)
             }
-            Stored::Heads(heads) => self.step_ownership(cluster::Event::Heads(heads), cx),
-            Stored::Plan(plan) => {
+            StoreEvent::Heads(heads) => self.step_ownership(cluster::Event::Heads(heads), cx),
+            StoreEvent::Plan(plan) => {
                 if plan != self.plan {
                     self.plan = plan.clone();
                     self.step_upkeep(upkeep::duty::Event::Plan(plan.clone()), cx);
                     self.step_ownership(cluster::Event::Plan(plan), cx);
                 }
             }
-            Stored::Claimed(recovered) => self.start_shard(*recovered, cx),
-            Stored::ClaimFailed { shard, head, reason } => {
+            StoreEvent::Claimed(recovered) => self.start_shard(*recovered, cx),
+            StoreEvent::ClaimFailed { shard, head, reason } => {
                 self.step_ownership(cluster::Event::ClaimFailed { shard, head, reason }, cx);
             }
-            Stored::Committed { shard, fence, seq, result } => {
+            StoreEvent::Committed { shard, fence, seq, result } => {
                 if self.hosted.get(&shard).is_some_and(|hosted| hosted.shard.fence() == fence) {
                     let lost = matches!(result, CommitResult::Superseded(_));
                     self.step_shard(&shard, Event::Committed { seq, result }, cx);
@@ -124,31 +124,31 @@
                     }
                 }
             }
-            Stored::Fleet { vms, announcements, at } => {
+            StoreEvent::Fleet { vms, announcements, at } => {
                 self.update_fleet(vms, announcements, at, cx);
             }
-            Stored::Queues(queues) => self.apply_config(*queues, cx),
-            Stored::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
-            Stored::ConfigConfirmed { at } => self.confirm_config(at),
-            Stored::ConfigUnread { reason } => self.config_error = Some(reason),
-            Stored::Reach { reach, silent, reason } => {
+            StoreEvent::Config(queues) => self.apply_config(*queues, cx),
+            StoreEvent::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
+            StoreEvent::ConfigConfirmed { at } => self.confirm_config(at),
+            StoreEvent::ConfigReadFailed { reason } => self.config_error = Some(reason),
+            StoreEvent::Reach { reach, silent, reason } => {
                 self.update_store_reach(reach, silent, reason);
                 self.step_ownership(cluster::Event::Store(reach), cx);
             }
-            Stored::Note(note) => self.journal.write(note),
+            StoreEvent::Note(note) => self.journal.write(note),
         }
     }
 }
 
-/// Result of an action for an upkeep wave.
+/// Result of an action for a maintenance wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Upkept(pub upkeep::duty::Event);
+pub struct MaintenanceResult(pub upkeep::duty::Event);
 
-impl Handler<Upkept> for Control {
+impl Handler<MaintenanceResult> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: Upkept, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: MaintenanceResult, cx: &mut Self::Context) {
         self.begin_handler(cx);
         self.step_upkeep(msg.0, cx);
     }
@@ -292,12 +292,12 @@
 /// Releases all shards at once because the daemon is about to exit.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct GiveUp;
+pub struct ReleaseShards;
 
-impl Handler<GiveUp> for Control {
+impl Handler<ReleaseShards> for Control {
     type Result = ();
 
-    fn handle(&mut self, _: GiveUp, cx: &mut Self::Context) {
+    fn handle(&mut self, _: ReleaseShards, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
         self.step_ownership(cluster::Event::GiveUp, cx);
         self.ownership.greet_all();
@@ -308,12 +308,12 @@
 /// Returns whether this daemon still owns any shard.
 #[derive(Message)]
 #[rtype(result = "bool")]
-pub struct OwnsAny;
+pub struct HasShards;
 
-impl Handler<OwnsAny> for Control {
+impl Handler<HasShards> for Control {
     type Result = bool;
 
-    fn handle(&mut self, _: OwnsAny, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: HasShards, _: &mut Self::Context) -> Self::Result {
         !self.hosted.is_empty()
     }
 }
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,4 +1,4 @@
-use super::{Connect, Control, HandleCall, HelloReceived, OwnsAny, Rings, Stored};
+use super::{Connect, Control, HandleCall, HasShards, HelloReceived, Rings, StoreEvent};
 use crate::clock::{Clock, ManualClock};
 use crate::cluster::ownership::OWN_PAUSE;
 use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
@@ -107,8 +107,8 @@
     control
 }
 
-fn claimed() -> Stored {
-    Stored::Claimed(Box::new(Recovered {
+fn claimed() -> StoreEvent {
+    StoreEvent::Claimed(Box::new(Recovered {
         shard: SHARD.to_owned(),
         fence: Fence(7),
         seq: 0,
@@ -173,7 +173,7 @@
 const VM: &str = "i-1";
 
 /// A claimed shard with a task on a VM that the store lists as silent.
-fn claimed_with_silent_vm() -> Stored {
+fn claimed_with_silent_vm() -> StoreEvent {
     let size = Resources::new(1000, 1000, 0);
     let step = Step {
         resume: Resume::FromCheckpoint,
@@ -201,11 +201,11 @@
         open: vec![OccurrenceProgress { number: 0, steps: vec![vec![task]] }],
         crashes: Vec::new(),
     };
-    let Stored::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
+    let StoreEvent::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
     recovered.silent = vec![SilentVm { vm: VmId::new(VM), mark: Mark(3) }];
     recovered.progress = vec![(job.id, progress)];
     recovered.jobs = vec![Arc::new(job)];
-    Stored::Claimed(recovered)
+    StoreEvent::Claimed(recovered)
 }
 
 /// Hello in which an earlier owner reports the silent VM.
@@ -236,7 +236,7 @@
     clock.advance(2 * OWN_PAUSE);
     control.send(HandleCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
     assert!(
-        !control.send(OwnsAny).await.expect("a control"),
+        !control.send(HasShards).await.expect("a control"),
         "the shard is dropped after the store reports another owner"
     );
     control.send(claimed_with_silent_vm()).await.expect("a control");
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -1,7 +1,7 @@
 //! Starts the daemon's actors on their threads, and stops them.
 
 use super::calls::Calls;
-use super::control::{ACTIONS, Connect, Control, Drain, GiveUp, OwnsAny, Rings};
+use super::control::{ACTIONS, Connect, Control, Drain, HasShards, ReleaseShards, Rings};
 use super::links::{self, Links};
 use super::machines::Machines;
 use super::orders::{AskHere, Orders};
@@ -153,7 +153,7 @@
 
     /// Starts a planned stop, and waits up to `limit` until every shard is handed over.
     pub async fn drain(&self, limit: Duration) {
-        let shards = usize::from(self.control.send(OwnsAny).await.unwrap_or(false));
+        let shards = usize::from(self.control.send(HasShards).await.unwrap_or(false));
         self.journal.write(Note::DaemonStopping { daemon: self.id.clone(), shards });
         self.control.do_send(Drain);
         self.wait_until_no_shards(limit).await;
@@ -162,14 +162,14 @@
     /// Releases the shards that no other daemon has taken, and waits up to `limit` until that is
     /// done.
     pub async fn release_shards(&self, limit: Duration) {
-        self.control.do_send(GiveUp);
+        self.control.do_send(ReleaseShards);
         self.wait_until_no_shards(limit).await;
     }
 
     async fn wait_until_no_shards(&self, limit: Duration) {
         let until = self.clock.now() + limit;
         while self.clock.now() < until {
-            if !self.control.send(OwnsAny).await.unwrap_or(false) {
+            if !self.control.send(HasShards).await.unwrap_or(false) {
                 return;
             }
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -4,7 +4,7 @@
 pub mod operators;
 
 use super::Platform;
-use super::control::Stored;
+use super::control::StoreEvent;
 use super::records::{MonitoredStore, retry_delay};
 use crate::cluster::plan::PLAN_KEY;
 use crate::cluster::{Member, Plan};
@@ -31,7 +31,7 @@
 pub struct FollowContext<P: Platform> {
     pub platform: P,
     pub store: MonitoredStore<P::Store>,
-    pub control: Recipient<Stored>,
+    pub control: Recipient<StoreEvent>,
     /// Whether this daemon owns or is claiming a shard.
     pub ownership: Rc<OwnershipSignal>,
 }
@@ -83,7 +83,7 @@
 impl<P: Platform> FollowContext<P> {
     fn report_failure(&self, failures: &mut FailureStreak, e: &Error) {
         if let Some(note) = failures.record_failure(self.store.clock().now(), e) {
-            self.control.do_send(Stored::Note(note));
+            self.control.do_send(StoreEvent::Note(note));
         }
     }
 }
@@ -103,12 +103,12 @@
             Some(Err(e)) => {
                 let (entry, reason) = (PLAN_KEY.to_owned(), e.to_string());
                 let note = Note::EntryUnreadable { entry, rev: rev.0, reason };
-                ctx.control.do_send(Stored::Note(note));
+                ctx.control.do_send(StoreEvent::Note(note));
                 return Ok(());
             }
         };
         let Some(extended) = plan.extended(&vms) else {
-            ctx.control.do_send(Stored::Plan(plan));
+            ctx.control.do_send(StoreEvent::Plan(plan));
             return Ok(());
         };
         let txn = Txn {
@@ -160,7 +160,7 @@
     loop {
         let (items, _) = read_all(store, MEMBER_PREFIX, Freshness::Stale).await?;
         let members = items.iter().filter_map(|item| decode::<Member>(&item.value).ok()).collect();
-        ctx.control.do_send(Stored::Members(members));
+        ctx.control.do_send(StoreEvent::Members(members));
         failures.record_success(store.clock().now());
         tokio::time::sleep(MEMBER_POLL_INTERVAL).await;
         store.call(|store| store.keep(lease_id)).await?;
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -11,7 +11,7 @@
 
 use super::{FailureStreak, FollowContext, ReadProgress, extend_plan, read_all};
 use crate::cluster::StoreReach;
-use crate::jobs::control::Stored;
+use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
 use crate::jobs::{Platform, UnreadableEntry};
 use crate::kv::{Change, Freshness, Item, Kv, Result, Rev, Watch};
@@ -191,7 +191,7 @@
             self.plan_update.set(PlanUpdate::Needed);
         }
         if let Some(note) = note {
-            ctx.control.do_send(Stored::Note(note));
+            ctx.control.do_send(StoreEvent::Note(note));
         }
     }
 
@@ -242,7 +242,7 @@
                 Err(e) => {
                     plan_update.set(PlanUpdate::Needed);
                     let reason = e.to_string();
-                    ctx.control.do_send(Stored::Note(Note::PlanUnread { reason }));
+                    ctx.control.do_send(StoreEvent::Note(Note::PlanUnread { reason }));
                 }
             }
         });
@@ -264,12 +264,12 @@
     fn publish_fleet(&self, fleet: &Fleet) {
         let announcements = self.announcements();
         let vms = fleet.vms.values().cloned().collect();
-        self.control.do_send(Stored::Fleet { vms, announcements, at: fleet.requested_at });
+        self.control.do_send(StoreEvent::Fleet { vms, announcements, at: fleet.requested_at });
     }
 
     fn publish_unread(&self) {
         let announcements = Announcements::Unread;
-        self.control.do_send(Stored::Fleet { vms: Vec::new(), announcements, at: None });
+        self.control.do_send(StoreEvent::Fleet { vms: Vec::new(), announcements, at: None });
     }
 
     fn report_lag(&self, fleet: &Fleet, changes: usize, newest: Rev) {
@@ -277,6 +277,6 @@
             Ms(self.store.clock().now().saturating_sub(fleet.requested_at.unwrap_or_default()));
         let (read_rev, newest_rev) = (fleet.after.0, newest.0);
         let note = Note::FleetBehind { changes, read_rev, newest_rev, age_ms };
-        self.control.do_send(Stored::Note(note));
+        self.control.do_send(StoreEvent::Note(note));
     }
 }
--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -6,7 +6,7 @@
 //! only the newest version.
 
 use super::{FailureStreak, FollowContext, ReadProgress, read_all};
-use crate::jobs::control::Stored;
+use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
 use crate::jobs::{OperatorEntry, Platform};
 use crate::kv::{Change, Changes, Error, Freshness, Item, Kv, Result, Rev, Watch};
@@ -39,7 +39,7 @@
     loop {
         if let Err(e) = follow_entries(&ctx, &mut failures).await {
             ctx.report_failure(&mut failures, &e);
-            ctx.control.do_send(Stored::ConfigUnread { reason: e.to_string() });
+            ctx.control.do_send(StoreEvent::ConfigReadFailed { reason: e.to_string() });
             tokio::time::sleep(retry_delay(&e)).await;
         }
     }
@@ -126,28 +126,28 @@
     fn apply<P: Platform>(&mut self, ctx: &FollowContext<P>, item: &Item) {
         let began = ctx.store.clock().now();
         match ctx.platform.parse_operator_entry(item) {
-            Ok(OperatorEntry::Queues(queues)) => {
+            Ok(OperatorEntry::Config(queues)) => {
                 let decode = ctx.store.clock().now().saturating_sub(began);
                 let bytes = item.value.len();
                 (self.config, self.config_bytes) = (ConfigState::Read, bytes);
                 let read = ReadQueues { queues, bytes, decode };
-                ctx.control.do_send(Stored::Queues(Box::new(read)));
+                ctx.control.do_send(StoreEvent::Config(Box::new(read)));
             }
-            Ok(OperatorEntry::Wave(wave)) => ctx.control.do_send(Stored::Wave(wave)),
+            Ok(OperatorEntry::Wave(wave)) => ctx.control.do_send(StoreEvent::Wave(wave)),
             Ok(OperatorEntry::Other) => {}
             Err(e) => {
                 if item.key == ctx.platform.config_key() {
                     self.config = ConfigState::Unreadable;
-                    ctx.control.do_send(Stored::ConfigUnread { reason: e.to_string() });
+                    ctx.control.do_send(StoreEvent::ConfigReadFailed { reason: e.to_string() });
                 }
-                ctx.control.do_send(Stored::Note(unreadable_note(item.rev.0, &e)));
+                ctx.control.do_send(StoreEvent::Note(unreadable_note(item.rev.0, &e)));
             }
         }
     }
 
     fn confirm<P: Platform>(&self, ctx: &FollowContext<P>, at: Duration) {
         if self.config == ConfigState::Read {
-            ctx.control.do_send(Stored::ConfigConfirmed { at });
+            ctx.control.do_send(StoreEvent::ConfigConfirmed { at });
         }
     }
 }
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -5,7 +5,7 @@
 //! sent back to it.
 
 use super::Platform;
-use super::control::{Control, Upkept};
+use super::control::{Control, MaintenanceResult};
 use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
@@ -73,7 +73,7 @@
                 // Handled by control itself.
                 Action::Vacate { .. } | Action::Note(_) => return,
             };
-            control.do_send(Upkept(event));
+            control.do_send(MaintenanceResult(event));
         });
     }
 }
--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -4,7 +4,7 @@
 //! start. The result of each call, or what is known if there is none, is sent back to control.
 
 use super::Platform;
-use super::control::{Control, Told};
+use super::control::{Control, ExternalCallResult};
 use crate::clock::Clock;
 use crate::permit::{self, PermitPort, PermitReq, PermitResp};
 use crate::ring::RING_CAPACITY;
@@ -52,7 +52,11 @@
         let (vms, control, clock) = (self.vms.clone(), self.control.clone(), self.clock.clone());
         actix::spawn(async move {
             if let Some(event) = call_vm(&vms, order.action, &*clock).await {
-                control.do_send(Told { shard: order.shard, fence: order.fence, event });
+                control.do_send(ExternalCallResult {
+                    shard: order.shard,
+                    fence: order.fence,
+                    event,
+                });
             }
         });
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -5,7 +5,7 @@
 //! head that it replaces, so it takes effect at most once, however often and late it arrives.
 
 use super::claim::{self, ShardWriter};
-use super::control::Stored;
+use super::control::StoreEvent;
 use super::follow::{self, FollowContext, OwnershipSignal};
 use super::{Platform, UnreadableEntry};
 use crate::clock::Clock;
@@ -135,7 +135,7 @@
     me: Member,
     platform: P,
     store: MonitoredStore<P::Store>,
-    control: Recipient<Stored>,
+    control: Recipient<StoreEvent>,
     shards: IndexMap<String, mpsc::Sender<CommitRequest>>,
     /// Claims in progress.
     claims: u32,
@@ -156,7 +156,7 @@
         me: Member,
         platform: P,
         lease_ttl: Duration,
-        control: Recipient<Stored>,
+        control: Recipient<StoreEvent>,
         clock: Arc<dyn Clock>,
     ) -> Self {
         let store = MonitoredStore::new(platform.store(), clock);
@@ -179,7 +179,7 @@
         if reach != self.reported_reach {
             self.reported_reach = reach;
             let (silent, reason) = (self.store.reach.silent(now), self.store.reach.reason());
-            self.control.do_send(Stored::Reach { reach, silent, reason });
+            self.control.do_send(StoreEvent::Reach { reach, silent, reason });
         }
     }
 
@@ -242,12 +242,12 @@
             match claimed {
                 Ok((writer, recovered)) => {
                     this.start_writer(&msg.shard, writer);
-                    control.do_send(Stored::Claimed(Box::new(recovered)));
+                    control.do_send(StoreEvent::Claimed(Box::new(recovered)));
                     this.ownership.claimed.notify_one();
                 }
                 Err(failed) => {
                     let (shard, head) = (msg.shard, failed.head);
-                    control.do_send(Stored::ClaimFailed { shard, head, reason: failed.reason });
+                    control.do_send(StoreEvent::ClaimFailed { shard, head, reason: failed.reason });
                 }
             }
             this.update_ownership();
@@ -267,7 +267,7 @@
 /// Writes a shard's commits in sequence, until the shard is lost.
 async fn write_commits<S: Kv>(
     store: MonitoredStore<S>,
-    control: Recipient<Stored>,
+    control: Recipient<StoreEvent>,
     shard: String,
     mut writer: ShardWriter,
     mut rx: mpsc::Receiver<CommitRequest>,
@@ -277,7 +277,7 @@
         let result = writer.commit(&store, request.seq, request.txn).await;
         let lost = matches!(result, crate::shard::CommitResult::Superseded(_));
         let (shard, seq) = (shard.clone(), request.seq);
-        control.do_send(Stored::Committed { shard, fence, seq, result });
+        control.do_send(StoreEvent::Committed { shard, fence, seq, result });
         if lost {
             return;
         }
@@ -333,7 +333,7 @@
         let (store, control) = (self.store.clone(), self.control.clone());
         actix::spawn(async move {
             if let Ok(heads) = claim::read_heads(&store).await {
-                control.do_send(Stored::Heads(heads));
+                control.do_send(StoreEvent::Heads(heads));
             }
         });
     }
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -13,7 +13,7 @@
 use waxwingstall::cluster::plan::PLAN_KEY;
 use waxwingstall::cluster::{Member, MemberStage, Replaced};
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
-use waxwingstall::jobs::control::Stored;
+use waxwingstall::jobs::control::StoreEvent;
 use waxwingstall::jobs::records::{ClaimShard, Records};
 use waxwingstall::jobs::{OperatorEntry, Platform, UnreadableEntry};
 use waxwingstall::kv::{
@@ -241,7 +241,7 @@
             key: item.key.clone(),
             reason: "no version".to_owned(),
         })?;
-        Ok(OperatorEntry::Queues(Queues { version, ..Queues::default() }))
+        Ok(OperatorEntry::Config(Queues { version, ..Queues::default() }))
     }
 
     fn wave_status(&self, wave: u64, _: WaveState) -> Put {
@@ -292,23 +292,23 @@
     }
 }
 
-impl Handler<Stored> for FakeControl {
+impl Handler<StoreEvent> for FakeControl {
     type Result = ();
 
-    fn handle(&mut self, msg: Stored, _: &mut Self::Context) {
+    fn handle(&mut self, msg: StoreEvent, _: &mut Self::Context) {
         match &msg {
-            Stored::Claimed(_) => self.claims.borrow_mut().push((self.name, true)),
-            Stored::ClaimFailed { .. } => self.claims.borrow_mut().push((self.name, false)),
-            Stored::Queues(read) => {
+            StoreEvent::Claimed(_) => self.claims.borrow_mut().push((self.name, true)),
+            StoreEvent::ClaimFailed { .. } => self.claims.borrow_mut().push((self.name, false)),
+            StoreEvent::Config(read) => {
                 let version = read.queues.version;
                 self.config.set(ConfigUpdate { version, ..self.config.get() });
             }
-            Stored::ConfigConfirmed { at } => {
+            StoreEvent::ConfigConfirmed { at } => {
                 self.config.set(ConfigUpdate { confirmed: *at, ..self.config.get() });
             }
             _ => {}
         }
-        let Stored::Fleet { vms, announcements, at: asked } = msg else { return };
+        let StoreEvent::Fleet { vms, announcements, at: asked } = msg else { return };
         if announcements == Announcements::Unread {
             return;
         }
