--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -6,7 +6,7 @@
 //! | `control` | makes all decisions: shards and their ownership | new calls are refused as not run; responses from other components wait |
 //! | `machines` | lists machines, orders their maintenance, stores the records of maintenance waves | the wave waits |
 //! | `records` | reads and writes the store | commits wait in control |
-//! | `orders` | calls the VMs and the permit service | orders wait in control |
+//! | `orders` | calls the VMs and the permit service | VM calls wait in control |
 //! | `links` | exchanges messages with other daemons | messages are dropped; the senders repeat them |
 //!
 //! The platform's own interfaces are behind [`Platform`].
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -1,7 +1,7 @@
 //! Actor that runs the shards owned by this daemon and tracks the owners of the others.
 //!
 //! Its handlers never block. After a pause of the process, such as a suspension of the machine, it
-//! confirms in the store that it still owns its shards before it gives any order.
+//! confirms in the store that it still owns its shards before it makes any further call to a VM.
 
 mod messages;
 mod publish;
@@ -20,8 +20,8 @@
 use super::calls::Reply;
 use super::confirmed::Confirmed;
 use super::links::{ForwardPermitRequest, Links, SendLoanMessage};
-use super::machines::Upkeep;
-use super::orders::{AskHere, Order};
+use super::machines::MaintenanceAction;
+use super::orders::{RequestPermits, VmCall};
 use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
 use super::view::{Directory, ShardView, View};
 use crate::clock::Clock;
@@ -49,7 +49,7 @@
 use tokio::sync::{oneshot, watch};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Interval of timer events. Orders that wait for one are late by half of it on average.
+/// Interval of timer events. VM calls that wait for one are late by half of it on average.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval at which the view of the shards and their owners is published.
@@ -67,9 +67,9 @@
 
 /// Connections to the other actors.
 pub struct Rings {
-    pub orders: Ring<Order>,
-    pub asker: Recipient<AskHere>,
-    pub upkeep: Recipient<Upkeep>,
+    pub orders: Ring<VmCall>,
+    pub asker: Recipient<RequestPermits>,
+    pub upkeep: Recipient<MaintenanceAction>,
     pub links: Addr<Links>,
     pub claims: Recipient<ClaimShard>,
     pub commits: Recipient<CommitShard>,
@@ -240,10 +240,10 @@
             | Action::Stop { .. }
             | Action::Pace { .. } => {
                 let Some(rings) = &mut self.rings else { return };
-                // The push fails only if the orders actor has ended; no order is answered then.
-                let _ = rings.orders.push(Order { shard: shard.clone(), fence, action });
+                // The push fails only if the actor that makes the calls has ended; no call is answered then.
+                let _ = rings.orders.push(VmCall { shard: shard.clone(), fence, action });
             }
-            Action::Ask(req) => self.ask_permits(shard, fence, req, cx),
+            Action::Ask(req) => self.request_permits(shard, fence, req, cx),
             Action::Commit { seq, txn } => {
                 if let Some(rings) = &self.rings {
                     rings.commits.do_send(CommitShard { shard: shard.to_string(), seq, txn });
@@ -261,7 +261,7 @@
     }
 
     /// Asks the permit service, through the daemon with the fewest open requests of this one.
-    fn ask_permits(
+    fn request_permits(
         &mut self,
         shard: &Arc<str>,
         fence: Fence,
@@ -283,7 +283,7 @@
         let (sent, step, vms) = (self.last_wake, req.step, req.vms.clone());
         let answer: Pin<Box<dyn Future<Output = _>>> = match through {
             Some(to) => Box::pin(rings.links.send(ForwardPermitRequest { to, req })),
-            None => Box::pin(rings.asker.send(AskHere(req))),
+            None => Box::pin(rings.asker.send(RequestPermits(req))),
         };
         let shard = shard.clone();
         cx.spawn(answer.into_actor(self).map(move |answer, this, cx| {
@@ -364,7 +364,7 @@
                 }
                 other => {
                     if let Some(rings) = &self.rings {
-                        rings.upkeep.do_send(Upkeep(other));
+                        rings.upkeep.do_send(MaintenanceAction(other));
                     }
                 }
             }
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -7,8 +7,8 @@
 use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
 use crate::jobs::calls::{Call, Reply};
 use crate::jobs::links::Links;
-use crate::jobs::machines::Upkeep;
-use crate::jobs::orders::{AskHere, Order};
+use crate::jobs::machines::MaintenanceAction;
+use crate::jobs::orders::{RequestPermits, VmCall};
 use crate::jobs::records::{
     ClaimShard, CommitShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard,
 };
@@ -45,10 +45,10 @@
     }
 }
 
-impl Handler<AskHere> for FakeActors {
+impl Handler<RequestPermits> for FakeActors {
     type Result = permit::Result<PermitResp>;
 
-    fn handle(&mut self, _: AskHere, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: RequestPermits, _: &mut Self::Context) -> Self::Result {
         Err(permit::Error::NotSent { reason: "no service".to_owned() })
     }
 }
@@ -64,7 +64,7 @@
     };
 }
 
-ignored!(Order, Upkeep, ClaimShard, CommitShard, RemoveShard, ReadHeads);
+ignored!(VmCall, MaintenanceAction, ClaimShard, CommitShard, RemoveShard, ReadHeads);
 
 fn me() -> Member {
     Member {
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -4,7 +4,7 @@
 use super::control::{ACTIONS, Connect, Control, Drain, HasShards, ReleaseShards, Rings};
 use super::links::{self, Links};
 use super::machines::Machines;
-use super::orders::{AskHere, Orders};
+use super::orders::{ExternalCalls, RequestPermits};
 use super::records::{Records, Shutdown};
 use super::settings::Settings;
 use super::view::{Directory, View};
@@ -102,8 +102,8 @@
         };
         let orders = {
             let (control, clock) = (control.clone(), clock.clone());
-            Orders::start_in_arbiter(&arbiters[2].handle(), move |_| {
-                Orders::new(&platform, control, clock)
+            ExternalCalls::start_in_arbiter(&arbiters[2].handle(), move |_| {
+                ExternalCalls::new(&platform, control, clock)
             })
         };
         let asker = orders.clone().recipient();
@@ -194,7 +194,7 @@
     arbiter: &Arbiter,
     listener: TcpListener,
     control: &Addr<Control>,
-    asker: Recipient<AskHere>,
+    asker: Recipient<RequestPermits>,
 ) -> Result<Addr<Links>> {
     let links = {
         let control = control.clone();
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -11,7 +11,7 @@
 use super::control::{
     ConnectionRefused, Control, HandleCall, HandleLoanMessage, HandleOffer, HelloReceived,
 };
-use super::orders::AskHere;
+use super::orders::RequestPermits;
 use crate::cluster::{Hello, Member};
 use crate::ids::DaemonId;
 use crate::permit::{self, PermitReq, PermitResp};
@@ -128,7 +128,7 @@
     listener: TcpListener,
     links: Addr<Links>,
     control: Addr<Control>,
-    asker: Recipient<AskHere>,
+    asker: Recipient<RequestPermits>,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -153,7 +153,7 @@
 struct Server {
     links: Addr<Links>,
     control: Addr<Control>,
-    asker: Recipient<AskHere>,
+    asker: Recipient<RequestPermits>,
 }
 
 impl JobsRpc for Server {
@@ -175,7 +175,7 @@
 
     async fn ask(self, _: CallContext, req: PermitReq) -> permit::Result<PermitResp> {
         let ended = |e: MailboxError| permit::Error::NotSent { reason: e.to_string() };
-        self.asker.send(AskHere(req)).await.map_err(ended)?
+        self.asker.send(RequestPermits(req)).await.map_err(ended)?
     }
 
     async fn take(self, _: CallContext, shard: String, from: DaemonId, lapses: Vec<Lapse>) {
@@ -307,7 +307,7 @@
         let peer = self.peer(&msg.to.addr);
         Box::pin(async move {
             let no_answer = |e: Error| permit::Error::NoAnswer { reason: e.to_string() };
-            peer.ask_permits(msg.req).await.map_err(no_answer)?
+            peer.request_permits(msg.req).await.map_err(no_answer)?
         })
     }
 }
@@ -365,7 +365,7 @@
         self.request(timeout, |client, cx| async move { client.call(cx, shard, call).await }).await
     }
 
-    async fn ask_permits(&self, req: PermitReq) -> Result<permit::Result<PermitResp>> {
+    async fn request_permits(&self, req: PermitReq) -> Result<permit::Result<PermitResp>> {
         let timeout = req.timeout + HELLO_TIMEOUT;
         self.request(timeout, |client, cx| async move { client.ask(cx, req).await }).await
     }
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -46,12 +46,12 @@
 /// Carries out an action for a maintenance wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Upkeep(pub Action);
+pub struct MaintenanceAction(pub Action);
 
-impl<P: Platform> Handler<Upkeep> for Machines<P> {
+impl<P: Platform> Handler<MaintenanceAction> for Machines<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Upkeep, _: &mut Self::Context) {
+    fn handle(&mut self, msg: MaintenanceAction, _: &mut Self::Context) {
         let (machines, store) = (self.machines.clone(), self.store.clone());
         let (platform, control) = (self.platform.clone(), self.control.clone());
         let clock = self.clock.clone();
--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -14,21 +14,21 @@
 use std::sync::Arc;
 
 /// Actor for calls to VMs and the permit service.
-pub struct Orders<P: Platform> {
+pub struct ExternalCalls<P: Platform> {
     vms: P::Vms,
     permits: P::Permits,
     control: Addr<Control>,
     clock: Arc<dyn Clock>,
 }
 
-impl<P: Platform> Orders<P> {
+impl<P: Platform> ExternalCalls<P> {
     /// Creates the actor. Must be called on the actor's thread.
     pub fn new(platform: &P, control: Addr<Control>, clock: Arc<dyn Clock>) -> Self {
         Self { vms: platform.vms(), permits: platform.permits(), control, clock }
     }
 }
 
-impl<P: Platform> Actor for Orders<P> {
+impl<P: Platform> Actor for ExternalCalls<P> {
     type Context = Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
@@ -36,27 +36,23 @@
     }
 }
 
-/// A call to a VM, ordered by a shard's owner.
+/// Calls a VM on behalf of a shard's owner.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Order {
+pub struct VmCall {
     pub shard: Arc<str>,
     pub fence: Fence,
     pub action: Action,
 }
 
-impl<P: Platform> Handler<Order> for Orders<P> {
+impl<P: Platform> Handler<VmCall> for ExternalCalls<P> {
     type Result = ();
 
-    fn handle(&mut self, order: Order, _: &mut Self::Context) {
+    fn handle(&mut self, msg: VmCall, _: &mut Self::Context) {
         let (vms, control, clock) = (self.vms.clone(), self.control.clone(), self.clock.clone());
         actix::spawn(async move {
-            if let Some(event) = call_vm(&vms, order.action, &*clock).await {
-                control.do_send(ExternalCallResult {
-                    shard: order.shard,
-                    fence: order.fence,
-                    event,
-                });
+            if let Some(event) = call_vm(&vms, msg.action, &*clock).await {
+                control.do_send(ExternalCallResult { shard: msg.shard, fence: msg.fence, event });
             }
         });
     }
@@ -65,12 +61,12 @@
 /// Asks the permit service from this daemon.
 #[derive(Message)]
 #[rtype(result = "permit::Result<PermitResp>")]
-pub struct AskHere(pub PermitReq);
+pub struct RequestPermits(pub PermitReq);
 
-impl<P: Platform> Handler<AskHere> for Orders<P> {
+impl<P: Platform> Handler<RequestPermits> for ExternalCalls<P> {
     type Result = ResponseFuture<permit::Result<PermitResp>>;
 
-    fn handle(&mut self, msg: AskHere, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: RequestPermits, _: &mut Self::Context) -> Self::Result {
         let permits = self.permits.clone();
         Box::pin(async move { permits.ask(&msg.0).await })
     }
