--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -66,16 +66,16 @@
 const MAX_PENDING_ACTIONS: usize = 100_000;
 
 /// Connections to the other actors.
-pub struct Rings {
-    pub orders: Ring<VmCall>,
-    pub asker: Recipient<RequestPermits>,
-    pub upkeep: Recipient<MaintenanceAction>,
+pub struct ActorHandles {
+    pub vm_calls: Ring<VmCall>,
+    pub permits: Recipient<RequestPermits>,
+    pub maintenance: Recipient<MaintenanceAction>,
     pub links: Addr<Links>,
     pub claims: Recipient<ClaimShard>,
     pub commits: Recipient<CommitShard>,
-    pub forget: Recipient<RemoveShard>,
+    pub removals: Recipient<RemoveShard>,
     pub heads: Recipient<ReadHeads>,
-    pub confirm: Recipient<ConfirmOwnership>,
+    pub confirmations: Recipient<ConfirmOwnership>,
 }
 
 /// A shard owned by this daemon.
@@ -121,7 +121,7 @@
     clock: Arc<dyn Clock>,
     journal: Journal,
     ownership: Ownership,
-    rings: Option<Rings>,
+    actors: Option<ActorHandles>,
     hosted: IndexMap<String, HostedShard>,
     remote_shards: IndexMap<String, ShardView>,
     queues: Option<Arc<Queues>>,
@@ -171,7 +171,7 @@
             settings,
             journal,
             ownership: Ownership::new(me, now),
-            rings: None,
+            actors: None,
             hosted: IndexMap::new(),
             remote_shards: IndexMap::new(),
             queues: None,
@@ -239,14 +239,14 @@
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => {
-                let Some(rings) = &mut self.rings else { return };
-                // The push fails only if the actor that makes the calls has ended; no call is answered then.
-                let _ = rings.orders.push(VmCall { shard: shard.clone(), fence, action });
+                let Some(actors) = &mut self.actors else { return };
+                // The push fails only if the receiving actor has ended; no call is answered then.
+                let _ = actors.vm_calls.push(VmCall { shard: shard.clone(), fence, action });
             }
             Action::Ask(req) => self.request_permits(shard, fence, req, cx),
             Action::Commit { seq, txn } => {
-                if let Some(rings) = &self.rings {
-                    rings.commits.do_send(CommitShard { shard: shard.to_string(), seq, txn });
+                if let Some(actors) = &self.actors {
+                    actors.commits.do_send(CommitShard { shard: shard.to_string(), seq, txn });
                 }
             }
             Action::Reply { ticket, answer } => self.reply(ticket, Reply::Answer(answer)),
@@ -277,13 +277,13 @@
         let through = through.filter(|member| {
             open_here > self.permit_requests.get(&member.name).copied().unwrap_or(0)
         });
-        let Some(rings) = &mut self.rings else { return };
+        let Some(actors) = &mut self.actors else { return };
         let name = through.as_ref().unwrap_or(self.ownership.me()).name.clone();
         *self.permit_requests.entry(name.clone()).or_default() += 1;
         let (sent, step, vms) = (self.last_wake, req.step, req.vms.clone());
         let answer: Pin<Box<dyn Future<Output = _>>> = match through {
-            Some(to) => Box::pin(rings.links.send(ForwardPermitRequest { to, req })),
-            None => Box::pin(rings.asker.send(RequestPermits(req))),
+            Some(to) => Box::pin(actors.links.send(ForwardPermitRequest { to, req })),
+            None => Box::pin(actors.permits.send(RequestPermits(req))),
         };
         let shard = shard.clone();
         cx.spawn(answer.into_actor(self).map(move |answer, this, cx| {
@@ -313,9 +313,9 @@
             return;
         }
         // Without an owner the message is lost; the sending shard repeats it.
-        let (Some(owner), Some(rings)) = (self.ownership.owner(to), &self.rings) else { return };
+        let (Some(owner), Some(actors)) = (self.ownership.owner(to), &self.actors) else { return };
         let (shard, from) = (to.to_string(), from.to_string());
-        rings.links.do_send(SendLoanMessage { to: owner, shard, from, fence, msg });
+        actors.links.do_send(SendLoanMessage { to: owner, shard, from, fence, msg });
     }
 
     fn tick(&mut self, cx: &mut Context<Self>) {
@@ -338,8 +338,8 @@
             }
             self.publish(now.steady);
         }
-        if let Some(rings) = &mut self.rings {
-            rings.orders.flush();
+        if let Some(actors) = &mut self.actors {
+            actors.vm_calls.flush();
         }
     }
 
@@ -363,8 +363,8 @@
                     self.step_shard(&shard, Event::Vacate(order), cx);
                 }
                 other => {
-                    if let Some(rings) = &self.rings {
-                        rings.upkeep.do_send(MaintenanceAction(other));
+                    if let Some(actors) = &self.actors {
+                        actors.maintenance.do_send(MaintenanceAction(other));
                     }
                 }
             }
@@ -387,4 +387,4 @@
 }
 
 /// Behaviour of a full ring from this actor to another.
-pub const ACTIONS: WhenFull = WhenFull::Wait { limit: MAX_PENDING_ACTIONS };
+pub const ACTION_RING_POLICY: WhenFull = WhenFull::Wait { limit: MAX_PENDING_ACTIONS };
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -1,6 +1,6 @@
 //! Messages handled by the control actor.
 
-use super::{Control, Rings, ShardOffer, TimedLapses};
+use super::{ActorHandles, Control, ShardOffer, TimedLapses};
 use crate::cluster::{self, Head, Hello, Member, Plan, StoreReach};
 use crate::ids::{DaemonId, Ticket};
 use crate::jobs::calls::{Call, Reply};
@@ -20,13 +20,13 @@
 /// Connects the control actor to the others.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Connect(pub Rings);
+pub struct Connect(pub ActorHandles);
 
 impl Handler<Connect> for Control {
     type Result = ();
 
     fn handle(&mut self, msg: Connect, _: &mut Self::Context) {
-        self.rings = Some(msg.0);
+        self.actors = Some(msg.0);
     }
 }
 
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -142,8 +142,8 @@
             shards: self.shard_news(),
         };
         let (owners, others) = to.into_iter().partition(|to| self.ownership.is_owner(&to.name));
-        if let Some(rings) = &self.rings {
-            rings.links.do_send(SendHello { hello, owners, others });
+        if let Some(actors) = &self.actors {
+            actors.links.do_send(SendHello { hello, owners, others });
         }
     }
 
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -33,9 +33,10 @@
     }
 
     pub(super) fn confirm_ownership(&mut self, shard: String, cx: &mut Context<Self>) {
-        let Some(rings) = &self.rings else { return };
+        let Some(actors) = &self.actors else { return };
         let owner = self.ownership.me().id.clone();
-        let confirmation = rings.confirm.send(ConfirmOwnership { shard: shard.clone(), owner });
+        let confirmation =
+            actors.confirmations.send(ConfirmOwnership { shard: shard.clone(), owner });
         cx.spawn(confirmation.into_actor(self).map(move |answer, this, cx| match answer {
             Ok(OwnershipStatus::Owned) => this.resume_shard(&shard, cx),
             Ok(OwnershipStatus::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
@@ -80,12 +81,12 @@
     pub(super) fn complete_hand_over(&mut self, shard: &str, cx: &mut Context<Self>) {
         let new_owner = self.hosted.get(shard).and_then(|hosted| hosted.new_owner.clone());
         let from = self.ownership.me().id.clone();
-        if let (Some(to), Some(rings)) = (new_owner, &self.rings)
+        if let (Some(to), Some(actors)) = (new_owner, &self.actors)
             && to.id != from
         {
             let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.lapses());
             let (shard, lapses) = (shard.to_owned(), lapses.unwrap_or_default());
-            rings.links.do_send(OfferShard { shard, to, from, lapses });
+            actors.links.do_send(OfferShard { shard, to, from, lapses });
         }
         self.drop_shard(shard, "handed over", cx);
     }
@@ -107,8 +108,8 @@
                 self.reply(ticket, Reply::Answer(answer));
             }
         }
-        if let Some(rings) = &self.rings {
-            rings.forget.do_send(RemoveShard { shard: shard.to_owned() });
+        if let Some(actors) = &self.actors {
+            actors.removals.do_send(RemoveShard { shard: shard.to_owned() });
         }
         let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
         self.step_ownership(dropped, cx);
@@ -136,13 +137,13 @@
     }
 
     pub(super) fn execute_ownership_action(&mut self, action: cluster::Action) {
-        let Some(rings) = &self.rings else { return };
+        let Some(actors) = &self.actors else { return };
         match action {
             cluster::Action::Claim { shard, previous, replaces } => {
-                rings.claims.do_send(ClaimShard { shard, previous, replaces });
+                actors.claims.do_send(ClaimShard { shard, previous, replaces });
             }
-            cluster::Action::ReadHeads => rings.heads.do_send(ReadHeads),
-            cluster::Action::Probe(member) => rings.links.do_send(ProbeMember(member)),
+            cluster::Action::ReadHeads => actors.heads.do_send(ReadHeads),
+            cluster::Action::Probe(member) => actors.links.do_send(ProbeMember(member)),
             cluster::Action::HandOver { .. } | cluster::Action::Note(_) => {}
         }
     }
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,4 +1,4 @@
-use super::{Connect, Control, HandleCall, HasShards, HelloReceived, Rings, StoreEvent};
+use super::{ActorHandles, Connect, Control, HandleCall, HasShards, HelloReceived, StoreEvent};
 use crate::clock::{Clock, ManualClock};
 use crate::cluster::ownership::OWN_PAUSE;
 use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
@@ -93,16 +93,16 @@
     let control = Control::new(me, settings, in_force, clock, journal, publish, Arc::default());
     let control = control.start();
     let others = FakeActors.start();
-    control.do_send(Connect(Rings {
-        orders: Ring::new(others.clone(), WhenFull::Drop),
-        asker: others.clone().recipient(),
-        upkeep: others.clone().recipient(),
+    control.do_send(Connect(ActorHandles {
+        vm_calls: Ring::new(others.clone(), WhenFull::Drop),
+        permits: others.clone().recipient(),
+        maintenance: others.clone().recipient(),
         links: Links::new(control.clone()).start(),
         claims: others.clone().recipient(),
         commits: others.clone().recipient(),
-        forget: others.clone().recipient(),
+        removals: others.clone().recipient(),
         heads: others.clone().recipient(),
-        confirm: others.recipient(),
+        confirmations: others.recipient(),
     }));
     control
 }
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -1,7 +1,9 @@
 //! Starts the daemon's actors on their threads, and stops them.
 
 use super::calls::Calls;
-use super::control::{ACTIONS, Connect, Control, Drain, HasShards, ReleaseShards, Rings};
+use super::control::{
+    ACTION_RING_POLICY, ActorHandles, Connect, Control, Drain, HasShards, ReleaseShards,
+};
 use super::links::{self, Links};
 use super::machines::Machines;
 use super::orders::{ExternalCalls, RequestPermits};
@@ -94,30 +96,30 @@
                 Records::new(me, platform, lease_ttl, control, clock)
             })
         };
-        let upkeep = {
+        let machines = {
             let (platform, control, clock) = (platform.clone(), control.clone(), clock.clone());
             Machines::start_in_arbiter(&arbiters[1].handle(), move |_| {
                 Machines::new(platform, control, clock)
             })
         };
-        let orders = {
+        let external_calls = {
             let (control, clock) = (control.clone(), clock.clone());
             ExternalCalls::start_in_arbiter(&arbiters[2].handle(), move |_| {
                 ExternalCalls::new(&platform, control, clock)
             })
         };
-        let asker = orders.clone().recipient();
-        let links = start_links(&arbiters[3], listener, &control, asker).await?;
-        control.do_send(Connect(Rings {
-            upkeep: upkeep.recipient(),
-            asker: orders.clone().recipient(),
-            orders: Ring::new(orders, ACTIONS),
+        let permits = external_calls.clone().recipient();
+        let links = start_links(&arbiters[3], listener, &control, permits).await?;
+        control.do_send(Connect(ActorHandles {
+            maintenance: machines.recipient(),
+            permits: external_calls.clone().recipient(),
+            vm_calls: Ring::new(external_calls, ACTION_RING_POLICY),
             links: links.clone(),
             claims: records.clone().recipient(),
             commits: records.clone().recipient(),
-            forget: records.clone().recipient(),
+            removals: records.clone().recipient(),
             heads: records.clone().recipient(),
-            confirm: records.clone().recipient(),
+            confirmations: records.clone().recipient(),
         }));
         journal.write(Note::DaemonStarted {
             daemon: id.clone(),
@@ -194,7 +196,7 @@
     arbiter: &Arbiter,
     listener: TcpListener,
     control: &Addr<Control>,
-    asker: Recipient<RequestPermits>,
+    permits: Recipient<RequestPermits>,
 ) -> Result<Addr<Links>> {
     let links = {
         let control = control.clone();
@@ -203,7 +205,7 @@
     let (tx, rx) = oneshot::channel();
     let (served, control) = (links.clone(), control.clone());
     arbiter.spawn(async move {
-        let served = links::serve(listener, served, control, asker).await;
+        let served = links::serve(listener, served, control, permits).await;
         // `start_links` is waiting for this result, so the receiver exists.
         let _ = tx.send(served);
     });
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -128,7 +128,7 @@
     listener: TcpListener,
     links: Addr<Links>,
     control: Addr<Control>,
-    asker: Recipient<RequestPermits>,
+    permits: Recipient<RequestPermits>,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -139,7 +139,7 @@
             // The peer reconnects if its connection broke while it was accepted.
             let Ok(transport) = incoming else { continue };
             let (links, control) = (links.clone(), control.clone());
-            let server = Server { links, control, asker: asker.clone() };
+            let server = Server { links, control, permits: permits.clone() };
             let requests = BaseChannel::with_defaults(transport).execute(server.serve());
             actix::spawn(requests.for_each(|answer| async {
                 actix::spawn(answer);
@@ -153,7 +153,7 @@
 struct Server {
     links: Addr<Links>,
     control: Addr<Control>,
-    asker: Recipient<RequestPermits>,
+    permits: Recipient<RequestPermits>,
 }
 
 impl JobsRpc for Server {
@@ -175,7 +175,7 @@
 
     async fn ask(self, _: CallContext, req: PermitReq) -> permit::Result<PermitResp> {
         let ended = |e: MailboxError| permit::Error::NotSent { reason: e.to_string() };
-        self.asker.send(RequestPermits(req)).await.map_err(ended)?
+        self.permits.send(RequestPermits(req)).await.map_err(ended)?
     }
 
     async fn take(self, _: CallContext, shard: String, from: DaemonId, lapses: Vec<Lapse>) {
