--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 use super::control::{Control, HandleCall};
-use super::links::{self, ForwardCall, Links};
+use super::links::{self, ForwardCall, PeerLinks};
 use super::records::{FindJob, JobLocation};
 use super::view::{Directory, Owner, ShardView, View};
 use crate::clock::Clock;
@@ -67,7 +67,7 @@
     view: watch::Receiver<Arc<View>>,
     directory: Arc<Mutex<Directory>>,
     control: Addr<Control>,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     finder: Recipient<FindJob>,
     clock: Arc<dyn Clock>,
     unreported: Arc<Mutex<IndexMap<String, UnreportedLoad>>>,
@@ -99,7 +99,7 @@
         view: watch::Receiver<Arc<View>>,
         directory: Arc<Mutex<Directory>>,
         control: Addr<Control>,
-        links: Addr<Links>,
+        links: Addr<PeerLinks>,
         finder: Recipient<FindJob>,
         clock: Arc<dyn Clock>,
     ) -> Self {
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -4,7 +4,7 @@
 use crate::ids::{DaemonId, DomainId, ServiceName};
 use crate::job::{Job, JobId, Life, QueueName, Repeat, ShownState, Step};
 use crate::jobs::control::Control;
-use crate::jobs::links::{JobsRpc, Links};
+use crate::jobs::links::{JobsRpc, PeerLinks};
 use crate::jobs::records::{FindJob, JobLocation};
 use crate::jobs::view::{Directory, Owner, ShardView, View};
 use crate::journal::Journal;
@@ -81,7 +81,7 @@
     let control = control.start();
     let (_, fixed) = watch::channel(Arc::new(shown));
     drop(view);
-    let links = Links::new(control.clone()).start();
+    let links = PeerLinks::new(control.clone()).start();
     let finder = FakeStore(found).start().recipient();
     Calls::new(fixed, directory, control, links, finder, clock)
 }
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -19,7 +19,7 @@
 
 use super::calls::Reply;
 use super::confirmed::Confirmed;
-use super::links::{ForwardPermitRequest, Links, SendLoanMessage};
+use super::links::{ForwardPermitRequest, PeerLinks, SendLoanMessage};
 use super::machines::MaintenanceAction;
 use super::orders::{RequestPermits, VmCall};
 use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
@@ -70,7 +70,7 @@
     pub vm_calls: Ring<VmCall>,
     pub permits: Recipient<RequestPermits>,
     pub maintenance: Recipient<MaintenanceAction>,
-    pub links: Addr<Links>,
+    pub links: Addr<PeerLinks>,
     pub claims: Recipient<ClaimShard>,
     pub commits: Recipient<CommitShard>,
     pub removals: Recipient<RemoveShard>,
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -6,7 +6,7 @@
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
 use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
 use crate::jobs::calls::{Call, Reply};
-use crate::jobs::links::Links;
+use crate::jobs::links::PeerLinks;
 use crate::jobs::machines::MaintenanceAction;
 use crate::jobs::orders::{RequestPermits, VmCall};
 use crate::jobs::records::{
@@ -97,7 +97,7 @@
         vm_calls: Ring::new(others.clone(), WhenFull::Drop),
         permits: others.clone().recipient(),
         maintenance: others.clone().recipient(),
-        links: Links::new(control.clone()).start(),
+        links: PeerLinks::new(control.clone()).start(),
         claims: others.clone().recipient(),
         commits: others.clone().recipient(),
         removals: others.clone().recipient(),
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -4,7 +4,7 @@
 use super::control::{
     ACTION_RING_POLICY, ActorHandles, Connect, Control, Drain, HasShards, ReleaseShards,
 };
-use super::links::{self, Links};
+use super::links::{self, PeerLinks};
 use super::machines::Machines;
 use super::orders::{ExternalCalls, RequestPermits};
 use super::records::{Records, Shutdown};
@@ -45,7 +45,7 @@
 pub struct Daemon<P: Platform> {
     id: DaemonId,
     control: Addr<Control>,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     records: Addr<Records<P>>,
     view: watch::Receiver<Arc<View>>,
     directory: Arc<Mutex<Directory>>,
@@ -197,10 +197,10 @@
     listener: TcpListener,
     control: &Addr<Control>,
     permits: Recipient<RequestPermits>,
-) -> Result<Addr<Links>> {
+) -> Result<Addr<PeerLinks>> {
     let links = {
         let control = control.clone();
-        Links::start_in_arbiter(&arbiter.handle(), move |_| Links::new(control))
+        PeerLinks::start_in_arbiter(&arbiter.handle(), move |_| PeerLinks::new(control))
     };
     let (tx, rx) = oneshot::channel();
     let (served, control) = (links.clone(), control.clone());
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -81,7 +81,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Actor that holds the connections to other daemons.
-pub struct Links {
+pub struct PeerLinks {
     control: Addr<Control>,
     peers: IndexMap<String, PeerClient>,
     own_hello: Option<OwnHello>,
@@ -93,7 +93,7 @@
     brief: Hello,
 }
 
-impl Links {
+impl PeerLinks {
     /// Creates an actor without connections.
     pub fn new(control: Addr<Control>) -> Self {
         Self { control, peers: IndexMap::new(), own_hello: None }
@@ -115,7 +115,7 @@
     }
 }
 
-impl Actor for Links {
+impl Actor for PeerLinks {
     type Context = Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
@@ -126,7 +126,7 @@
 /// Serves other daemons' calls on the current thread until it ends.
 pub async fn serve(
     listener: TcpListener,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     control: Addr<Control>,
     permits: Recipient<RequestPermits>,
 ) -> io::Result<()> {
@@ -151,7 +151,7 @@
 
 #[derive(Clone)]
 struct Server {
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     control: Addr<Control>,
     permits: Recipient<RequestPermits>,
 }
@@ -192,7 +192,7 @@
     pub others: Vec<Member>,
 }
 
-impl Handler<SendHello> for Links {
+impl Handler<SendHello> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: SendHello, _: &mut Self::Context) {
@@ -214,7 +214,7 @@
 #[rtype(result = "()")]
 pub struct ProbeMember(pub Member);
 
-impl Handler<ProbeMember> for Links {
+impl Handler<ProbeMember> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: ProbeMember, _: &mut Self::Context) {
@@ -235,7 +235,7 @@
     Brief,
 }
 
-impl Handler<GetHello> for Links {
+impl Handler<GetHello> for PeerLinks {
     type Result = Option<Hello>;
 
     fn handle(&mut self, msg: GetHello, _: &mut Self::Context) -> Self::Result {
@@ -257,7 +257,7 @@
     pub lapses: Vec<Lapse>,
 }
 
-impl Handler<OfferShard> for Links {
+impl Handler<OfferShard> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: OfferShard, _: &mut Self::Context) {
@@ -280,7 +280,7 @@
     pub msg: LoanMsg,
 }
 
-impl Handler<SendLoanMessage> for Links {
+impl Handler<SendLoanMessage> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: SendLoanMessage, _: &mut Self::Context) {
@@ -300,7 +300,7 @@
     pub req: PermitReq,
 }
 
-impl Handler<ForwardPermitRequest> for Links {
+impl Handler<ForwardPermitRequest> for PeerLinks {
     type Result = ResponseFuture<permit::Result<PermitResp>>;
 
     fn handle(&mut self, msg: ForwardPermitRequest, _: &mut Self::Context) -> Self::Result {
@@ -322,7 +322,7 @@
     pub timeout: Duration,
 }
 
-impl Handler<ForwardCall> for Links {
+impl Handler<ForwardCall> for PeerLinks {
     type Result = ResponseFuture<Result<Reply>>;
 
     fn handle(&mut self, msg: ForwardCall, _: &mut Self::Context) -> Self::Result {
