--- a/src/jobs/confirmed.rs
+++ b/src/jobs/confirmed.rs
@@ -16,7 +16,7 @@
 
 /// Whether calls may be handled with the version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ConfirmationStatus {
     Confirmed,
     /// The version may be outdated, but the store is unreachable and no other daemon is known to
     /// have a newer one. Calls are handled.
@@ -28,13 +28,13 @@
 
 /// Last confirmation of the version in force.
 #[derive(Clone, Copy, Debug)]
-pub struct Confirmed {
+pub struct ConfigConfirmation {
     confirmed_at: Duration,
     max_age: Duration,
     cut_off: bool,
 }
 
-impl Confirmed {
+impl ConfigConfirmation {
     /// Starts as confirmed at `now`. A change may take up to `in_force` to be in force everywhere.
     pub fn new(now: Duration, in_force: Duration) -> Self {
         Self { confirmed_at: now, max_age: in_force.saturating_sub(ANSWER_MARGIN), cut_off: false }
@@ -56,18 +56,18 @@
     }
 
     /// Whether calls may be handled with the version in force.
-    pub fn standing(&self, now: Duration) -> Standing {
+    pub fn status(&self, now: Duration) -> ConfirmationStatus {
         if self.age(now) <= self.max_age {
-            Standing::Confirmed
+            ConfirmationStatus::Confirmed
         } else if self.cut_off {
-            Standing::CutOff
+            ConfirmationStatus::CutOff
         } else {
-            Standing::Unconfirmed
+            ConfirmationStatus::Unconfirmed
         }
     }
 }
 
-impl Default for Confirmed {
+impl Default for ConfigConfirmation {
     /// For a daemon that has no configuration yet.
     fn default() -> Self {
         Self::new(Duration::ZERO, Duration::MAX)
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -18,7 +18,7 @@
 };
 
 use super::calls::Reply;
-use super::confirmed::Confirmed;
+use super::confirmed::ConfigConfirmation;
 use super::links::{ForwardPermitRequest, PeerLinks, SendLoanMessage};
 use super::machines::MaintenanceAction;
 use super::orders::{RequestPermits, VmCall};
@@ -125,7 +125,7 @@
     hosted: IndexMap<String, HostedShard>,
     remote_shards: IndexMap<String, ShardView>,
     queues: Option<Arc<Queues>>,
-    confirmed: Confirmed,
+    config_confirmation: ConfigConfirmation,
     /// Whether the loss of the configuration's confirmation was logged.
     config_unconfirmed: bool,
     /// Last error in reading the configuration since its last confirmation.
@@ -175,7 +175,7 @@
             hosted: IndexMap::new(),
             remote_shards: IndexMap::new(),
             queues: None,
-            confirmed: Confirmed::new(now, config_in_force),
+            config_confirmation: ConfigConfirmation::new(now, config_in_force),
             config_unconfirmed: false,
             config_error: None,
             fleet: Vec::new(),
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -3,7 +3,7 @@
 use super::{Control, HostedShard};
 use crate::clock::Clock;
 use crate::cluster::{Hello, MemberStage, ShardNews};
-use crate::jobs::confirmed::Standing;
+use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::links::SendHello;
 use crate::jobs::view::{Owner, Readiness, ShardView, View};
 use crate::note::Note;
@@ -86,7 +86,7 @@
         let queues = self.queues.clone();
         self.view.send_replace(Arc::new(View {
             queues,
-            confirmed: self.confirmed,
+            config_confirmation: self.config_confirmation,
             shards,
             readiness,
             shapes: self.shapes.clone(),
@@ -115,12 +115,12 @@
         if self.queues.is_none() {
             return not("no configuration was read yet");
         }
-        match self.confirmed.standing(now) {
-            Standing::Unconfirmed => return not("the configuration isn't confirmed"),
-            Standing::CutOff if !self.ownership.store_in_reach() => {
+        match self.config_confirmation.status(now) {
+            ConfirmationStatus::Unconfirmed => return not("the configuration isn't confirmed"),
+            ConfirmationStatus::CutOff if !self.ownership.store_in_reach() => {
                 return not("the store can't be reached");
             }
-            Standing::CutOff | Standing::Confirmed => {}
+            ConfirmationStatus::CutOff | ConfirmationStatus::Confirmed => {}
         }
         if !shards.values().any(|shard| shard.owner.is_some()) {
             return not("no shard has an owner");
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -6,7 +6,7 @@
 use crate::ids::Ticket;
 use crate::job::JobId;
 use crate::jobs::calls::Reply;
-use crate::jobs::confirmed::Standing;
+use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::follow::operators::ReadQueues;
 use crate::jobs::links::{OfferShard, ProbeMember};
 use crate::jobs::records::{ClaimShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard};
@@ -215,7 +215,7 @@
             queues: queues.queues.len(),
             bytes,
             decode_ms: Ms(decode),
-            unconfirmed_ms: Ms(self.confirmed.age(now)),
+            unconfirmed_ms: Ms(self.config_confirmation.age(now)),
         });
         let queues = Arc::new(queues);
         self.queues = Some(queues.clone());
@@ -226,10 +226,12 @@
     /// Records that the store confirmed the configuration in force.
     pub(super) fn confirm_config(&mut self, at: Duration) {
         let now = self.now().steady;
-        let unconfirmed_ms = Ms(self.confirmed.age(now));
-        self.confirmed.confirm(at);
+        let unconfirmed_ms = Ms(self.config_confirmation.age(now));
+        self.config_confirmation.confirm(at);
         self.config_error = None;
-        if self.config_unconfirmed && self.confirmed.standing(now) == Standing::Confirmed {
+        if self.config_unconfirmed
+            && self.config_confirmation.status(now) == ConfirmationStatus::Confirmed
+        {
             self.config_unconfirmed = false;
             let version = self.queues.as_ref().map_or(0, |queues| queues.version);
             self.journal.write(Note::ConfigConfirmed { version, unconfirmed_ms });
@@ -241,12 +243,14 @@
     pub(super) fn check_config_confirmation(&mut self, now: Duration) {
         let Some(queues) = &self.queues else { return };
         let (version, newest) = (queues.version, self.ownership.newest_config());
-        self.confirmed.update_reach(self.store_reach, version, newest);
-        if self.config_unconfirmed || self.confirmed.standing(now) == Standing::Confirmed {
+        self.config_confirmation.update_reach(self.store_reach, version, newest);
+        if self.config_unconfirmed
+            || self.config_confirmation.status(now) == ConfirmationStatus::Confirmed
+        {
             return;
         }
         self.config_unconfirmed = true;
-        let unconfirmed_ms = Ms(self.confirmed.age(now));
+        let unconfirmed_ms = Ms(self.config_confirmation.age(now));
         self.journal.write(Note::ConfigUnconfirmed { version, newest, unconfirmed_ms });
     }
 
--- a/src/jobs/control/status.rs
+++ b/src/jobs/control/status.rs
@@ -6,7 +6,7 @@
 };
 use crate::cluster::{MemberStage, StoreReach};
 use crate::ids::{ClassName, Revision};
-use crate::jobs::confirmed::Standing;
+use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::view::Readiness;
 use crate::peer::MemberState;
 use actix::prelude::*;
@@ -43,8 +43,9 @@
             partitions: Vec::new(),
             shards: self.shards(),
             configuration: Some(ConfigStatus {
-                unconfirmed_ms: millis(self.confirmed.age(now)),
-                calls_refused: self.confirmed.standing(now) == Standing::Unconfirmed,
+                unconfirmed_ms: millis(self.config_confirmation.age(now)),
+                calls_refused: self.config_confirmation.status(now)
+                    == ConfirmationStatus::Unconfirmed,
                 newest_heard: Revision(self.ownership.newest_config()),
                 fault: self.config_error.clone(),
             }),
--- a/src/jobs/view.rs
+++ b/src/jobs/view.rs
@@ -1,6 +1,6 @@
 //! The state that callers' calls use, as last published by control.
 
-use super::confirmed::Confirmed;
+use super::confirmed::ConfigConfirmation;
 use crate::cluster::Member;
 use crate::job::JobId;
 use crate::job::check::Shapes;
@@ -16,7 +16,7 @@
     /// The configuration in force; `None` until one was read from the store.
     pub queues: Option<Arc<Queues>>,
     /// When the configuration was last confirmed.
-    pub confirmed: Confirmed,
+    pub config_confirmation: ConfigConfirmation,
     pub shards: IndexMap<String, ShardView>,
     pub readiness: Readiness,
     /// Task sizes that the VMs can hold.
