--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -9,7 +9,7 @@
 use super::control::{Control, HandleCall};
 use super::links::{self, ForwardCall, PeerLinks};
 use super::records::{FindJob, JobLocation};
-use super::view::{Directory, Owner, ShardView, View};
+use super::view::{JobDirectory, Owner, ShardView, View};
 use crate::clock::Clock;
 use crate::job::check::{self, Fault};
 use crate::job::{Image, Job, JobId, Life, QueueName, Share, ShownState};
@@ -65,7 +65,7 @@
 #[derive(Clone)]
 pub struct Calls {
     view: watch::Receiver<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     control: Addr<Control>,
     links: Addr<PeerLinks>,
     finder: Recipient<FindJob>,
@@ -97,7 +97,7 @@
     /// Creates a client that sends its calls through these actors.
     pub fn new(
         view: watch::Receiver<Arc<View>>,
-        directory: Arc<Mutex<Directory>>,
+        directory: Arc<Mutex<JobDirectory>>,
         control: Addr<Control>,
         links: Addr<PeerLinks>,
         finder: Recipient<FindJob>,
@@ -129,7 +129,7 @@
 
     /// Submits a job.
     pub async fn submit(&self, job: Job, budget: Duration) -> Answer {
-        if let Err(fault) = check::possible(&job, &self.view().shapes) {
+        if let Err(fault) = check::possible(&job, &self.view().vm_shapes) {
             return impossible_answer(&fault);
         }
         let deadline = self.clock.now() + budget;
@@ -185,7 +185,7 @@
         let now = self.clock.now();
         let mut sum = 0;
         for shard in view.shards.values() {
-            if now.saturating_sub(shard.at) > MAX_COUNT_AGE {
+            if now.saturating_sub(shard.summary_at) > MAX_COUNT_AGE {
                 return None;
             }
             let queued = shard.summary.queued.iter().find(|(name, _)| name == queue);
@@ -268,8 +268,8 @@
         let timeout = left.min(ATTEMPT_TIMEOUT);
         match owner {
             None => Attempt::NotRun,
-            Some(Owner::Here) => self.attempt_locally(shard, call, timeout).await,
-            Some(Owner::Other(to)) => {
+            Some(Owner::Local) => self.attempt_locally(shard, call, timeout).await,
+            Some(Owner::Remote(to)) => {
                 let msg = ForwardCall { to, shard: shard.to_owned(), call, timeout };
                 match self.links.send(msg).await {
                     Ok(Ok(Reply::Answer(answer))) => Attempt::Answered(answer),
@@ -298,7 +298,7 @@
         let demand = Demand::of(job, refusals);
         let is_candidate = |(_, shard): &(&String, &ShardView)| {
             shard.owner.is_some()
-                && now.saturating_sub(shard.at) < MAX_SUMMARY_AGE
+                && now.saturating_sub(shard.summary_at) < MAX_SUMMARY_AGE
                 && shard.summary.vms > 0
         };
         let mut unreported = self.unreported.lock().unwrap_or_else(PoisonError::into_inner);
@@ -307,7 +307,8 @@
             .iter()
             .filter(is_candidate)
             .map(|(name, shard)| {
-                let load = unreported.get(name).filter(|l| l.summary_at == shard.at).copied();
+                let load =
+                    unreported.get(name).filter(|l| l.summary_at == shard.summary_at).copied();
                 (name, shard, load.unwrap_or_default())
             })
             .collect();
@@ -320,8 +321,8 @@
         };
         let ((name, shard, _), urge) = best(Urge::IfRoom).or_else(|| best(Urge::Always))?;
         let entry = unreported.entry(name.clone()).or_default();
-        if entry.summary_at != shard.at {
-            *entry = UnreportedLoad { summary_at: shard.at, ..UnreportedLoad::default() };
+        if entry.summary_at != shard.summary_at {
+            *entry = UnreportedLoad { summary_at: shard.summary_at, ..UnreportedLoad::default() };
         }
         entry.reserved += demand.reserved;
         entry.leftover_work += demand.leftover_work;
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -6,7 +6,7 @@
 use crate::jobs::control::Control;
 use crate::jobs::links::{JobsRpc, PeerLinks};
 use crate::jobs::records::{FindJob, JobLocation};
-use crate::jobs::view::{Directory, Owner, ShardView, View};
+use crate::jobs::view::{JobDirectory, Owner, ShardView, View};
 use crate::journal::Journal;
 use crate::note::Weight;
 use crate::permit::{self, PermitReq, PermitResp};
@@ -66,12 +66,12 @@
 fn calls(found: Option<JobLocation>, owner: Option<SocketAddr>) -> Calls {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let journal = Journal::start(clock.clone(), Weight::Urgent, std::io::sink());
-    let directory: Arc<Mutex<Directory>> = Arc::default();
+    let directory: Arc<Mutex<JobDirectory>> = Arc::default();
     let (publish, view) = watch::channel(Arc::new(View::default()));
     let mut shown = View::default();
     if let Some(addr) = owner {
-        let owner = Some(Owner::Other(member("two", addr)));
-        let shard = ShardView { owner, summary: Arc::default(), at: clock.now() };
+        let owner = Some(Owner::Remote(member("two", addr)));
+        let shard = ShardView { owner, summary: Arc::default(), summary_at: clock.now() };
         shown.shards.insert(SHARD.to_owned(), shard);
     }
     let me = member("one", SocketAddr::from(([127, 0, 0, 1], 1)));
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -23,7 +23,7 @@
 use super::machines::MaintenanceAction;
 use super::orders::{RequestPermits, VmCall};
 use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
-use super::view::{Directory, ShardView, View};
+use super::view::{JobDirectory, ShardView, View};
 use crate::clock::Clock;
 use crate::cluster::ownership::OWN_PAUSE;
 use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReach};
@@ -131,7 +131,7 @@
     /// Last error in reading the configuration since its last confirmation.
     config_error: Option<String>,
     fleet: Vec<VmEntry>,
-    shapes: Arc<Shapes>,
+    vm_shapes: Arc<Shapes>,
     plan: Plan,
     store_reach: StoreReach,
     store_lost_at: Option<Duration>,
@@ -144,7 +144,7 @@
     tickets: IndexMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: u64,
     view: watch::Sender<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     /// Interference between images, as learned by other daemons' shards.
     learned: IndexMap<String, Vec<Learned>>,
     /// When a handler last started.
@@ -163,7 +163,7 @@
         clock: Arc<dyn Clock>,
         journal: Journal,
         view: watch::Sender<Arc<View>>,
-        directory: Arc<Mutex<Directory>>,
+        directory: Arc<Mutex<JobDirectory>>,
     ) -> Self {
         let now = clock.now();
         let upkeep = Duty::new(&me.name);
@@ -179,7 +179,7 @@
             config_unconfirmed: false,
             config_error: None,
             fleet: Vec::new(),
-            shapes: Arc::default(),
+            vm_shapes: Arc::default(),
             plan: Plan::default(),
             store_reach: StoreReach::Away,
             store_lost_at: None,
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -169,7 +169,7 @@
             news.accepted.iter().for_each(|job| self.add_to_directory(*job, &shared));
             let summary = Arc::new(news.summary.clone());
             self.remote_shards
-                .insert(news.name.clone(), ShardView { owner: None, summary, at: now });
+                .insert(news.name.clone(), ShardView { owner: None, summary, summary_at: now });
             let lapses = TimedLapses { at: now, lapses: news.lapses.clone() };
             self.reported_lapses.insert(news.name.clone(), lapses);
         }
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -29,7 +29,7 @@
         let now = self.clock.now();
         let mut known: Vec<Neighbour> = Vec::new();
         for (name, view) in &self.remote_shards {
-            let fresh = now.saturating_sub(view.at) < MAX_NEIGHBOUR_AGE;
+            let fresh = now.saturating_sub(view.summary_at) < MAX_NEIGHBOUR_AGE;
             if fresh && self.ownership.owner(name).is_some() && !self.hosted.contains_key(name) {
                 let (name, summary) = (Arc::from(name.as_str()), view.summary.clone());
                 let fence = self.ownership.fence(&name);
@@ -67,8 +67,8 @@
         for name in self.ownership.shards() {
             let view = match self.hosted.get_mut(&name) {
                 Some(hosted) => {
-                    let (summary, at) = (hosted.summary.clone(), hosted.summary_at);
-                    ShardView { owner: Some(Owner::Here), summary, at }
+                    let (summary, summary_at) = (hosted.summary.clone(), hosted.summary_at);
+                    ShardView { owner: Some(Owner::Local), summary, summary_at }
                 }
                 None => self.remote_view(&name),
             };
@@ -79,7 +79,7 @@
         if before != readiness {
             let (ready, reason) = match readiness {
                 Readiness::Ready => (true, "callers can be served"),
-                Readiness::Not { reason } => (false, reason),
+                Readiness::NotReady { reason } => (false, reason),
             };
             self.journal.write(Note::Readiness { ready, reason });
         }
@@ -89,7 +89,7 @@
             config_confirmation: self.config_confirmation,
             shards,
             readiness,
-            shapes: self.shapes.clone(),
+            vm_shapes: self.vm_shapes.clone(),
         }));
         self.send_hellos();
     }
@@ -97,9 +97,9 @@
     pub(super) fn remote_view(&self, name: &str) -> ShardView {
         let known = self.remote_shards.get(name);
         ShardView {
-            owner: self.ownership.owner(name).map(Owner::Other),
+            owner: self.ownership.owner(name).map(Owner::Remote),
             summary: known.map(|view| view.summary.clone()).unwrap_or_default(),
-            at: known.map_or(Duration::ZERO, |view| view.at),
+            summary_at: known.map_or(Duration::ZERO, |view| view.summary_at),
         }
     }
 
@@ -108,7 +108,7 @@
         now: Duration,
         shards: &IndexMap<String, ShardView>,
     ) -> Readiness {
-        let not = |reason| Readiness::Not { reason };
+        let not = |reason| Readiness::NotReady { reason };
         if self.ownership.me().stage == MemberStage::Draining {
             return not("the daemon stops");
         }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -270,7 +270,7 @@
         cx: &mut Context<Self>,
     ) {
         if announcements == Announcements::Complete {
-            Arc::make_mut(&mut self.shapes).add(&vms);
+            Arc::make_mut(&mut self.vm_shapes).add(&vms);
         }
         if announcements == Announcements::Complete || !vms.is_empty() {
             self.fleet = vms;
--- a/src/jobs/control/status.rs
+++ b/src/jobs/control/status.rs
@@ -59,7 +59,7 @@
         }
         match self.view.borrow().readiness {
             Readiness::Ready => DaemonState::Serving,
-            Readiness::Not { .. } => DaemonState::Starting,
+            Readiness::NotReady { .. } => DaemonState::Starting,
         }
     }
 
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -9,7 +9,7 @@
 use super::orders::{ExternalCalls, RequestPermits};
 use super::records::{Records, Shutdown};
 use super::settings::Settings;
-use super::view::{Directory, View};
+use super::view::{JobDirectory, View};
 use super::{Platform, status};
 use crate::clock::Clock;
 use crate::cluster::{Member, MemberStage};
@@ -48,7 +48,7 @@
     links: Addr<PeerLinks>,
     records: Addr<Records<P>>,
     view: watch::Receiver<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     clock: Arc<dyn Clock>,
     journal: Journal,
     arbiters: Vec<Arbiter>,
@@ -68,7 +68,7 @@
         let me = member(settings, addr, &*clock);
         let id = me.id.clone();
         let (publish, view) = watch::channel(Arc::new(View::default()));
-        let directory: Arc<Mutex<Directory>> = Arc::default();
+        let directory: Arc<Mutex<JobDirectory>> = Arc::default();
         let arbiters: Vec<Arbiter> = (0..4).map(|_| Arbiter::new()).collect();
 
         let control = {
--- a/src/jobs/view.rs
+++ b/src/jobs/view.rs
@@ -20,7 +20,7 @@
     pub shards: IndexMap<String, ShardView>,
     pub readiness: Readiness,
     /// Task sizes that the VMs can hold.
-    pub shapes: Arc<Shapes>,
+    pub vm_shapes: Arc<Shapes>,
 }
 
 /// Last known state of a shard.
@@ -30,26 +30,26 @@
     pub owner: Option<Owner>,
     pub summary: Arc<Summary>,
     /// When the summary was created.
-    pub at: Duration,
+    pub summary_at: Duration,
 }
 
 /// The owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
-    Here,
-    Other(Member),
+    Local,
+    Remote(Member),
 }
 
 /// Whether the load balancer should send callers to this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
     Ready,
-    Not { reason: &'static str },
+    NotReady { reason: &'static str },
 }
 
 impl Default for Readiness {
     fn default() -> Self {
-        Self::Not { reason: "starting" }
+        Self::NotReady { reason: "starting" }
     }
 }
 
@@ -57,14 +57,14 @@
 ///
 /// The size is bounded; the shard of an evicted job is looked up in the store.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct JobDirectory {
     shards: IndexMap<JobId, Arc<str>>,
 }
 
 /// Maximum number of jobs held: two minutes' worth at 35 jobs a second.
 const MAX_DIRECTORY_JOBS: usize = 4096;
 
-impl Directory {
+impl JobDirectory {
     /// Records a job's shard.
     pub fn add(&mut self, job: JobId, shard: &Arc<str>) {
         self.shards.insert(job, shard.clone());
