--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -4,7 +4,7 @@
 use crate::cluster::{self, Head, Hello, Member, Plan, StoreReach};
 use crate::ids::{DaemonId, Ticket};
 use crate::jobs::calls::{Call, Reply};
-use crate::jobs::follow::operators::ReadQueues;
+use crate::jobs::follow::operators::LoadedConfig;
 use crate::jobs::view::ShardView;
 use crate::note::Note;
 use crate::shard::interference::Learned;
@@ -76,7 +76,7 @@
         announcements: Announcements,
         at: Option<Duration>,
     },
-    Config(Box<ReadQueues>),
+    Config(Box<LoadedConfig>),
     Wave(Wave),
     /// At that time the configuration in force was the newest one.
     ConfigConfirmed {
@@ -127,7 +127,7 @@
             StoreEvent::Fleet { vms, announcements, at } => {
                 self.update_fleet(vms, announcements, at, cx);
             }
-            StoreEvent::Config(queues) => self.apply_config(*queues, cx),
+            StoreEvent::Config(loaded) => self.apply_config(*loaded, cx),
             StoreEvent::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
             StoreEvent::ConfigConfirmed { at } => self.confirm_config(at),
             StoreEvent::ConfigReadFailed { reason } => self.config_error = Some(reason),
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -7,7 +7,7 @@
 use crate::job::JobId;
 use crate::jobs::calls::Reply;
 use crate::jobs::confirmed::ConfirmationStatus;
-use crate::jobs::follow::operators::ReadQueues;
+use crate::jobs::follow::operators::LoadedConfig;
 use crate::jobs::links::{OfferShard, ProbeMember};
 use crate::jobs::records::{ClaimShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard};
 use crate::journal::Journal;
@@ -202,8 +202,8 @@
         self.publish(now.steady);
     }
 
-    pub(super) fn apply_config(&mut self, read: ReadQueues, cx: &mut Context<Self>) {
-        let ReadQueues { queues, bytes, decode } = read;
+    pub(super) fn apply_config(&mut self, loaded: LoadedConfig, cx: &mut Context<Self>) {
+        let LoadedConfig { queues, encoded_bytes, decode_time } = loaded;
         let before = self.queues.as_ref().map_or(0, |queues| queues.version);
         if queues.version <= before {
             return;
@@ -213,8 +213,8 @@
             version: queues.version,
             before,
             queues: queues.queues.len(),
-            bytes,
-            decode_ms: Ms(decode),
+            bytes: encoded_bytes,
+            decode_ms: Ms(decode_time),
             unconfirmed_ms: Ms(self.config_confirmation.age(now)),
         });
         let queues = Arc::new(queues);
--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -25,12 +25,12 @@
 
 /// A configuration with the cost of reading it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadQueues {
+pub struct LoadedConfig {
     pub queues: Queues,
     /// Size of the encoded entry.
-    pub bytes: usize,
+    pub encoded_bytes: usize,
     /// Time spent decoding it.
-    pub decode: Duration,
+    pub decode_time: Duration,
 }
 
 /// Runs the follower.
@@ -127,11 +127,11 @@
         let began = ctx.store.clock().now();
         match ctx.platform.parse_operator_entry(item) {
             Ok(OperatorEntry::Config(queues)) => {
-                let decode = ctx.store.clock().now().saturating_sub(began);
-                let bytes = item.value.len();
-                (self.config, self.config_bytes) = (ConfigState::Read, bytes);
-                let read = ReadQueues { queues, bytes, decode };
-                ctx.control.do_send(StoreEvent::Config(Box::new(read)));
+                let decode_time = ctx.store.clock().now().saturating_sub(began);
+                let encoded_bytes = item.value.len();
+                (self.config, self.config_bytes) = (ConfigState::Read, encoded_bytes);
+                let loaded = LoadedConfig { queues, encoded_bytes, decode_time };
+                ctx.control.do_send(StoreEvent::Config(Box::new(loaded)));
             }
             Ok(OperatorEntry::Wave(wave)) => ctx.control.do_send(StoreEvent::Wave(wave)),
             Ok(OperatorEntry::Other) => {}
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -299,8 +299,8 @@
         match &msg {
             StoreEvent::Claimed(_) => self.claims.borrow_mut().push((self.name, true)),
             StoreEvent::ClaimFailed { .. } => self.claims.borrow_mut().push((self.name, false)),
-            StoreEvent::Config(read) => {
-                let version = read.queues.version;
+            StoreEvent::Config(loaded) => {
+                let version = loaded.queues.version;
                 self.config.set(ConfigUpdate { version, ..self.config.get() });
             }
             StoreEvent::ConfigConfirmed { at } => {
