--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -63,7 +63,7 @@
 
 /// Client for jobs in any shard.
 #[derive(Clone)]
-pub struct Calls {
+pub struct JobClient {
     view: watch::Receiver<Arc<View>>,
     directory: Arc<Mutex<JobDirectory>>,
     control: Addr<Control>,
@@ -93,7 +93,7 @@
     Uncertain(String),
 }
 
-impl Calls {
+impl JobClient {
     /// Creates a client that sends its calls through these actors.
     pub fn new(
         view: watch::Receiver<Arc<View>>,
@@ -109,7 +109,7 @@
 
     /// Makes every call return before `at`, so that no open call is cut off when the daemon exits.
     /// Applies to all clones; only the first value counts.
-    pub fn end_by(&self, at: Duration) {
+    pub fn set_shutdown_deadline(&self, at: Duration) {
         self.shutdown_deadline.get_or_init(|| at);
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Number of a queue's jobs without any started task; `None` if a shard's count is out of date.
-    pub fn queued(&self, queue: &QueueName) -> Option<u32> {
+    pub fn queued_jobs(&self, queue: &QueueName) -> Option<u32> {
         let view = self.view();
         let now = self.clock.now();
         let mut sum = 0;
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -1,4 +1,4 @@
-use super::{Answer, Call, Calls, Demand, Refusals, Reply, UnreportedLoad};
+use super::{Answer, Call, Demand, JobClient, Refusals, Reply, UnreportedLoad};
 use crate::clock::{Clock, SystemClock};
 use crate::cluster::{Hello, Member, MemberStage};
 use crate::ids::{DaemonId, DomainId, ServiceName};
@@ -63,7 +63,7 @@
 }
 
 /// Client on a daemon that owns no shard; `owner` is the address of the shard's owner, if any.
-fn calls(found: Option<JobLocation>, owner: Option<SocketAddr>) -> Calls {
+fn client(found: Option<JobLocation>, owner: Option<SocketAddr>) -> JobClient {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let journal = Journal::start(clock.clone(), Weight::Urgent, std::io::sink());
     let directory: Arc<Mutex<JobDirectory>> = Arc::default();
@@ -83,7 +83,7 @@
     drop(view);
     let links = PeerLinks::new(control.clone()).start();
     let finder = FakeStore(found).start().recipient();
-    Calls::new(fixed, directory, control, links, finder, clock)
+    JobClient::new(fixed, directory, control, links, finder, clock)
 }
 
 fn job() -> Job {
@@ -113,10 +113,10 @@
 // call that waits for the store beyond its budget and leaves the caller without an answer.
 #[actix::test]
 async fn a_store_that_does_not_answer_leaves_no_caller_without_an_answer() {
-    let calls = calls(None, None);
-    let shown = answered(calls.show(JOB, CALL_TIMEOUT)).await;
+    let client = client(None, None);
+    let shown = answered(client.show(JOB, CALL_TIMEOUT)).await;
     assert!(matches!(shown, Answer::Unknown { .. }), "{shown:?}");
-    let cancelled = answered(calls.cancel(JOB, CALL_TIMEOUT)).await;
+    let cancelled = answered(client.cancel(JOB, CALL_TIMEOUT)).await;
     assert!(matches!(cancelled, Answer::Unknown { .. }), "{cancelled:?}");
 }
 
@@ -126,9 +126,9 @@
 #[actix::test]
 async fn a_job_that_was_not_sent_in_time_is_reported_as_not_run() {
     let (_listener, addr) = unserved_listener();
-    let calls = calls(None, Some(addr));
-    calls.remember_shard(JOB, SHARD);
-    let answer = answered(calls.submit(job(), Duration::ZERO)).await;
+    let client = client(None, Some(addr));
+    client.remember_shard(JOB, SHARD);
+    let answer = answered(client.submit(job(), Duration::ZERO)).await;
     assert!(matches!(answer, Answer::NotRun { .. }), "{answer:?}");
 }
 
@@ -136,11 +136,11 @@
 // Guards against the call being cut off without an answer when the daemon exits.
 #[actix::test]
 async fn an_open_call_is_answered_before_a_planned_shutdown() {
-    let calls = calls(Some(JobLocation::Unknown("the store is unreachable".to_owned())), None);
-    let (waiting, clock) = (calls.clone(), SystemClock);
+    let client = client(Some(JobLocation::Unknown("the store is unreachable".to_owned())), None);
+    let (waiting, clock) = (client.clone(), SystemClock);
     let caller = actix::spawn(async move { waiting.show(JOB, 10 * TEST_TIMEOUT).await });
     tokio::task::yield_now().await;
-    calls.end_by(clock.now() + CALL_TIMEOUT);
+    client.set_shutdown_deadline(clock.now() + CALL_TIMEOUT);
     let answer = answered(async { caller.await.expect("a caller that doesn't panic") }).await;
     assert!(matches!(answer, Answer::Unknown { .. }), "{answer:?}");
 }
@@ -193,9 +193,9 @@
 async fn a_silent_connection_is_not_the_end_of_a_call() {
     let (listener, addr) = unserved_listener();
     actix::spawn(serve_from_second_connection(listener));
-    let calls = calls(None, Some(addr));
-    calls.remember_shard(JOB, SHARD);
-    let answer = answered(calls.show(JOB, TEST_TIMEOUT)).await;
+    let client = client(None, Some(addr));
+    client.remember_shard(JOB, SHARD);
+    let answer = answered(client.show(JOB, TEST_TIMEOUT)).await;
     assert_eq!(answer, Answer::Shown(ShownState::Done));
 }
 
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -1,6 +1,6 @@
 //! Starts the daemon's actors on their threads, and stops them.
 
-use super::calls::Calls;
+use super::calls::JobClient;
 use super::control::{
     ACTION_RING_POLICY, ActorHandles, Connect, Control, Drain, HasShards, ReleaseShards,
 };
@@ -131,9 +131,9 @@
         Ok(Self { id, control, links, records, view, directory, clock, journal, arbiters })
     }
 
-    /// Creates the API for callers' calls. Each thread needs its own.
-    pub fn calls(&self) -> Calls {
-        Calls::new(
+    /// Creates a client for jobs. Each thread needs its own.
+    pub fn job_client(&self) -> JobClient {
+        JobClient::new(
             self.view.clone(),
             self.directory.clone(),
             self.control.clone(),
--- a/src/jobs/stop.rs
+++ b/src/jobs/stop.rs
@@ -2,7 +2,7 @@
 //! remaining calls.
 
 use super::Platform;
-use super::calls::Calls;
+use super::calls::JobClient;
 use super::daemon::Daemon;
 use crate::clock::Clock;
 use actix_web::dev::ServerHandle;
@@ -32,8 +32,8 @@
 pub struct Servers {
     pub callers: ServerHandle,
     pub ready: ServerHandle,
-    pub calls: Calls,
-    /// Calls that have not been answered yet.
+    pub job_client: JobClient,
+    /// Number of calls that have not been answered yet.
     pub open: Arc<AtomicUsize>,
 }
 
@@ -43,7 +43,7 @@
         let deadline = clock.now() + grace.min(BALANCER_DELAY + LAST_CALLS_TIMEOUT);
         // A call may have a deadline after the end of the daemon. Without this limit it would be
         // cut off, and its caller would not learn its outcome.
-        self.calls.end_by(deadline.saturating_sub(ANSWER_MARGIN));
+        self.job_client.set_shutdown_deadline(deadline.saturating_sub(ANSWER_MARGIN));
         let drain = daemon.drain(HANDOVER_TIMEOUT.min(grace / 2));
         tokio::join!(drain, tokio::time::sleep(BALANCER_DELAY.min(grace * 2 / 3)));
         // Completes when the last call is answered; idle connections are closed immediately.
