--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -144,7 +144,7 @@
     }
 
     /// Returns the configuration of the HTTP endpoints for operators.
-    pub fn operators(&self) -> impl Fn(&mut web::ServiceConfig) + Clone + Send + use<P> {
+    pub fn operator_routes(&self) -> impl Fn(&mut web::ServiceConfig) + Clone + Send + use<P> {
         status::mount(self.control.clone())
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Stops all actors.
-    pub fn end(self, open_calls: usize) {
+    pub fn shut_down(self, open_calls: usize) {
         self.records.do_send(Shutdown);
         self.journal.write(Note::DaemonStopped { daemon: self.id.clone(), open_calls });
         self.journal.close(Duration::from_millis(200));
--- a/src/jobs/stop.rs
+++ b/src/jobs/stop.rs
@@ -34,7 +34,7 @@
     pub ready: ServerHandle,
     pub job_client: JobClient,
     /// Number of calls that have not been answered yet.
-    pub open: Arc<AtomicUsize>,
+    pub open_calls: Arc<AtomicUsize>,
 }
 
 impl Servers {
@@ -53,6 +53,6 @@
         let _ = tokio::time::timeout(left, callers_stopped).await;
         self.ready.stop(false).await;
         daemon.release_shards(RELEASE_TIMEOUT).await;
-        daemon.end(self.open.load(Ordering::Relaxed));
+        daemon.shut_down(self.open_calls.load(Ordering::Relaxed));
     }
 }
