--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -73,7 +73,7 @@
 
         let control = {
             let (me, clock, journal) = (me.clone(), clock.clone(), journal.clone());
-            let (shard_settings, directory) = (settings.shard(), directory.clone());
+            let (shard_settings, directory) = (settings.shard_settings(), directory.clone());
             let config_in_force = Duration::from_millis(settings.bounds.config_in_force_ms);
             Control::start_in_arbiter(&arbiters[0].handle(), move |_| {
                 Control::new(
@@ -222,6 +222,6 @@
         domain: settings.domain.clone(),
         addr: addr.to_string(),
         stage: MemberStage::Serving,
-        power: settings.machine.power(),
+        power: settings.machine.milli_cores(),
     }
 }
--- a/src/jobs/settings.rs
+++ b/src/jobs/settings.rs
@@ -31,7 +31,7 @@
     pub ip: std::net::IpAddr,
     /// First and last port for traffic between daemons.
     pub ports: [u16; 2],
-    pub machine: Machine,
+    pub machine: CpuLimits,
     pub listen: Listen,
     pub store: Store,
     pub bounds: Bounds,
@@ -47,16 +47,17 @@
 
 /// CPU available to the daemon on its VM.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Machine {
+// The error names the settings key `machine`, not this type.
+#[serde(deny_unknown_fields, expecting = "struct Machine")]
+pub struct CpuLimits {
     pub cores: f64,
     /// Fraction of the cores that the daemon may use.
     pub core_share: f64,
 }
 
-impl Machine {
+impl CpuLimits {
     /// CPU capacity, in thousandths of a core.
-    pub fn power(&self) -> u32 {
+    pub fn milli_cores(&self) -> u32 {
         (self.cores * self.core_share * 1000.0).round() as u32
     }
 }
@@ -142,7 +143,7 @@
     }
 
     /// Settings for the shards.
-    pub fn shard(&self) -> shard::Settings {
+    pub fn shard_settings(&self) -> shard::Settings {
         let ms = Duration::from_millis;
         let bounds = &self.bounds;
         shard::Settings {
