--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -56,7 +56,7 @@
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Interval at which maintenance waves are advanced.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval at which the local shards are summarized and informed about the other shards. Each of
 /// the two costs as much as a few dozen events.
@@ -135,8 +135,8 @@
     plan: Plan,
     store_reach: StoreReach,
     store_lost_at: Option<Duration>,
-    upkeep: Duty,
-    next_upkeep: Duration,
+    maintenance: Duty,
+    next_maintenance: Duration,
     /// Number of open permit requests by the daemon that sends them to the service.
     permit_requests: IndexMap<String, u32>,
     offers: IndexMap<String, ShardOffer>,
@@ -166,7 +166,7 @@
         directory: Arc<Mutex<JobDirectory>>,
     ) -> Self {
         let now = clock.now();
-        let upkeep = Duty::new(&me.name);
+        let maintenance = Duty::new(&me.name);
         Self {
             settings,
             journal,
@@ -183,8 +183,8 @@
             plan: Plan::default(),
             store_reach: StoreReach::Away,
             store_lost_at: None,
-            upkeep,
-            next_upkeep: now,
+            maintenance,
+            next_maintenance: now,
             permit_requests: IndexMap::new(),
             offers: IndexMap::new(),
             reported_lapses: IndexMap::new(),
@@ -327,9 +327,9 @@
         if now.steady >= self.next_publish {
             self.next_publish = now.steady + PUBLISH_INTERVAL;
             self.step_ownership(cluster::Event::Tick, cx);
-            if now.steady >= self.next_upkeep {
-                self.next_upkeep = now.steady + UPKEEP_INTERVAL;
-                self.tick_upkeep(cx);
+            if now.steady >= self.next_maintenance {
+                self.next_maintenance = now.steady + MAINTENANCE_INTERVAL;
+                self.tick_maintenance(cx);
             }
             if now.steady >= self.next_neighbours {
                 self.next_neighbours = now.steady + NEIGHBOUR_INTERVAL;
@@ -343,20 +343,20 @@
         }
     }
 
-    fn tick_upkeep(&mut self, cx: &mut Context<Self>) {
+    fn tick_maintenance(&mut self, cx: &mut Context<Self>) {
         let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
             vacated: hosted.shard.vacated(),
         };
         let shards = self.hosted.iter().map(to_own_shard).collect();
-        self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
+        self.step_maintenance(upkeep::duty::Event::Tick(shards), cx);
     }
 
     /// Passes an event to the maintenance state machine and executes the resulting actions.
-    fn step_upkeep(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
+    fn step_maintenance(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
         let now = self.clock.now();
-        for action in self.upkeep.step(now, event) {
+        for action in self.maintenance.step(now, event) {
             match action {
                 upkeep::duty::Action::Note(note) => self.journal.write(note),
                 upkeep::duty::Action::Vacate { shard, order } => {
