--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -34,7 +34,7 @@
 
 /// A store entry that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("can't decode `{key}` ({reason}); it may be in a newer format than this release supports")]
+#[error("`{key}` can't be read ({reason}); the platform writes something newer than this release")]
 pub struct UnreadableEntry {
     pub key: String,
     pub reason: String,
