--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -7,9 +7,9 @@
 mod tests;
 
 use super::control::{Control, HandleCall};
-use super::links::{self, ForwardCall, Links};
-use super::records::{FindJob, Found};
-use super::view::{Directory, Owner, ShardView, View};
+use super::links::{self, ForwardCall, PeerLinks};
+use super::records::{FindJob, JobLocation};
+use super::view::{JobDirectory, Owner, ShardView, View};
 use crate::clock::Clock;
 use crate::job::check::{self, Fault};
 use crate::job::{Image, Job, JobId, Life, QueueName, Share, ShownState};
@@ -63,11 +63,11 @@
 
 /// Client for jobs in any shard.
 #[derive(Clone)]
-pub struct Calls {
+pub struct JobClient {
     view: watch::Receiver<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     control: Addr<Control>,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     finder: Recipient<FindJob>,
     clock: Arc<dyn Clock>,
     unreported: Arc<Mutex<IndexMap<String, UnreportedLoad>>>,
@@ -93,13 +93,13 @@
     Uncertain(String),
 }
 
-impl Calls {
+impl JobClient {
     /// Creates a client that sends its calls through these actors.
     pub fn new(
         view: watch::Receiver<Arc<View>>,
-        directory: Arc<Mutex<Directory>>,
+        directory: Arc<Mutex<JobDirectory>>,
         control: Addr<Control>,
-        links: Addr<Links>,
+        links: Addr<PeerLinks>,
         finder: Recipient<FindJob>,
         clock: Arc<dyn Clock>,
     ) -> Self {
@@ -109,7 +109,7 @@
 
     /// Makes every call return before `at`, so that no open call is cut off when the daemon exits.
     /// Applies to all clones; only the first value counts.
-    pub fn end_by(&self, at: Duration) {
+    pub fn set_shutdown_deadline(&self, at: Duration) {
         self.shutdown_deadline.get_or_init(|| at);
     }
 
@@ -129,12 +129,12 @@
 
     /// Submits a job.
     pub async fn submit(&self, job: Job, budget: Duration) -> Answer {
-        if let Err(fault) = check::possible(&job, &self.view().shapes) {
+        if let Err(fault) = check::possible(&job, &self.view().vm_shapes) {
             return impossible_answer(&fault);
         }
         let deadline = self.clock.now() + budget;
         let mut refusals = Refusals::default();
-        let mut last = not_run("no shard has an owner at the moment", RETRY_AFTER_NO_OWNER);
+        let mut last = not_run("no shard has an owner just now", RETRY_AFTER_NO_OWNER);
         loop {
             let cached = self.cached_shard(job.id).map(|shard| (shard, AdmissionMode::Always));
             let is_cached = cached.is_some();
@@ -180,12 +180,12 @@
     }
 
     /// Number of a queue's jobs without any started task; `None` if a shard's count is out of date.
-    pub fn queued(&self, queue: &QueueName) -> Option<u32> {
+    pub fn queued_jobs(&self, queue: &QueueName) -> Option<u32> {
         let view = self.view();
         let now = self.clock.now();
         let mut sum = 0;
         for shard in view.shards.values() {
-            if now.saturating_sub(shard.at) > MAX_COUNT_AGE {
+            if now.saturating_sub(shard.summary_at) > MAX_COUNT_AGE {
                 return None;
             }
             let queued = shard.summary.queued.iter().find(|(name, _)| name == queue);
@@ -200,7 +200,7 @@
         loop {
             let shard = match self.locate(id, deadline).await {
                 JobLocation::Shard(shard) => shard,
-                JobLocation::Nowhere => return Answer::NotHere,
+                JobLocation::NotFound => return Answer::NotHere,
                 JobLocation::Unknown(reason) => {
                     if self.wait_to_retry(deadline).await {
                         continue;
@@ -213,7 +213,7 @@
                     match self.find_in_store(id, deadline).await {
                         JobLocation::Shard(other) if other != shard => {}
                         // A finished job that its owner has deleted is deleted from the store, too.
-                        JobLocation::Shard(_) | JobLocation::Nowhere => return Answer::NotHere,
+                        JobLocation::Shard(_) | JobLocation::NotFound => return Answer::NotHere,
                         JobLocation::Unknown(reason) => return Answer::Unknown { reason },
                     }
                 }
@@ -226,7 +226,7 @@
                 }
                 Attempt::NotRun => {
                     if !self.wait_to_retry(deadline).await {
-                        let reason = "the job's shard has no owner at the moment".to_owned();
+                        let reason = "the job's shard has no owner just now".to_owned();
                         return Answer::Unknown { reason };
                     }
                 }
@@ -247,16 +247,14 @@
         let found =
             tokio::time::timeout(self.time_left(deadline), self.finder.send(FindJob(id))).await;
         match found {
-            Ok(Ok(Found::Shard(shard))) => {
-                self.remember_shard(id, &shard);
-                JobLocation::Shard(shard)
+            Ok(Ok(location)) => {
+                if let JobLocation::Shard(shard) = &location {
+                    self.remember_shard(id, shard);
+                }
+                location
             }
-            Ok(Ok(Found::Nowhere)) => JobLocation::Nowhere,
-            Ok(Ok(Found::Unknown(reason))) => JobLocation::Unknown(reason),
             Ok(Err(e)) => JobLocation::Unknown(e.to_string()),
-            Err(_) => JobLocation::Unknown(
-                "the store did not answer the lookup of the job's shard in time".to_owned(),
-            ),
+            Err(_) => JobLocation::Unknown("the store has not said where the job is".to_owned()),
         }
     }
 
@@ -270,8 +268,8 @@
         let timeout = left.min(ATTEMPT_TIMEOUT);
         match owner {
             None => Attempt::NotRun,
-            Some(Owner::Here) => self.attempt_locally(shard, call, timeout).await,
-            Some(Owner::Other(to)) => {
+            Some(Owner::Local) => self.attempt_locally(shard, call, timeout).await,
+            Some(Owner::Remote(to)) => {
                 let msg = ForwardCall { to, shard: shard.to_owned(), call, timeout };
                 match self.links.send(msg).await {
                     Ok(Ok(Reply::Answer(answer))) => Attempt::Answered(answer),
@@ -300,7 +298,7 @@
         let demand = Demand::of(job, refusals);
         let is_candidate = |(_, shard): &(&String, &ShardView)| {
             shard.owner.is_some()
-                && now.saturating_sub(shard.at) < MAX_SUMMARY_AGE
+                && now.saturating_sub(shard.summary_at) < MAX_SUMMARY_AGE
                 && shard.summary.vms > 0
         };
         let mut unreported = self.unreported.lock().unwrap_or_else(PoisonError::into_inner);
@@ -309,7 +307,8 @@
             .iter()
             .filter(is_candidate)
             .map(|(name, shard)| {
-                let load = unreported.get(name).filter(|l| l.summary_at == shard.at).copied();
+                let load =
+                    unreported.get(name).filter(|l| l.summary_at == shard.summary_at).copied();
                 (name, shard, load.unwrap_or_default())
             })
             .collect();
@@ -323,8 +322,8 @@
         let ((name, shard, _), mode) =
             best(AdmissionMode::IfRoom).or_else(|| best(AdmissionMode::Always))?;
         let entry = unreported.entry(name.clone()).or_default();
-        if entry.summary_at != shard.at {
-            *entry = UnreportedLoad { summary_at: shard.at, ..UnreportedLoad::default() };
+        if entry.summary_at != shard.summary_at {
+            *entry = UnreportedLoad { summary_at: shard.summary_at, ..UnreportedLoad::default() };
         }
         entry.reserved += demand.reserved;
         entry.leftover_work += demand.leftover_work;
@@ -361,12 +360,6 @@
     }
 }
 
-enum JobLocation {
-    Shard(String),
-    Nowhere,
-    Unknown(String),
-}
-
 /// Resources that a job requires of a shard.
 struct Demand<'a> {
     /// Largest concurrent reservation, in thousandths of a core.
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,4 +1,4 @@
-use super::{Connect, Control, HandleCall, HelloReceived, OwnsAny, Rings, Stored};
+use super::{ActorHandles, Connect, Control, HandleCall, HasShards, HelloReceived, StoreEvent};
 use crate::clock::{Clock, ManualClock};
 use crate::cluster::ownership::OWN_PAUSE;
 use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
@@ -6,10 +6,12 @@
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
 use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
 use crate::jobs::calls::{Call, Reply};
-use crate::jobs::links::Links;
-use crate::jobs::machines::Upkeep;
-use crate::jobs::orders::{AskHere, Order};
-use crate::jobs::records::{Claim, Commit, Confirm, Confirmation, Forget, ReadHeads};
+use crate::jobs::links::PeerLinks;
+use crate::jobs::machines::MaintenanceAction;
+use crate::jobs::orders::{RequestPermits, VmCall};
+use crate::jobs::records::{
+    ClaimShard, CommitShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard,
+};
 use crate::jobs::view::View;
 use crate::journal::Journal;
 use crate::note::Weight;
@@ -37,18 +39,18 @@
     type Context = Context<Self>;
 }
 
-impl Handler<Confirm> for FakeActors {
-    type Result = Confirmation;
+impl Handler<ConfirmOwnership> for FakeActors {
+    type Result = OwnershipStatus;
 
-    fn handle(&mut self, _: Confirm, _: &mut Self::Context) -> Self::Result {
-        Confirmation::Lost
+    fn handle(&mut self, _: ConfirmOwnership, _: &mut Self::Context) -> Self::Result {
+        OwnershipStatus::Lost
     }
 }
 
-impl Handler<AskHere> for FakeActors {
+impl Handler<RequestPermits> for FakeActors {
     type Result = permit::Result<PermitResp>;
 
-    fn handle(&mut self, _: AskHere, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: RequestPermits, _: &mut Self::Context) -> Self::Result {
         Err(permit::Error::NotSent { reason: "no service".to_owned() })
     }
 }
@@ -64,7 +66,7 @@
     };
 }
 
-ignored!(Order, Upkeep, Claim, Commit, Forget, ReadHeads);
+ignored!(VmCall, MaintenanceAction, ClaimShard, CommitShard, RemoveShard, ReadHeads);
 
 fn me() -> Member {
     Member {
@@ -93,22 +95,22 @@
     let control = Control::new(me, settings, in_force, clock, journal, publish, Arc::default());
     let control = control.start();
     let others = FakeActors.start();
-    control.do_send(Connect(Rings {
-        orders: Ring::new(others.clone(), WhenFull::Drop),
-        asker: others.clone().recipient(),
-        upkeep: others.clone().recipient(),
-        links: Links::new(control.clone()).start(),
+    control.do_send(Connect(ActorHandles {
+        vm_calls: Ring::new(others.clone(), WhenFull::Drop),
+        permits: others.clone().recipient(),
+        maintenance: others.clone().recipient(),
+        links: PeerLinks::new(control.clone()).start(),
         claims: others.clone().recipient(),
         commits: others.clone().recipient(),
-        forget: others.clone().recipient(),
+        removals: others.clone().recipient(),
         heads: others.clone().recipient(),
-        confirm: others.recipient(),
+        confirmations: others.recipient(),
     }));
     control
 }
 
-fn claimed() -> Stored {
-    Stored::Claimed(Box::new(Recovered {
+fn claimed() -> StoreEvent {
+    StoreEvent::Claimed(Box::new(Recovered {
         shard: SHARD.to_owned(),
         fence: Fence(7),
         seq: 0,
@@ -173,7 +175,7 @@
 const VM: &str = "i-1";
 
 /// A claimed shard with a task on a VM that the store lists as silent.
-fn claimed_with_silent_vm() -> Stored {
+fn claimed_with_silent_vm() -> StoreEvent {
     let size = Resources::new(1000, 1000, 0);
     let step = Step {
         resume: Resume::FromCheckpoint,
@@ -201,11 +203,11 @@
         open: vec![OccurrenceProgress { number: 0, steps: vec![vec![task]] }],
         crashes: Vec::new(),
     };
-    let Stored::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
+    let StoreEvent::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
     recovered.silent = vec![SilentVm { vm: VmId::new(VM), mark: SilenceMark(3) }];
     recovered.progress = vec![(job.id, progress)];
     recovered.jobs = vec![Arc::new(job)];
-    Stored::Claimed(recovered)
+    StoreEvent::Claimed(recovered)
 }
 
 /// Hello in which an earlier owner reports the silent VM.
@@ -236,7 +238,7 @@
     clock.advance(2 * OWN_PAUSE);
     control.send(HandleCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
     assert!(
-        !control.send(OwnsAny).await.expect("a control"),
+        !control.send(HasShards).await.expect("a control"),
         "the shard is dropped after the store reports another owner"
     );
     control.send(claimed_with_silent_vm()).await.expect("a control");
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -11,7 +11,7 @@
 use super::control::{
     ConnectionRefused, Control, HandleCall, HandleLoanMessage, HandleOffer, HelloReceived,
 };
-use super::orders::AskHere;
+use super::orders::RequestPermits;
 use crate::cluster::{Hello, Member};
 use crate::ids::DaemonId;
 use crate::permit::{self, PermitReq, PermitResp};
@@ -81,7 +81,7 @@
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// Actor that holds the connections to other daemons.
-pub struct Links {
+pub struct PeerLinks {
     control: Addr<Control>,
     peers: IndexMap<String, PeerClient>,
     own_hello: Option<OwnHello>,
@@ -93,7 +93,7 @@
     brief: Hello,
 }
 
-impl Links {
+impl PeerLinks {
     /// Creates an actor without connections.
     pub fn new(control: Addr<Control>) -> Self {
         Self { control, peers: IndexMap::new(), own_hello: None }
@@ -115,7 +115,7 @@
     }
 }
 
-impl Actor for Links {
+impl Actor for PeerLinks {
     type Context = Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
@@ -126,9 +126,9 @@
 /// Serves other daemons' calls on the current thread until it ends.
 pub async fn serve(
     listener: TcpListener,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     control: Addr<Control>,
-    asker: Recipient<AskHere>,
+    permits: Recipient<RequestPermits>,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -139,7 +139,7 @@
             // The peer reconnects if its connection broke while it was accepted.
             let Ok(transport) = incoming else { continue };
             let (links, control) = (links.clone(), control.clone());
-            let server = Server { links, control, asker: asker.clone() };
+            let server = Server { links, control, permits: permits.clone() };
             let requests = BaseChannel::with_defaults(transport).execute(server.serve());
             actix::spawn(requests.for_each(|answer| async {
                 actix::spawn(answer);
@@ -151,9 +151,9 @@
 
 #[derive(Clone)]
 struct Server {
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     control: Addr<Control>,
-    asker: Recipient<AskHere>,
+    permits: Recipient<RequestPermits>,
 }
 
 impl JobsRpc for Server {
@@ -175,7 +175,7 @@
 
     async fn ask(self, _: CallContext, req: PermitReq) -> permit::Result<PermitResp> {
         let ended = |e: MailboxError| permit::Error::NotSent { reason: e.to_string() };
-        self.asker.send(AskHere(req)).await.map_err(ended)?
+        self.permits.send(RequestPermits(req)).await.map_err(ended)?
     }
 
     async fn take(self, _: CallContext, shard: String, from: DaemonId, lapses: Vec<VmLapse>) {
@@ -192,7 +192,7 @@
     pub others: Vec<Member>,
 }
 
-impl Handler<SendHello> for Links {
+impl Handler<SendHello> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: SendHello, _: &mut Self::Context) {
@@ -214,7 +214,7 @@
 #[rtype(result = "()")]
 pub struct ProbeMember(pub Member);
 
-impl Handler<ProbeMember> for Links {
+impl Handler<ProbeMember> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: ProbeMember, _: &mut Self::Context) {
@@ -235,7 +235,7 @@
     Brief,
 }
 
-impl Handler<GetHello> for Links {
+impl Handler<GetHello> for PeerLinks {
     type Result = Option<Hello>;
 
     fn handle(&mut self, msg: GetHello, _: &mut Self::Context) -> Self::Result {
@@ -257,7 +257,7 @@
     pub lapses: Vec<VmLapse>,
 }
 
-impl Handler<OfferShard> for Links {
+impl Handler<OfferShard> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: OfferShard, _: &mut Self::Context) {
@@ -280,7 +280,7 @@
     pub msg: LoanMsg,
 }
 
-impl Handler<SendLoanMessage> for Links {
+impl Handler<SendLoanMessage> for PeerLinks {
     type Result = ();
 
     fn handle(&mut self, msg: SendLoanMessage, _: &mut Self::Context) {
@@ -300,14 +300,14 @@
     pub req: PermitReq,
 }
 
-impl Handler<ForwardPermitRequest> for Links {
+impl Handler<ForwardPermitRequest> for PeerLinks {
     type Result = ResponseFuture<permit::Result<PermitResp>>;
 
     fn handle(&mut self, msg: ForwardPermitRequest, _: &mut Self::Context) -> Self::Result {
         let peer = self.peer(&msg.to.addr);
         Box::pin(async move {
             let no_answer = |e: Error| permit::Error::NoAnswer { reason: e.to_string() };
-            peer.ask_permits(msg.req).await.map_err(no_answer)?
+            peer.request_permits(msg.req).await.map_err(no_answer)?
         })
     }
 }
@@ -322,7 +322,7 @@
     pub timeout: Duration,
 }
 
-impl Handler<ForwardCall> for Links {
+impl Handler<ForwardCall> for PeerLinks {
     type Result = ResponseFuture<Result<Reply>>;
 
     fn handle(&mut self, msg: ForwardCall, _: &mut Self::Context) -> Self::Result {
@@ -365,7 +365,7 @@
         self.request(timeout, |client, cx| async move { client.call(cx, shard, call).await }).await
     }
 
-    async fn ask_permits(&self, req: PermitReq) -> Result<permit::Result<PermitResp>> {
+    async fn request_permits(&self, req: PermitReq) -> Result<permit::Result<PermitResp>> {
         let timeout = req.timeout + HELLO_TIMEOUT;
         self.request(timeout, |client, cx| async move { client.ask(cx, req).await }).await
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -5,9 +5,9 @@
 //! head that it replaces, so it takes effect at most once, however often and late it arrives.
 
 use super::claim::{self, ShardWriter};
-use super::control::Stored;
+use super::control::StoreEvent;
 use super::follow::{self, FollowContext, OwnershipSignal};
-use super::{Platform, Unreadable};
+use super::{Platform, UnreadableEntry};
 use crate::clock::Clock;
 use crate::cluster::{Member, Replaced, StoreReach};
 use crate::ids::DaemonId;
@@ -135,7 +135,7 @@
     me: Member,
     platform: P,
     store: MonitoredStore<P::Store>,
-    control: Recipient<Stored>,
+    control: Recipient<StoreEvent>,
     shards: IndexMap<String, mpsc::Sender<CommitRequest>>,
     /// Claims in progress.
     claims: u32,
@@ -156,7 +156,7 @@
         me: Member,
         platform: P,
         lease_ttl: Duration,
-        control: Recipient<Stored>,
+        control: Recipient<StoreEvent>,
         clock: Arc<dyn Clock>,
     ) -> Self {
         let store = MonitoredStore::new(platform.store(), clock);
@@ -179,7 +179,7 @@
         if reach != self.reported_reach {
             self.reported_reach = reach;
             let (silent, reason) = (self.store.reach.silent(now), self.store.reach.reason());
-            self.control.do_send(Stored::Reach { reach, silent, reason });
+            self.control.do_send(StoreEvent::Reach { reach, silent, reason });
         }
     }
 
@@ -222,16 +222,16 @@
 /// Claims a shard and reads its state from the store.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Claim {
+pub struct ClaimShard {
     pub shard: String,
     pub previous: PreviousOwner,
     pub replaces: Replaced,
 }
 
-impl<P: Platform> Handler<Claim> for Records<P> {
+impl<P: Platform> Handler<ClaimShard> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Claim, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: ClaimShard, cx: &mut Self::Context) {
         let (store, me, control) = (self.store.clone(), self.me.id.clone(), self.control.clone());
         self.claims += 1;
         self.update_ownership();
@@ -242,12 +242,12 @@
             match claimed {
                 Ok((writer, recovered)) => {
                     this.start_writer(&msg.shard, writer);
-                    control.do_send(Stored::Claimed(Box::new(recovered)));
+                    control.do_send(StoreEvent::Claimed(Box::new(recovered)));
                     this.ownership.claimed.notify_one();
                 }
                 Err(failed) => {
                     let (shard, head) = (msg.shard, failed.head);
-                    control.do_send(Stored::ClaimFailed { shard, head, reason: failed.reason });
+                    control.do_send(StoreEvent::ClaimFailed { shard, head, reason: failed.reason });
                 }
             }
             this.update_ownership();
@@ -267,7 +267,7 @@
 /// Writes a shard's commits in sequence, until the shard is lost.
 async fn write_commits<S: Kv>(
     store: MonitoredStore<S>,
-    control: Recipient<Stored>,
+    control: Recipient<StoreEvent>,
     shard: String,
     mut writer: ShardWriter,
     mut rx: mpsc::Receiver<CommitRequest>,
@@ -277,7 +277,7 @@
         let result = writer.commit(&store, request.seq, request.txn).await;
         let lost = matches!(result, crate::shard::CommitResult::Superseded(_));
         let (shard, seq) = (shard.clone(), request.seq);
-        control.do_send(Stored::Committed { shard, fence, seq, result });
+        control.do_send(StoreEvent::Committed { shard, fence, seq, result });
         if lost {
             return;
         }
@@ -287,16 +287,16 @@
 /// Commits changes to a shard.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Commit {
+pub struct CommitShard {
     pub shard: String,
     pub seq: u64,
     pub txn: Txn,
 }
 
-impl<P: Platform> Handler<Commit> for Records<P> {
+impl<P: Platform> Handler<CommitShard> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Commit, _: &mut Self::Context) {
+    fn handle(&mut self, msg: CommitShard, _: &mut Self::Context) {
         if let Some(tx) = self.shards.get(&msg.shard) {
             // Control sends one commit at a time, so the queue has room. If the writer task has
             // ended, it has already reported that the shard is lost.
@@ -308,14 +308,14 @@
 /// Removes a shard that is no longer owned here.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Forget {
+pub struct RemoveShard {
     pub shard: String,
 }
 
-impl<P: Platform> Handler<Forget> for Records<P> {
+impl<P: Platform> Handler<RemoveShard> for Records<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Forget, _: &mut Self::Context) {
+    fn handle(&mut self, msg: RemoveShard, _: &mut Self::Context) {
         self.shards.shift_remove(&msg.shard);
         self.update_ownership();
     }
@@ -333,7 +333,7 @@
         let (store, control) = (self.store.clone(), self.control.clone());
         actix::spawn(async move {
             if let Ok(heads) = claim::read_heads(&store).await {
-                control.do_send(Stored::Heads(heads));
+                control.do_send(StoreEvent::Heads(heads));
             }
         });
     }
@@ -342,30 +342,30 @@
 /// Asks the store whether `owner` still owns a shard. Control handles a loss like a superseded
 /// commit.
 #[derive(Message)]
-#[rtype(result = "Confirmation")]
-pub struct Confirm {
+#[rtype(result = "OwnershipStatus")]
+pub struct ConfirmOwnership {
     pub shard: String,
     pub owner: DaemonId,
 }
 
-/// Answer to [`Confirm`].
+/// Answer to [`ConfirmOwnership`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, MessageResponse)]
-pub enum Confirmation {
+pub enum OwnershipStatus {
     Owned,
     Lost,
     Unknown,
 }
 
-impl<P: Platform> Handler<Confirm> for Records<P> {
-    type Result = ResponseFuture<Confirmation>;
+impl<P: Platform> Handler<ConfirmOwnership> for Records<P> {
+    type Result = ResponseFuture<OwnershipStatus>;
 
-    fn handle(&mut self, msg: Confirm, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, msg: ConfirmOwnership, _: &mut Self::Context) -> Self::Result {
         let store = self.store.clone();
         Box::pin(async move {
             match claim::read_head(&store, &msg.shard).await {
-                Ok(Some((_, head))) if head.owner == msg.owner => Confirmation::Owned,
-                Ok(_) => Confirmation::Lost,
-                Err(_) => Confirmation::Unknown,
+                Ok(Some((_, head))) if head.owner == msg.owner => OwnershipStatus::Owned,
+                Ok(_) => OwnershipStatus::Lost,
+                Err(_) => OwnershipStatus::Unknown,
             }
         })
     }
@@ -373,20 +373,20 @@
 
 /// Asks the store which shard a job is in.
 #[derive(Message)]
-#[rtype(result = "Found")]
+#[rtype(result = "JobLocation")]
 pub struct FindJob(pub JobId);
 
 /// Answer to [`FindJob`].
 #[derive(Clone, Debug, PartialEq, Eq, MessageResponse)]
-pub enum Found {
+pub enum JobLocation {
     Shard(String),
     /// The job was never accepted, or its record was deleted.
-    Nowhere,
+    NotFound,
     Unknown(String),
 }
 
 impl<P: Platform> Handler<FindJob> for Records<P> {
-    type Result = ResponseFuture<Found>;
+    type Result = ResponseFuture<JobLocation>;
 
     fn handle(&mut self, msg: FindJob, _: &mut Self::Context) -> Self::Result {
         let store = self.store.clone();
@@ -394,11 +394,11 @@
             let key = Keys::id(msg.0);
             match store.call(|store| store.get(&key)).await {
                 Ok(Some(item)) => match String::from_utf8(item.value.to_vec()) {
-                    Ok(shard) => Found::Shard(shard),
-                    Err(e) => Found::Unknown(e.to_string()),
+                    Ok(shard) => JobLocation::Shard(shard),
+                    Err(e) => JobLocation::Unknown(e.to_string()),
                 },
-                Ok(None) => Found::Nowhere,
-                Err(e) => Found::Unknown(e.to_string()),
+                Ok(None) => JobLocation::NotFound,
+                Err(e) => JobLocation::Unknown(e.to_string()),
             }
         })
     }
@@ -418,7 +418,7 @@
 }
 
 /// Log entry for a store entry that can't be decoded.
-pub fn unreadable_note(rev: u64, e: &Unreadable) -> crate::note::Note {
+pub fn unreadable_note(rev: u64, e: &UnreadableEntry) -> crate::note::Note {
     crate::note::Note::EntryUnreadable { entry: e.key.clone(), rev, reason: e.reason.clone() }
 }
 
