--- a/src/shard.rs
+++ b/src/shard.rs
@@ -66,7 +66,7 @@
     settings: Settings,
     queues: Arc<Queues>,
     jobs: IndexMap<JobId, JobRun>,
-    closed: IndexMap<JobId, Closed>,
+    closed: IndexMap<JobId, ClosedJob>,
     vms: IndexMap<VmId, Vm>,
     /// VM instances that have ended; later announcements of them are ignored.
     ended_vms: IndexSet<VmId>,
@@ -91,7 +91,7 @@
 
 /// A finished job of which only the final state is kept.
 #[derive(Clone, Copy, Debug)]
-struct Closed {
+struct ClosedJob {
     state: ShownState,
     since: Duration,
 }
--- a/src/shard/fleet.rs
+++ b/src/shard/fleet.rs
@@ -128,7 +128,7 @@
             vm.listing != Listing::Listed
                 && vm.runs.is_empty()
                 && (vm.contact.responsiveness != Responsiveness::Responsive
-                    || vm.contact.heard.is_none())
+                    || vm.contact.last_successful_poll.is_none())
         };
         self.vms.retain(|_, vm| !is_absent(vm));
     }
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -4,7 +4,7 @@
 use super::job_run::{Effect, JobRun, RecordState, Started};
 use super::settings::COMMIT_STALL_TIMEOUT;
 use super::vm_run::RunKey;
-use super::{Closed, Shard, Stage};
+use super::{ClosedJob, Shard, Stage};
 use crate::ids::Ticket;
 use crate::job::{Job, JobId, Life, Share, ShownState};
 use crate::note::{Ms, Note, state_word};
@@ -243,7 +243,7 @@
         }
         if record == RecordState::Closed && !self.log.is_pending(id) {
             self.jobs.shift_remove(&id);
-            self.closed.insert(id, Closed { state, since: now });
+            self.closed.insert(id, ClosedJob { state, since: now });
         }
     }
 
@@ -253,8 +253,8 @@
             Effect::Start { task, run, vm } => self.mark_start_due(task, run, &vm),
             Effect::Forget { vm, number } => {
                 if let Some(vm) = self.vms.get_mut(&vm) {
-                    vm.ends.mark_durable(number);
-                    if !vm.ends.has_unforgotten() {
+                    vm.ended_runs.mark_durable(number);
+                    if !vm.ended_runs.has_unforgotten() {
                         vm.contact.next_poll = vm.contact.next_poll.min(self.now.steady);
                     }
                 }
--- a/src/shard/job_run.rs
+++ b/src/shard/job_run.rs
@@ -20,7 +20,7 @@
     /// Image index of each step.
     pub images: Vec<ImageIx>,
     /// Shard that lent this job's tasks to this one; `None` for a job accepted here.
-    pub home: Option<Arc<str>>,
+    pub lender: Option<Arc<str>>,
     /// Current state, possibly not durable yet.
     pub state: ShownState,
     /// Last durable state, which is the one reported to callers.
@@ -156,7 +156,7 @@
         Self {
             job,
             images,
-            home: None,
+            lender: None,
             state: ShownState::Queued,
             durable: None,
             begun: 0,
@@ -183,7 +183,7 @@
         run.state = progress.state;
         run.durable = Some(progress.state);
         run.begun = progress.begun;
-        run.home = progress.home.as_deref().map(Arc::from);
+        run.lender = progress.home.as_deref().map(Arc::from);
         run.open = progress.open.iter().map(|o| Occurrence::recovered(o, progress, now)).collect();
         for row in &progress.crashes {
             if let Some(task) = run.task_mut(row.task(run.id())) {
@@ -227,7 +227,7 @@
 
     /// Whether the job belongs to another shard that lent its tasks to this one.
     pub fn is_borrowed(&self) -> bool {
-        self.home.is_some()
+        self.lender.is_some()
     }
 
     /// Whether any task is lent to another shard.
@@ -332,7 +332,7 @@
     pub fn progress(&self) -> Progress {
         let mut tables = Tables::default();
         let open = self.open.iter().map(|o| o.progress(&mut tables)).collect();
-        let home = self.home.as_deref().map(str::to_owned);
+        let home = self.lender.as_deref().map(str::to_owned);
         let Tables { vms, shards } = tables;
         let crashed = self.tasks_with_refs().filter(|(_, task)| task.crashes != Crashes::default());
         let crashes = crashed.map(|(name, task)| CrashRow::new(name, task.crashes)).collect();
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -238,7 +238,7 @@
             self.loans.borrowed.shift_remove(&id);
             return;
         };
-        let Some(home) = job.home.clone() else { return };
+        let Some(lender) = job.lender.clone() else { return };
         self.return_stuck_tasks(id);
         if !self.log.is_durable(id) {
             return;
@@ -248,7 +248,7 @@
             job.tasks_with_refs().filter_map(|(task, known)| returned_task(task, known)).collect();
         if !tasks.is_empty() {
             let msg = LoanMsg::Return { job: id, tasks };
-            self.send_message(&home, msg);
+            self.send_message(&lender, msg);
         }
     }
 
@@ -295,10 +295,10 @@
         let job = self.jobs.entry(id).or_insert_with(|| {
             let age = self.now.wall.saturating_sub(spec.accepted);
             let mut job = JobRun::new(spec.clone(), images, now.saturating_sub(age));
-            job.home = Some(from.clone());
+            job.lender = Some(from.clone());
             job
         });
-        if job.home.as_ref() != Some(from) || job.record == RecordState::Dropped {
+        if job.lender.as_ref() != Some(from) || job.record == RecordState::Dropped {
             // The remains of an earlier loan are still being removed; the lender sends this loan
             // again.
             return;
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -35,7 +35,7 @@
                 vm.record_extension(now, keep);
             }
             let keep_until = keep_until.map(|clock| VmTime(clock.0 + keep));
-            let (forget, wait) = (vm.ends.forget(), vm.poll_wait());
+            let (forget, wait) = (vm.ended_runs.forget(), vm.poll_wait());
             vm.contact.poll = PollState::InFlight;
             let req = LookReq { fence, forget, keep_until, wait };
             self.actions.push(Action::Poll { vm: vm.addr(), req });
@@ -53,7 +53,7 @@
         vm.contact.poll = PollState::Idle;
         match result {
             Ok(resp) => {
-                let before = vm.contact.heard.replace(sent);
+                let before = vm.contact.last_successful_poll.replace(sent);
                 vm.contact.failures = 0;
                 vm.contact.failing_since = None;
                 vm.read_clock(resp.clock, now);
@@ -101,11 +101,11 @@
         vm.contact.failures += 1;
         vm.contact.failing_since.get_or_insert(now);
         vm.schedule_poll(now);
-        let heard = vm.contact.heard.unwrap_or(now);
-        let silent_ms = Ms(now.saturating_sub(heard));
+        let last = vm.contact.last_successful_poll.unwrap_or(now);
+        let silent_ms = Ms(now.saturating_sub(last));
         if vm.contact.responsiveness == Responsiveness::Responsive && silent_ms.0 >= SILENCE_TIMEOUT
         {
-            vm.contact.responsiveness = Responsiveness::SilentSince(heard);
+            vm.contact.responsiveness = Responsiveness::SilentSince(last);
             let (runs, reason) = (vm.runs.len(), error.to_string());
             self.note(Note::VmSilent { vm: id.clone(), silent_ms, runs, reason });
         }
@@ -223,7 +223,7 @@
         let key = RunKey { task: row.task, run: row.run };
         let known = self.is_open_task(row.task);
         let Some(vm) = self.vms.get_mut(id) else { return };
-        if !vm.ends.record(row.number) {
+        if !vm.ended_runs.record(row.number) {
             return;
         }
         let (bound, number) = (vm.runs.contains_key(&key), row.number);
@@ -231,7 +231,7 @@
             let (vm, how, checkpoint) = (id.clone(), row.how, row.checkpoint);
             self.handle_run_end(RunEnd { vm, key, how, checkpoint, number });
         } else {
-            vm.ends.mark_durable(number);
+            vm.ended_runs.mark_durable(number);
         }
     }
 
--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -17,7 +17,7 @@
     /// The tasks that can start.
     pub tasks: Vec<TaskRef>,
     priority: u32,
-    life: Urgency,
+    urgency: Urgency,
     timeliness: Timeliness,
     /// Order among jobs of the same timeliness, lowest first.
     rank: f64,
@@ -54,7 +54,7 @@
         candidates.sort_by(|a, b| {
             a.priority
                 .cmp(&b.priority)
-                .then(a.life.cmp(&b.life))
+                .then(a.urgency.cmp(&b.urgency))
                 .then(a.timeliness.cmp(&b.timeliness))
                 .then(a.rank.total_cmp(&b.rank))
                 .then(a.id.cmp(&b.id))
@@ -71,7 +71,7 @@
             id: job.id(),
             tasks,
             priority: self.queue(job).map_or(u32::MAX, |queue| queue.priority),
-            life: urgency(job),
+            urgency: urgency(job),
             timeliness,
             rank,
         })
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -327,7 +327,7 @@
     /// Returns the effective speed of leftover work on a VM, reduced by the harm to serving tasks,
     /// from 0 to 1.
     pub(super) fn speed(&self, room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
-        room.leftover_speed(step) * room.worth_after_harm(step, image, &self.interference)
+        room.leftover_speed(step) * room.value_after_harm(step, image, &self.interference)
     }
 
     pub(super) fn has_label(&self, vm: &VmId, step: &Step) -> bool {
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -6,7 +6,7 @@
 use super::settings::{CLOCK_DRIFT, EXPIRY_MARGIN, MAX_STALE_OWNER_EXTENSION, Settings};
 use super::silence::{ReportedLapse, SilenceRecord, SilentVm};
 use super::vm_run::{Listing, Run, RunKey, Stage, Vm};
-use super::{Closed, Now, Shard};
+use super::{ClosedJob, Now, Shard};
 use crate::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use crate::job::progress::Progress;
 use crate::job::{Job, JobId};
@@ -184,7 +184,7 @@
         // and going by the list started work there a second time.
         for (id, progress) in progress {
             if !self.jobs.contains_key(id) && progress.home.is_none() {
-                self.closed.insert(*id, Closed { state: progress.state, since: now.steady });
+                self.closed.insert(*id, ClosedJob { state: progress.state, since: now.steady });
             }
         }
     }
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -285,7 +285,7 @@
     /// Harm is the increase in each serving task's probability of exceeding its target. A task that
     /// adds little load does little harm even next to a serving task that is at its bound or
     /// already over it. One that adds much harms several tasks that are still below theirs.
-    pub fn worth_after_harm(
+    pub fn value_after_harm(
         &self,
         step: &Step,
         image: ImageIx,
--- a/src/shard/room/tests.rs
+++ b/src/shard/room/tests.rs
@@ -30,7 +30,7 @@
     let (rack, service) = (RackId::new("r0"), ServiceName::new("desk"));
     let mut room = VmCapacity::empty(VmId::new("vm"), Arc::from("vm"), rack, service, SIZE);
     room.served = vec![ServingTask { image: serving, slack }; 5];
-    room.worth_after_harm(&leftover(), image, &interference)
+    room.value_after_harm(&leftover(), image, &interference)
 }
 
 const HEAVY: f64 = 2.0;
--- a/src/shard/silence.rs
+++ b/src/shard/silence.rs
@@ -143,5 +143,6 @@
 
 /// Returns whether a VM is silent or has never answered this owner.
 fn has_not_answered(vm: &Vm) -> bool {
-    vm.contact.responsiveness != Responsiveness::Responsive || vm.contact.heard.is_none()
+    vm.contact.responsiveness != Responsiveness::Responsive
+        || vm.contact.last_successful_poll.is_none()
 }
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -33,7 +33,7 @@
     pub clock: Option<ClockReading>,
     /// Runs that are not known to have ended; each reserves resources.
     pub runs: IndexMap<RunKey, Run>,
-    pub ends: EndedRuns,
+    pub ended_runs: EndedRuns,
     pub contact: Contact,
     /// Time by which every run on the VM is certain to have ended, unless it is extended.
     pub runs_ended_by: Duration,
@@ -134,7 +134,7 @@
     pub poll: PollState,
     pub next_poll: Duration,
     /// When the last successful poll was sent.
-    pub heard: Option<Duration>,
+    pub last_successful_poll: Option<Duration>,
     /// Consecutive failed polls.
     pub failures: u32,
     /// When the first of these failures was detected.
@@ -169,11 +169,11 @@
             known_since: now,
             clock: None,
             runs: IndexMap::new(),
-            ends: EndedRuns::default(),
+            ended_runs: EndedRuns::default(),
             contact: Contact {
                 poll: PollState::Idle,
                 next_poll: now,
-                heard: None,
+                last_successful_poll: None,
                 failures: 0,
                 failing_since: None,
                 responsiveness: Responsiveness::Responsive,
@@ -219,7 +219,9 @@
     /// the last successful poll.
     pub fn running_time(&self, key: RunKey) -> Duration {
         let since = self.runs.get(&key).and_then(|run| run.running_since);
-        let worked = since.zip(self.contact.heard).map(|(since, at)| at.saturating_sub(since));
+        let worked = since
+            .zip(self.contact.last_successful_poll)
+            .map(|(since, at)| at.saturating_sub(since));
         worked.unwrap_or_default()
     }
 
@@ -241,7 +243,10 @@
     /// Whether the VM has responded to this owner recently.
     pub fn is_responsive(&self, now: Duration) -> bool {
         self.contact.responsiveness == Responsiveness::Responsive
-            && self.contact.heard.is_some_and(|at| now.saturating_sub(at) < 2 * SILENCE_TIMEOUT)
+            && self
+                .contact
+                .last_successful_poll
+                .is_some_and(|at| now.saturating_sub(at) < 2 * SILENCE_TIMEOUT)
     }
 
     /// Whether new tasks may be placed on the VM.
@@ -251,7 +256,7 @@
 
     /// Whether the next poll extends the deadline of the VM's tasks.
     pub fn may_extend_runs(&self, now: Duration) -> bool {
-        match self.contact.heard {
+        match self.contact.last_successful_poll {
             Some(at) => now.saturating_sub(at) < SILENCE_TIMEOUT + BUSY_POLL_WAIT,
             None => self.contact.failures == 0,
         }
@@ -259,7 +264,9 @@
 
     /// How long the VM may delay its response to the next poll to wait for a run to end.
     pub fn poll_wait(&self) -> Duration {
-        if self.contact.failures > 0 || self.contact.heard.is_none() || self.ends.has_unforgotten()
+        if self.contact.failures > 0
+            || self.contact.last_successful_poll.is_none()
+            || self.ended_runs.has_unforgotten()
         {
             return Duration::ZERO;
         }
@@ -270,7 +277,7 @@
     pub fn schedule_poll(&mut self, now: Duration) {
         let pause = if self.contact.failures > 0 {
             POLL_RETRY_DELAY
-        } else if self.ends.has_unforgotten() {
+        } else if self.ended_runs.has_unforgotten() {
             UNCOMMITTED_POLL_DELAY
         } else {
             Duration::ZERO
