--- a/src/request/deliver.rs
+++ b/src/request/deliver.rs
@@ -58,7 +58,7 @@
         arrival: &Arrival,
         body: &Bytes,
     ) -> Result<Answer, Refusal> {
-        self.budget.borrow_mut().earn();
+        self.retry_budget.borrow_mut().deposit();
         let mut sofar = Sofar::default();
         loop {
             let slot = match self.wait_for_slot(arrival, &sofar).await {
@@ -178,7 +178,7 @@
         }
         let spared = matches!(cost, Cost::Spared) && !sofar.spared;
         sofar.spared |= spared;
-        spared || self.budget.borrow_mut().take()
+        spared || self.retry_budget.borrow_mut().withdraw()
     }
 
     async fn pause(&self, tries: u32) {
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::request::journal::{Explained, Journal};
 use crate::request::outcome::{self, Outcome, Reason, Refusal};
 use crate::request::pieces;
-use crate::request::retry::Budget;
+use crate::request::retry::RetryBudget;
 use crate::request::settings::DispatcherSettings;
 use crate::request::share::{ShareAsk, ShareGrant};
 use crate::request::status::RequestStatus;
@@ -46,7 +46,7 @@
     pub fleet: Rc<Fleet>,
     pub peers: RefCell<Vec<Peer>>,
     pub journal: RefCell<Journal>,
-    pub budget: RefCell<Budget>,
+    pub retry_budget: RefCell<RetryBudget>,
     pub draining: Cell<bool>,
     held: Rc<HeldBytes>,
     in_flight: Cell<usize>,
@@ -88,7 +88,7 @@
             fleet,
             peers: RefCell::default(),
             journal: RefCell::new(journal),
-            budget: RefCell::default(),
+            retry_budget: RefCell::default(),
             draining: Cell::new(false),
             held: Rc::default(),
             in_flight: Cell::new(0),
--- a/src/request/retry.rs
+++ b/src/request/retry.rs
@@ -1,46 +1,46 @@
-//! How many retries may be made: a share of the traffic, not a count for each request.
+//! Retry budget: retries are limited to a fraction of the traffic, not to a count per request.
 //!
-//! When everything fails, a count for each request multiplies the load on whatever is left. A
-//! share bounds the tries at (1 + share) of the requests, however many fail.
+//! When every endpoint fails, a per-request limit multiplies the load on those that still work. A
+//! budget bounds the attempts at (1 + fraction) times the requests, however many fail.
 
-/// Retries earned by one request.
-const EARNED: f64 = 0.09;
+/// Retries added to the budget by each request.
+const RETRIES_PER_REQUEST: f64 = 0.09;
 
-/// Retries that a quiet time may save up.
-const MOST_SAVED: f64 = 50.0;
+/// Upper limit of the budget, which bounds the burst of retries after a period without failures.
+const MAX_BALANCE: f64 = 50.0;
 
-/// Retries at the start, so that the first failures after a start can be retried.
-const AT_START: f64 = 5.0;
+/// Budget at startup, so that the first failures can be retried.
+const INITIAL_BALANCE: f64 = 5.0;
 
-/// Retries left to make.
+/// The number of retries currently allowed, which may be fractional.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Budget {
-    saved: f64,
+pub struct RetryBudget {
+    balance: f64,
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: AT_START }
+        Self { balance: INITIAL_BALANCE }
     }
 }
 
-impl Budget {
-    /// A budget as after a start.
+impl RetryBudget {
+    /// Creates a budget with the initial balance.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A first try was made.
-    pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST_SAVED);
+    /// Adds the share of one request; called once per request, not per attempt.
+    pub fn deposit(&mut self) {
+        self.balance = (self.balance + RETRIES_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Deducts one retry and returns true, or returns false if less than one is left.
     #[must_use]
-    pub fn take(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
+    pub fn withdraw(&mut self) -> bool {
+        let enough = self.balance >= 1.0;
         if enough {
-            self.saved -= 1.0;
+            self.balance -= 1.0;
         }
         enough
     }
