--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one endpoint, up to an answer that is known to be its own.
+//! One attempt of a request on one endpoint, up to an answer verified to belong to the request.
 
 use crate::model::Idempotency;
 use crate::request::answer::{Answer, AnswerBody, AnswerStream, Cut, Framing};
@@ -17,34 +17,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An idle connection that showed no life for this long is probed before it is used.
-const PROVE_AFTER: Duration = Duration::from_secs(1);
+/// An idle connection without traffic for this long is probed before it is reused.
+const PROBE_IDLE_AFTER: Duration = Duration::from_secs(1);
 
-/// New connections tried before a non-idempotent request is given up as not sent.
-const NEW_CONNS: u32 = 2;
+/// New connections to open before a non-idempotent request is reported as not sent.
+const MAX_NEW_CONNS: u32 = 2;
 
-/// How a try went.
-pub(super) enum Tried {
+/// Result of an attempt.
+pub(super) enum AttemptResult {
     Answered(Answer),
-    /// The endpoint did not run it and won't.
+    /// The endpoint did not run the request and won't.
     NotRun(NotRun),
-    /// It may have run.
+    /// The endpoint may have run the request.
     Unknown(Reason),
 }
 
-/// Why an endpoint surely did not run a request.
+/// Why an endpoint is known not to have run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotRun {
     /// No connection could be opened.
     Unreachable,
-    /// No connection was proved alive.
+    /// Connections were opened, but none answered a probe.
     Unproved,
     Leaving,
     Full,
 }
 
 impl NotRun {
-    /// The reason that the caller is told.
+    /// The reason reported to the caller.
     pub fn reason(self) -> Reason {
         match self {
             Self::Unreachable | Self::Unproved => Reason::ConnectFailed,
@@ -53,18 +53,18 @@
     }
 }
 
-/// What a try needs.
+/// Inputs of an attempt.
 pub(super) struct Attempt<'a> {
     pub fleet: &'a Rc<Fleet>,
     pub arrival: &'a Arrival,
     pub body: &'a Bytes,
-    /// Longest answer that is held back until it is whole.
-    pub whole_bytes: usize,
+    /// Longest answer that is buffered until it is complete.
+    pub max_buffered_bytes: usize,
 }
 
 impl Attempt<'_> {
-    /// Sends the request on a slot and reads the answer's head, and its body if it is short.
-    pub async fn run(&self, slot: Slot, endpoint: &Rc<Endpoint>) -> Tried {
+    /// Sends the request and reads the head of the answer, and the body too if it is short.
+    pub async fn run(&self, slot: Slot, endpoint: &Rc<Endpoint>) -> AttemptResult {
         let at = self.fleet.now();
         let (resp, conn) = match self.head(&slot, endpoint).await {
             Ok(got) => got,
@@ -74,11 +74,11 @@
             != Some(self.arrival.id.as_str().as_bytes())
         {
             slot.judge(Verdict::Bad);
-            return Tried::Unknown(Reason::AnswerMismatch);
+            return AttemptResult::Unknown(Reason::AnswerMismatch);
         }
-        if let Some(why) = said_not_run(&resp) {
+        if let Some(why) = reported_not_run(&resp) {
             slot.settled();
-            return Tried::NotRun(why);
+            return AttemptResult::NotRun(why);
         }
         self.answer(resp, slot, conn, at).await
     }
@@ -87,13 +87,13 @@
         &self,
         slot: &Slot,
         endpoint: &Rc<Endpoint>,
-    ) -> Result<(ClientResponse, Conn), Tried> {
-        let mut conn = match self.ready_conn(endpoint).await {
+    ) -> Result<(ClientResponse, Conn), AttemptResult> {
+        let mut conn = match self.usable_conn(endpoint).await {
             Ok(conn) => conn,
             Err(why) => {
-                // One silent connection is not the endpoint's fault; several new ones are.
+                // A silent idle connection doesn't count against the endpoint; new ones that fail do.
                 slot.judge(Verdict::Bad);
-                return Err(Tried::NotRun(why));
+                return Err(AttemptResult::NotRun(why));
             }
         };
         loop {
@@ -105,50 +105,57 @@
                 Ok(Err(SendError::NotSent)) => {
                     slot.settled();
                     if !reused {
-                        return Err(Tried::NotRun(NotRun::Unreachable));
+                        return Err(AttemptResult::NotRun(NotRun::Unreachable));
                     }
-                    // The idle connection was closed meanwhile, which says nothing about the
-                    // endpoint.
+                    // The endpoint closed the idle connection, which is not evidence against it.
                     conn = endpoint.new_conn(self.fleet.now());
                 }
                 Ok(Err(SendError::Lost)) => {
                     slot.judge(Verdict::Bad);
-                    return Err(Tried::Unknown(Reason::ConnectionLost));
+                    return Err(AttemptResult::Unknown(Reason::ConnectionLost));
+                }
+                Err(quiet) => {
+                    return Err(AttemptResult::Unknown(judge_quiet(quiet, slot, endpoint)));
                 }
-                Err(quiet) => return Err(Tried::Unknown(judge_quiet(quiet, slot, endpoint))),
             }
         }
     }
 
-    /// A connection to send over. One that has been idle, or that a non-idempotent request is to
-    /// go over, is proved alive first: found silent now, it costs a probe; found silent after the
-    /// request was sent, nobody could say whether the request ran.
-    async fn ready_conn(&self, endpoint: &Rc<Endpoint>) -> Result<Conn, NotRun> {
-        let careful = self.arrival.idempotency == Idempotency::NonIdempotent;
+    /// Returns a connection to send on. It is probed first if it has been idle or if the request is
+    /// not idempotent: a silent connection found by a probe costs only that probe, while one found
+    /// after the request was sent leaves the outcome unknown.
+    async fn usable_conn(&self, endpoint: &Rc<Endpoint>) -> Result<Conn, NotRun> {
+        let must_probe = self.arrival.idempotency == Idempotency::NonIdempotent;
         let now = self.fleet.now();
         if let Some(mut conn) = endpoint.idle_conn(now) {
-            let fresh = now.saturating_sub(conn.proved) < PROVE_AFTER;
-            if (fresh && !careful) || conn.probe(None).await.is_ok() {
+            let recently_active = now.saturating_sub(conn.proved) < PROBE_IDLE_AFTER;
+            if (recently_active && !must_probe) || conn.probe(None).await.is_ok() {
                 return Ok(conn);
             }
             endpoint.close_idle();
         }
-        if !careful {
+        if !must_probe {
             return Ok(endpoint.new_conn(now));
         }
-        let mut failed = NotRun::Unproved;
-        for _ in 0..NEW_CONNS {
+        let mut last_failure = NotRun::Unproved;
+        for _ in 0..MAX_NEW_CONNS {
             let mut conn = endpoint.new_conn(self.fleet.now());
             match conn.probe(None).await {
                 Ok(_) => return Ok(conn),
-                Err(SendError::NotSent) => failed = NotRun::Unreachable,
-                Err(SendError::Lost) => failed = NotRun::Unproved,
+                Err(SendError::NotSent) => last_failure = NotRun::Unreachable,
+                Err(SendError::Lost) => last_failure = NotRun::Unproved,
             }
         }
-        Err(failed)
+        Err(last_failure)
     }
 
-    async fn answer(&self, resp: ClientResponse, slot: Slot, conn: Conn, at: Duration) -> Tried {
+    async fn answer(
+        &self,
+        resp: ClientResponse,
+        slot: Slot,
+        conn: Conn,
+        at: Duration,
+    ) -> AttemptResult {
         let status = resp.status();
         let headers = headers::passed_on(resp.headers());
         let left = match Framing::of(&self.arrival.method, &resp) {
@@ -156,22 +163,22 @@
             Framing::Chunked => None,
             Framing::UntilClose => {
                 slot.judge(Verdict::Bad);
-                return Tried::Unknown(Reason::AnswerUnbounded);
+                return AttemptResult::Unknown(Reason::AnswerUnbounded);
             }
         };
-        let short = left.is_some_and(|length| length <= self.whole_bytes as u64);
+        let short = left.is_some_and(|length| length <= self.max_buffered_bytes as u64);
         let took = self.fleet.now().saturating_sub(at);
         let stream =
             AnswerStream::new(self.fleet, self.arrival, resp, Some(slot), conn, left, took);
         let body = if short {
             match stream.read_whole().await {
                 Ok(bytes) => AnswerBody::Whole(bytes),
-                Err(Cut(reason)) => return Tried::Unknown(reason),
+                Err(Cut(reason)) => return AttemptResult::Unknown(reason),
             }
         } else {
             AnswerBody::Stream(Box::new(stream))
         };
-        Tried::Answered(Answer { status, headers, body })
+        AttemptResult::Answered(Answer { status, headers, body })
     }
 
     fn watch<'w>(&'w self, endpoint: &'w Endpoint, part: Part) -> Watch<'w> {
@@ -197,7 +204,8 @@
     }
 }
 
-/// What a quiet connection means for the request, the endpoint and its other connections.
+/// Records why a connection went silent, closing suspect idle connections, and returns the reason
+/// for the request.
 pub(super) fn judge_quiet(quiet: Quiet, slot: &Slot, endpoint: &Endpoint) -> Reason {
     match quiet {
         Quiet::Connection => {
@@ -217,7 +225,7 @@
     }
 }
 
-fn said_not_run(resp: &ClientResponse) -> Option<NotRun> {
+fn reported_not_run(resp: &ClientResponse) -> Option<NotRun> {
     if resp.status() != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
--- a/src/request/deliver.rs
+++ b/src/request/deliver.rs
@@ -1,11 +1,11 @@
-//! A request's tries, until one is answered or no more may be made.
+//! Attempts of one request, repeated until one is answered or no further retry is allowed.
 
 use crate::ids::VmId;
 use crate::model::Idempotency;
 use crate::request::admission::Refused;
 use crate::request::answer::Answer;
 use crate::request::arrival::Arrival;
-use crate::request::attempt::{Attempt, NotRun, Tried};
+use crate::request::attempt::{Attempt, AttemptResult, NotRun};
 use crate::request::dispatch::Inner;
 use crate::request::endpoint::Endpoint;
 use crate::request::fleet::Wanted;
@@ -17,75 +17,77 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Tries of one request.
-const MOST_TRIES: u32 = 3;
+/// Attempts per request, the first one included.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Longest pause before the first retry; doubled for the next.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Upper bound of the random delay before the first retry; doubled for each further one.
+const MAX_FIRST_DELAY: Duration = Duration::from_millis(10);
 
-/// Time after which to come back when endpoints refuse or fail.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `retry-after` sent to the caller when endpoints refuse or fail.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What is known of a request so far.
+/// State of a request across its attempts.
 #[derive(Default)]
-struct Sofar {
+struct RequestProgress {
     tries: u32,
     avoid: Vec<VmId>,
-    /// Why an earlier try may have run it.
-    doubt: Option<Reason>,
-    /// Why the last try did not run it.
+    /// Set once an attempt may have run the request: the reason of the latest such attempt.
+    may_have_run: Option<Reason>,
+    /// Reason of the latest attempt that is known not to have run the request.
     not_run: Option<Reason>,
-    /// Whether a retry was made that the budget does not count.
-    spared: bool,
-    /// An endpoint's own error, passed on if no retry does better.
+    /// Whether the one retry outside the budget has been used.
+    free_retry_used: bool,
+    /// Latest server error from an endpoint, returned if no retry succeeds.
     error: Option<Answer>,
 }
 
-/// What a retry costs.
+/// Whether a retry is charged to the retry budget.
 enum Cost {
-    /// It is taken from the budget.
+    /// Deducted from the retry budget.
     Budget,
-    /// The cause is over with this one request, so that it can't multiply the load: the endpoint
-    /// said that it leaves and gets no more, or one connection went silent while the endpoint is
-    /// well. One such retry a request.
-    Spared,
+    /// Not charged, because the cause can't repeat and multiply the load: the endpoint reported
+    /// that it is leaving and gets no more requests, or a single connection went silent while the
+    /// endpoint is healthy. At most one per request.
+    Free,
 }
 
 impl Inner {
-    /// Brings a request to an endpoint and its answer back.
+    /// Runs a request on an endpoint, retrying as needed, and returns its answer.
     pub(super) async fn deliver(
         self: &Rc<Self>,
         arrival: &Arrival,
         body: &Bytes,
     ) -> Result<Answer, Refusal> {
         self.retry_budget.borrow_mut().deposit();
-        let mut sofar = Sofar::default();
+        let mut progress = RequestProgress::default();
         loop {
-            let slot = match self.wait_for_slot(arrival, &sofar).await {
+            let slot = match self.wait_for_slot(arrival, &progress).await {
                 Ok(slot) => slot,
-                Err(refused) => return self.without_slot(arrival, body, sofar, refused).await,
+                Err(refused) => {
+                    return self.finish_without_slot(arrival, body, progress, refused).await;
+                }
             };
             let Some(endpoint) = slot.endpoint().map(Rc::clone) else {
-                return Err(sofar.refusal());
+                return Err(progress.refusal());
             };
-            sofar.tries += 1;
-            let tried = self.attempt(arrival, body, slot, &endpoint).await;
-            let cost = match self.weigh(arrival, &endpoint, tried, &mut sofar) {
-                Weighed::Final(result) => return result,
-                Weighed::Again(cost) => cost,
+            progress.tries += 1;
+            let tried = self.run_attempt(arrival, body, slot, &endpoint).await;
+            let cost = match self.decide(arrival, &endpoint, tried, &mut progress) {
+                Decision::Final(result) => return result,
+                Decision::Retry(cost) => cost,
             };
-            if !self.may_retry(arrival, &mut sofar, &cost) {
-                return sofar.give_up();
+            if !self.may_retry(arrival, &mut progress, &cost) {
+                return progress.give_up();
             }
-            sofar.avoid.push(endpoint.vm.clone());
-            self.pause(sofar.tries).await;
+            progress.avoid.push(endpoint.vm.clone());
+            self.wait_before_retry(progress.tries).await;
         }
     }
 
     async fn wait_for_slot(
         self: &Rc<Self>,
         arrival: &Arrival,
-        sofar: &Sofar,
+        progress: &RequestProgress,
     ) -> Result<Slot, Refused> {
         let asked = self.fleet.now();
         let wanted = Wanted {
@@ -93,7 +95,7 @@
             class: &arrival.class,
             team: arrival.team.as_ref(),
             due: arrival.due,
-            avoid: &sofar.avoid,
+            avoid: &progress.avoid,
         };
         let got = self.fleet.acquire(&wanted).await;
         let queued = self.fleet.now().saturating_sub(asked);
@@ -108,23 +110,23 @@
         got
     }
 
-    async fn attempt(
+    async fn run_attempt(
         self: &Rc<Self>,
         arrival: &Arrival,
         body: &Bytes,
         slot: Slot,
         endpoint: &Rc<Endpoint>,
-    ) -> Tried {
+    ) -> AttemptResult {
         let at = self.fleet.now();
-        let whole_bytes = self.settings.limits.whole_answer_bytes;
-        let attempt = Attempt { fleet: &self.fleet, arrival, body, whole_bytes };
+        let max_buffered_bytes = self.settings.limits.whole_answer_bytes;
+        let attempt = Attempt { fleet: &self.fleet, arrival, body, max_buffered_bytes };
         let tried = actix_web::rt::time::timeout(arrival.left(at), attempt.run(slot, endpoint))
             .await
-            .unwrap_or(Tried::Unknown(Reason::DeadlinePassed));
+            .unwrap_or(AttemptResult::Unknown(Reason::DeadlinePassed));
         let result = match &tried {
-            Tried::Answered(answer) => format!("answered {}", answer.status.as_u16()),
-            Tried::NotRun(why) => format!("not run: {why:?}"),
-            Tried::Unknown(reason) => format!("unknown: {reason}"),
+            AttemptResult::Answered(answer) => format!("answered {}", answer.status.as_u16()),
+            AttemptResult::NotRun(why) => format!("not run: {why:?}"),
+            AttemptResult::Unknown(reason) => format!("unknown: {reason}"),
         };
         let took = self.fleet.now().saturating_sub(at);
         let tried_at = Try { vm: endpoint.vm.clone(), at, took, result };
@@ -132,70 +134,72 @@
         tried
     }
 
-    /// Whether a try settles the request, or what another would cost.
-    fn weigh(
+    /// Decides whether an attempt is final or a retry is possible, and how that is charged.
+    fn decide(
         &self,
         arrival: &Arrival,
         endpoint: &Endpoint,
-        tried: Tried,
-        sofar: &mut Sofar,
-    ) -> Weighed {
+        tried: AttemptResult,
+        progress: &mut RequestProgress,
+    ) -> Decision {
         let idempotent = arrival.idempotency == Idempotency::Idempotent;
         match tried {
-            Tried::Answered(answer) if idempotent && answer.status.is_server_error() => {
-                sofar.error = Some(answer);
-                Weighed::Again(Cost::Budget)
+            AttemptResult::Answered(answer) if idempotent && answer.status.is_server_error() => {
+                progress.error = Some(answer);
+                Decision::Retry(Cost::Budget)
             }
-            Tried::Answered(answer) => Weighed::Final(Ok(answer)),
-            Tried::NotRun(why) => {
-                sofar.not_run = Some(why.reason());
-                Weighed::Again(self.weigh_not_run(why, endpoint))
+            AttemptResult::Answered(answer) => Decision::Final(Ok(answer)),
+            AttemptResult::NotRun(why) => {
+                progress.not_run = Some(why.reason());
+                Decision::Retry(self.retry_cost(why, endpoint))
             }
-            Tried::Unknown(reason) if !idempotent => Weighed::Final(Err(Refusal::unknown(reason))),
-            Tried::Unknown(reason) => {
-                sofar.doubt = Some(reason);
-                Weighed::Again(match reason {
-                    Reason::ConnectionSilent => Cost::Spared,
+            AttemptResult::Unknown(reason) if !idempotent => {
+                Decision::Final(Err(Refusal::unknown(reason)))
+            }
+            AttemptResult::Unknown(reason) => {
+                progress.may_have_run = Some(reason);
+                Decision::Retry(match reason {
+                    Reason::ConnectionSilent => Cost::Free,
                     _ => Cost::Budget,
                 })
             }
         }
     }
 
-    fn weigh_not_run(&self, why: NotRun, endpoint: &Endpoint) -> Cost {
+    fn retry_cost(&self, why: NotRun, endpoint: &Endpoint) -> Cost {
         match why {
             NotRun::Leaving | NotRun::Unreachable => {
                 endpoint.health.borrow_mut().leaves(self.fleet.now());
-                Cost::Spared
+                Cost::Free
             }
             NotRun::Unproved | NotRun::Full => Cost::Budget,
         }
     }
 
-    fn may_retry(&self, arrival: &Arrival, sofar: &mut Sofar, cost: &Cost) -> bool {
-        if sofar.tries >= MOST_TRIES || arrival.left(self.fleet.now()).is_zero() {
+    fn may_retry(&self, arrival: &Arrival, progress: &mut RequestProgress, cost: &Cost) -> bool {
+        if progress.tries >= MAX_ATTEMPTS || arrival.left(self.fleet.now()).is_zero() {
             return false;
         }
-        let spared = matches!(cost, Cost::Spared) && !sofar.spared;
-        sofar.spared |= spared;
-        spared || self.retry_budget.borrow_mut().withdraw()
+        let free = matches!(cost, Cost::Free) && !progress.free_retry_used;
+        progress.free_retry_used |= free;
+        free || self.retry_budget.borrow_mut().withdraw()
     }
 
-    async fn pause(&self, tries: u32) {
-        let longest = PAUSE * 2_u32.saturating_pow(tries.saturating_sub(1));
-        let pause = longest.mul_f64(rand::rng().random());
-        actix_web::rt::time::sleep(pause).await;
+    async fn wait_before_retry(&self, tries: u32) {
+        let max_delay = MAX_FIRST_DELAY * 2_u32.saturating_pow(tries.saturating_sub(1));
+        let delay = max_delay.mul_f64(rand::rng().random());
+        actix_web::rt::time::sleep(delay).await;
     }
 
-    async fn without_slot(
+    async fn finish_without_slot(
         self: &Rc<Self>,
         arrival: &Arrival,
         body: &Bytes,
-        sofar: Sofar,
+        progress: RequestProgress,
         refused: Refused,
     ) -> Result<Answer, Refusal> {
-        if sofar.tries > 0 {
-            return sofar.give_up();
+        if progress.tries > 0 {
+            return progress.give_up();
         }
         if let Some(result) = self.forward(arrival, body, refused).await {
             return result;
@@ -204,14 +208,14 @@
     }
 }
 
-/// What a try means for the request.
-enum Weighed {
+/// What to do after an attempt.
+enum Decision {
     Final(Result<Answer, Refusal>),
-    Again(Cost),
+    Retry(Cost),
 }
 
-impl Sofar {
-    /// The final answer when no more tries may be made.
+impl RequestProgress {
+    /// The result when no retry is allowed: the last server error, or a refusal.
     fn give_up(mut self) -> Result<Answer, Refusal> {
         match self.error.take() {
             Some(answer) => Ok(answer),
@@ -219,12 +223,12 @@
         }
     }
 
-    /// Not run, unless a try may have run it.
+    /// A refusal as `not-run`, or as `unknown` if an attempt may have run the request.
     fn refusal(&self) -> Refusal {
-        match self.doubt {
+        match self.may_have_run {
             Some(reason) => Refusal::unknown(reason),
             None => Refusal::not_run(self.not_run.unwrap_or(Reason::NoEndpoint)),
         }
-        .with_retry_after(COME_BACK)
+        .with_retry_after(RETRY_AFTER)
     }
 }
