--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -128,7 +128,7 @@
         let must_probe = self.arrival.idempotency == Idempotency::NonIdempotent;
         let now = self.fleet.now();
         if let Some(mut conn) = endpoint.idle_conn(now) {
-            let recently_active = now.saturating_sub(conn.proved) < PROBE_IDLE_AFTER;
+            let recently_active = now.saturating_sub(conn.last_active) < PROBE_IDLE_AFTER;
             if (recently_active && !must_probe) || conn.probe(None).await.is_ok() {
                 return Ok(conn);
             }
--- a/src/request/endpoint.rs
+++ b/src/request/endpoint.rs
@@ -1,7 +1,7 @@
 //! An endpoint: its address, its slots in use, its health and its idle connections.
 
 use crate::ids::{DomainId, RequestId, ServiceName, VmId};
-use crate::request::conn::{Conn, Probed};
+use crate::request::conn::{Conn, ProbeReply};
 use crate::request::health::Health;
 use crate::request::route::{Candidate, Pace};
 use serde::{Deserialize, Serialize};
@@ -134,7 +134,7 @@
         let mut idle = self.idle.borrow_mut();
         while let Some(conn) = idle.pop() {
             let young = now.saturating_sub(conn.opened) < AGE_LIMIT;
-            if young && now.saturating_sub(conn.proved) < IDLE_LIMIT {
+            if young && now.saturating_sub(conn.last_active) < IDLE_LIMIT {
                 return Some(conn);
             }
         }
@@ -148,7 +148,7 @@
 
     /// Keeps a connection whose answer was read to its end, one for each slot at most.
     pub fn keep_conn(&self, mut conn: Conn, most: u32, now: Duration) {
-        conn.proved = now;
+        conn.last_active = now;
         let mut idle = self.idle.borrow_mut();
         idle.push(conn);
         if idle.len() > most.max(1) as usize {
@@ -162,7 +162,7 @@
     }
 
     /// Asks for health, and after a request, over a connection of its own.
-    pub async fn probe(&self, id: Option<&RequestId>, now: Duration) -> Option<Probed> {
+    pub async fn probe(&self, id: Option<&RequestId>, now: Duration) -> Option<ProbeReply> {
         let mut conn = self.new_conn(now);
         conn.probe(id).await.ok()
     }
--- a/src/request/fleet.rs
+++ b/src/request/fleet.rs
@@ -339,8 +339,8 @@
         actix_web::rt::spawn(async move {
             let probed = endpoint.probe(None, now).await;
             endpoint.probing.set(Probing::No);
-            let open = probed.is_some_and(|probed| probed.open);
-            endpoint.health.borrow_mut().probed(open, fleet.now());
+            let accepting = probed.is_some_and(|reply| reply.accepting);
+            endpoint.health.borrow_mut().probed(accepting, fleet.now());
             fleet.pump(&endpoint.service);
         });
     }
--- a/src/request/silence.rs
+++ b/src/request/silence.rs
@@ -7,7 +7,7 @@
 //! that goes by how long such requests usually take. None of this looks at the caller's deadline.
 
 use crate::ids::RequestId;
-use crate::request::conn::Word;
+use crate::request::conn::RequestState;
 use crate::request::endpoint::Endpoint;
 use crate::request::fleet::Fleet;
 use std::future::Future;
@@ -86,32 +86,36 @@
             }
             let now = self.fleet.now();
             findings.quiet = now.saturating_sub(start);
-            let word = tokio::select! {
+            let state = tokio::select! {
                 out = &mut fut => return Ok(out),
-                probed = self.endpoint.probe(Some(self.id), now) => probed.map(|p| p.word),
+                probed = self.endpoint.probe(Some(self.id), now) => probed.map(|reply| reply.state),
             };
-            pause = self.judge(word, &mut findings)?;
+            pause = self.judge(state, &mut findings)?;
         }
     }
 
     /// The pause until the next look, or why nothing comes.
-    fn judge(&self, word: Option<Word>, findings: &mut Findings) -> Result<Duration, Quiet> {
-        match word {
+    fn judge(
+        &self,
+        state: Option<RequestState>,
+        findings: &mut Findings,
+    ) -> Result<Duration, Quiet> {
+        match state {
             None => {
                 findings.unanswered += 1;
                 if findings.unanswered >= GONE { Err(Quiet::Endpoint) } else { Ok(GRACE) }
             }
-            Some(Word::NotRunning) => {
+            Some(RequestState::NotRunning) => {
                 findings.unanswered = 0;
                 findings.not_running += 1;
                 if findings.not_running >= SURE { Err(Quiet::Connection) } else { Ok(GRACE) }
             }
-            Some(Word::Running) => {
+            Some(RequestState::Running) => {
                 (findings.unanswered, findings.not_running) = (0, 0);
                 let stuck = self.part == Part::Body && findings.quiet > LONGEST_GAP;
                 if stuck { Err(Quiet::Connection) } else { Ok(NEXT_LOOK) }
             }
-            Some(Word::Unsaid) => {
+            Some(RequestState::Unreported) => {
                 findings.unanswered = 0;
                 if findings.quiet > self.unsaid_limit() {
                     Err(Quiet::Connection)
--- a/src/request/slot.rs
+++ b/src/request/slot.rs
@@ -5,7 +5,7 @@
 //! the slot back at once would put more requests on the endpoint than it has slots.
 
 use crate::ids::{ClassName, RequestId};
-use crate::request::conn::Word;
+use crate::request::conn::RequestState;
 use crate::request::endpoint::Endpoint;
 use crate::request::fleet::Fleet;
 use crate::request::route::Usual;
@@ -138,15 +138,15 @@
         pause = (pause * 2).min(LONGEST_PAUSE);
         let now = lease.fleet.now();
         let held = now.saturating_sub(lease.at);
-        match lease.endpoint.probe(Some(&id), now).await.map(|probed| probed.word) {
-            Some(Word::Running) => (not_running, unanswered) = (0, 0),
-            Some(Word::NotRunning) => {
+        match lease.endpoint.probe(Some(&id), now).await.map(|reply| reply.state) {
+            Some(RequestState::Running) => (not_running, unanswered) = (0, 0),
+            Some(RequestState::NotRunning) => {
                 not_running += 1;
                 pause = FIRST_ASK;
             }
-            // Without the endpoint's word, the time that few requests exceed must do.
-            Some(Word::Unsaid) if held > lease.tail => return,
-            Some(Word::Unsaid) => {}
+            // Without the endpoint's state, the time that few requests exceed must do.
+            Some(RequestState::Unreported) if held > lease.tail => return,
+            Some(RequestState::Unreported) => {}
             None => unanswered += 1,
         }
         if not_running >= SURE || unanswered >= GONE || held > LONGEST_HOLD {
