--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -2,11 +2,11 @@
 
 use crate::ids::RequestId;
 use crate::request::arrival::Arrival;
-use crate::request::attempt::judge_quiet;
+use crate::request::attempt::record_silence;
 use crate::request::conn::Conn;
 use crate::request::fleet::Fleet;
 use crate::request::outcome::Reason;
-use crate::request::silence::{Part, Watch};
+use crate::request::silence::{AnswerPart, SilenceDetector};
 use crate::request::slot::{Slot, Verdict};
 use actix_web::http::header::{self, HeaderName, HeaderValue};
 use actix_web::http::{Method, StatusCode};
@@ -108,7 +108,7 @@
     /// The next piece, or none at the end, which [`AnswerStream::finish`] then checks.
     pub async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
         let asked = self.fleet.now();
-        let got = timeout(self.time_left(), self.watched_next())
+        let got = timeout(self.time_left(), self.next_or_silence())
             .await
             .unwrap_or(Some(Err(Cut(Reason::DeadlinePassed))));
         self.took += self.fleet.now().saturating_sub(asked);
@@ -125,21 +125,21 @@
         Some(Ok(chunk))
     }
 
-    async fn watched_next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next_or_silence(&mut self) -> Option<Result<Bytes, Cut>> {
         let Self { fleet, id, tail, resp, slot, .. } = self;
         let Some((slot, endpoint)) = slot.as_ref().and_then(Slot::at) else {
             let cut = |_| Cut(Reason::AnswerCut);
             return resp.next().await.map(|chunk| chunk.map_err(cut));
         };
-        let watch = Watch { fleet, endpoint, id, part: Part::Body, tail: *tail };
-        match watch.wait(resp.next()).await {
+        let detector = SilenceDetector { fleet, endpoint, id, part: AnswerPart::Body, tail: *tail };
+        match detector.wait(resp.next()).await {
             Ok(None) => None,
             Ok(Some(Ok(chunk))) => Some(Ok(chunk)),
             Ok(Some(Err(_))) => {
                 slot.judge(Verdict::Bad);
                 Some(Err(Cut(Reason::AnswerCut)))
             }
-            Err(quiet) => Some(Err(Cut(judge_quiet(quiet, slot, endpoint)))),
+            Err(silence) => Some(Err(Cut(record_silence(silence, slot, endpoint)))),
         }
     }
 
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -8,7 +8,7 @@
 use crate::request::fleet::Fleet;
 use crate::request::headers;
 use crate::request::outcome::Reason;
-use crate::request::silence::{Part, Quiet, Watch};
+use crate::request::silence::{AnswerPart, Silence, SilenceDetector};
 use crate::request::slot::{Slot, Verdict};
 use actix_web::http::StatusCode;
 use actix_web::http::header::{HeaderName, HeaderValue};
@@ -99,8 +99,8 @@
         loop {
             let reused = conn.stage() == Stage::Opened;
             slot.sending(&self.arrival.id);
-            let watch = self.watch(endpoint, Part::Head);
-            match watch.wait(conn.send(self.outgoing())).await {
+            let detector = self.silence_detector(endpoint, AnswerPart::Head);
+            match detector.wait(conn.send(self.outgoing())).await {
                 Ok(Ok(resp)) => return Ok((resp, conn)),
                 Ok(Err(SendError::NotSent)) => {
                     slot.settled();
@@ -114,8 +114,8 @@
                     slot.judge(Verdict::Bad);
                     return Err(AttemptResult::Unknown(Reason::ConnectionLost));
                 }
-                Err(quiet) => {
-                    return Err(AttemptResult::Unknown(judge_quiet(quiet, slot, endpoint)));
+                Err(silence) => {
+                    return Err(AttemptResult::Unknown(record_silence(silence, slot, endpoint)));
                 }
             }
         }
@@ -181,9 +181,13 @@
         AttemptResult::Answered(Answer { status, headers, body })
     }
 
-    fn watch<'w>(&'w self, endpoint: &'w Endpoint, part: Part) -> Watch<'w> {
+    fn silence_detector<'w>(
+        &'w self,
+        endpoint: &'w Endpoint,
+        part: AnswerPart,
+    ) -> SilenceDetector<'w> {
         let tail = self.fleet.tail(&self.arrival.service, &self.arrival.class);
-        Watch { fleet: self.fleet, endpoint, id: &self.arrival.id, part, tail }
+        SilenceDetector { fleet: self.fleet, endpoint, id: &self.arrival.id, part, tail }
     }
 
     fn outgoing(&self) -> Outgoing {
@@ -206,13 +210,13 @@
 
 /// Records why a connection went silent, closing suspect idle connections, and returns the reason
 /// for the request.
-pub(super) fn judge_quiet(quiet: Quiet, slot: &Slot, endpoint: &Endpoint) -> Reason {
-    match quiet {
-        Quiet::Connection => {
+pub(super) fn record_silence(silence: Silence, slot: &Slot, endpoint: &Endpoint) -> Reason {
+    match silence {
+        Silence::Connection => {
             endpoint.close_idle();
             Reason::ConnectionSilent
         }
-        Quiet::Endpoint => {
+        Silence::Endpoint => {
             slot.judge(Verdict::Bad);
             Reason::ConnectionLost
         }
--- a/src/request/silence.rs
+++ b/src/request/silence.rs
@@ -1,10 +1,11 @@
-//! Telling a connection that went silent from an endpoint that takes its time.
+//! Distinguishes a silent connection from a slow endpoint.
 //!
-//! Both look the same on the connection itself: nothing comes. So another connection to the same
-//! endpoint is asked. If the endpoint doesn't answer there either, it is the endpoint. If it says
-//! that the request runs, the request is slow. If it says that nothing of the request runs, and
-//! nothing comes, the connection has lost the answer. An endpoint that doesn't say gets a time
-//! that goes by how long such requests usually take. None of this looks at the caller's deadline.
+//! Both look the same on the connection itself, where no data arrives, so the endpoint is probed
+//! over another connection. If the probe fails too, the endpoint is at fault. If the endpoint
+//! reports that the request is running, the request is slow. If it reports that the request is not
+//! running and still no data arrives, the connection has lost the answer. An endpoint that doesn't
+//! report request states is given a timeout based on the usual duration of such requests. The
+//! caller's deadline plays no part in this.
 
 use crate::ids::RequestId;
 use crate::request::conn::RequestState;
@@ -14,122 +15,131 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Quiet time before the endpoint is asked.
-const FIRST_LOOK: Duration = Duration::from_millis(500);
+/// Time without data before the endpoint is probed.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between looks while the request runs.
-const NEXT_LOOK: Duration = Duration::from_secs(1);
+/// Time between probes while the request is running.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for an answer that was sent already to arrive.
-const GRACE: Duration = Duration::from_millis(200);
+/// Delay before the next probe otherwise, in which an answer already sent can arrive.
+const RECHECK_DELAY: Duration = Duration::from_millis(200);
 
-/// Words in a row that the request does not run: the first may cross the answer.
-const SURE: u32 = 2;
+/// Consecutive probes that must report the request as not running: the first one may cross the
+/// answer on its way.
+const MIN_NOT_RUNNING: u32 = 2;
 
-/// Looks in a row without an answer, after which it is the endpoint.
-const GONE: u32 = 3;
+/// Consecutive failed probes after which the endpoint is at fault.
+const MAX_UNANSWERED: u32 = 3;
 
-/// Shortest quiet time for which an endpoint that doesn't say is given up on.
-const LEAST_UNSAID: Duration = Duration::from_secs(2);
+/// Shortest timeout for the head of an answer if the endpoint doesn't report request states.
+const MIN_UNREPORTED_LIMIT: Duration = Duration::from_secs(2);
 
-/// The same as a multiple of the time that few requests exceed.
-const UNSAID_TAILS: u32 = 4;
+/// The same timeout as a multiple of the tail service time of the class.
+const UNREPORTED_TAIL_FACTOR: u32 = 4;
 
-/// Quiet time in the middle of a body beyond which even a running request won't go on: the
-/// endpoint may be stuck in sending to a connection that takes nothing.
-const LONGEST_GAP: Duration = Duration::from_secs(30);
+/// Longest gap within a body, even while the request is reported as running: the endpoint may be
+/// blocked writing to a connection that accepts no data.
+const MAX_BODY_GAP: Duration = Duration::from_secs(30);
 
-/// Why nothing comes.
+/// Why no data arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Quiet {
-    /// The connection is silent; the endpoint is well.
+pub(super) enum Silence {
+    /// The connection is silent; the endpoint is healthy.
     Connection,
     /// The endpoint doesn't answer on other connections either.
     Endpoint,
 }
 
-/// Which part of the answer is awaited.
+/// The part of the answer being waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Part {
+pub(super) enum AnswerPart {
     Head,
     Body,
 }
 
-/// What is watched.
-pub(super) struct Watch<'a> {
+/// Watches one request for silence.
+pub(super) struct SilenceDetector<'a> {
     pub fleet: &'a Fleet,
     pub endpoint: &'a Endpoint,
     pub id: &'a RequestId,
-    pub part: Part,
-    /// Time that few requests of the class exceed.
+    pub part: AnswerPart,
+    /// Tail service time of the class.
     pub tail: Duration,
 }
 
-/// Findings so far.
+/// Results of the probes so far.
 #[derive(Debug, Default)]
-struct Findings {
-    quiet: Duration,
+struct ProbeHistory {
+    silent_for: Duration,
     not_running: u32,
     unanswered: u32,
 }
 
-impl Watch<'_> {
-    /// Waits for `fut` unless it won't come.
-    pub async fn wait<F: Future>(&self, fut: F) -> Result<F::Output, Quiet> {
+impl SilenceDetector<'_> {
+    /// Waits for `fut`, or returns why it is not expected to complete.
+    pub async fn wait<F: Future>(&self, fut: F) -> Result<F::Output, Silence> {
         let mut fut = pin!(fut);
         let start = self.fleet.now();
-        let mut findings = Findings::default();
-        let mut pause = FIRST_LOOK;
+        let mut history = ProbeHistory::default();
+        let mut delay = FIRST_PROBE_DELAY;
         loop {
-            if let Ok(out) = actix_web::rt::time::timeout(pause, &mut fut).await {
+            if let Ok(out) = actix_web::rt::time::timeout(delay, &mut fut).await {
                 return Ok(out);
             }
             let now = self.fleet.now();
-            findings.quiet = now.saturating_sub(start);
+            history.silent_for = now.saturating_sub(start);
             let state = tokio::select! {
                 out = &mut fut => return Ok(out),
                 probed = self.endpoint.probe(Some(self.id), now) => probed.map(|reply| reply.state),
             };
-            pause = self.judge(state, &mut findings)?;
+            delay = self.evaluate(state, &mut history)?;
         }
     }
 
-    /// The pause until the next look, or why nothing comes.
-    fn judge(
+    /// Returns the delay until the next probe, or why no data arrives.
+    fn evaluate(
         &self,
         state: Option<RequestState>,
-        findings: &mut Findings,
-    ) -> Result<Duration, Quiet> {
+        history: &mut ProbeHistory,
+    ) -> Result<Duration, Silence> {
         match state {
             None => {
-                findings.unanswered += 1;
-                if findings.unanswered >= GONE { Err(Quiet::Endpoint) } else { Ok(GRACE) }
+                history.unanswered += 1;
+                if history.unanswered >= MAX_UNANSWERED {
+                    Err(Silence::Endpoint)
+                } else {
+                    Ok(RECHECK_DELAY)
+                }
             }
             Some(RequestState::NotRunning) => {
-                findings.unanswered = 0;
-                findings.not_running += 1;
-                if findings.not_running >= SURE { Err(Quiet::Connection) } else { Ok(GRACE) }
+                history.unanswered = 0;
+                history.not_running += 1;
+                if history.not_running >= MIN_NOT_RUNNING {
+                    Err(Silence::Connection)
+                } else {
+                    Ok(RECHECK_DELAY)
+                }
             }
             Some(RequestState::Running) => {
-                (findings.unanswered, findings.not_running) = (0, 0);
-                let stuck = self.part == Part::Body && findings.quiet > LONGEST_GAP;
-                if stuck { Err(Quiet::Connection) } else { Ok(NEXT_LOOK) }
+                (history.unanswered, history.not_running) = (0, 0);
+                let stuck = self.part == AnswerPart::Body && history.silent_for > MAX_BODY_GAP;
+                if stuck { Err(Silence::Connection) } else { Ok(PROBE_INTERVAL) }
             }
             Some(RequestState::Unreported) => {
-                findings.unanswered = 0;
-                if findings.quiet > self.unsaid_limit() {
-                    Err(Quiet::Connection)
+                history.unanswered = 0;
+                if history.silent_for > self.unreported_limit() {
+                    Err(Silence::Connection)
                 } else {
-                    Ok(GRACE)
+                    Ok(RECHECK_DELAY)
                 }
             }
         }
     }
 
-    fn unsaid_limit(&self) -> Duration {
+    fn unreported_limit(&self) -> Duration {
         match self.part {
-            Part::Head => (self.tail * UNSAID_TAILS).max(LEAST_UNSAID),
-            Part::Body => LONGEST_GAP,
+            AnswerPart::Head => (self.tail * UNREPORTED_TAIL_FACTOR).max(MIN_UNREPORTED_LIMIT),
+            AnswerPart::Body => MAX_BODY_GAP,
         }
     }
 }
