--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! An endpoint's answer, and the check that it is whole.
+//! The answer of an endpoint, and the check that it is complete.
 
 use crate::ids::RequestId;
 use crate::request::arrival::Arrival;
@@ -7,7 +7,7 @@
 use crate::request::fleet::Fleet;
 use crate::request::outcome::Reason;
 use crate::request::silence::{AnswerPart, SilenceDetector};
-use crate::request::slot::{Slot, Verdict};
+use crate::request::slot::{Evidence, Slot};
 use actix_web::http::header::{self, HeaderName, HeaderValue};
 use actix_web::http::{Method, StatusCode};
 use actix_web::rt::time::timeout;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An answer that is this request's own.
+/// An answer verified to belong to the request.
 pub(super) struct Answer {
     pub status: StatusCode,
     pub headers: Vec<(HeaderName, HeaderValue)>,
@@ -30,7 +30,7 @@
     Stream(Box<AnswerStream>),
 }
 
-/// A body still to be read, with the slot and the connection that it comes over.
+/// A body that is still being read, with its slot and connection.
 pub(super) struct AnswerStream {
     fleet: Rc<Fleet>,
     id: RequestId,
@@ -39,20 +39,21 @@
     tail: Duration,
     resp: ClientResponse,
     conn: Conn,
-    /// None for an answer that another daemon forwards.
+    /// None if the answer comes from another daemon.
     slot: Option<Slot>,
-    /// Bytes still to come, where the head said how many.
+    /// Bytes not yet received, if the length is known.
     left: Option<u64>,
-    /// Time that the endpoint took so far; a caller that reads slowly is not its fault.
+    /// Time spent waiting for the endpoint, which excludes waiting for a caller that reads slowly.
     took: Duration,
 }
 
-/// A body that ended early; the caller's connection is cut, so that it can't pass for whole.
+/// A body that ended early. The caller's connection is closed, so that the answer isn't taken as
+/// complete.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the endpoint's answer was cut ({0}); send the request again if that is harmless")]
-pub(super) struct Cut(pub Reason);
+pub(super) struct Truncated(pub Reason);
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Framing {
     Length(u64),
@@ -61,7 +62,7 @@
 }
 
 impl AnswerStream {
-    /// The body that follows a head, with `left` bytes if that was said.
+    /// Creates the body that follows a response head, of `left` bytes if its length is known.
     pub fn new(
         fleet: &Rc<Fleet>,
         arrival: &Arrival,
@@ -85,18 +86,18 @@
         }
     }
 
-    /// Bytes to come, where the head said how many.
+    /// Bytes not yet received, if the length is known.
     pub fn length(&self) -> Option<u64> {
         self.left
     }
 
-    /// Time until the whole answer is due.
+    /// Time until the deadline of the answer.
     pub fn time_left(&self) -> Duration {
         self.due.saturating_sub(self.fleet.now())
     }
 
     /// Reads the body to its end.
-    pub async fn read_whole(mut self) -> Result<Bytes, Cut> {
+    pub async fn read_whole(mut self) -> Result<Bytes, Truncated> {
         let mut buf = BytesMut::new();
         while let Some(chunk) = self.next().await {
             buf.extend_from_slice(&chunk?);
@@ -105,50 +106,50 @@
         Ok(buf.freeze())
     }
 
-    /// The next piece, or none at the end, which [`AnswerStream::finish`] then checks.
-    pub async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    /// Returns the next chunk, or none at the end, which [`AnswerStream::finish`] must then check.
+    pub async fn next(&mut self) -> Option<Result<Bytes, Truncated>> {
         let asked = self.fleet.now();
         let got = timeout(self.time_left(), self.next_or_silence())
             .await
-            .unwrap_or(Some(Err(Cut(Reason::DeadlinePassed))));
+            .unwrap_or(Some(Err(Truncated(Reason::DeadlinePassed))));
         self.took += self.fleet.now().saturating_sub(asked);
         let chunk = match got? {
             Ok(chunk) => chunk,
-            Err(cut) => return Some(Err(cut)),
+            Err(truncated) => return Some(Err(truncated)),
         };
         if let Some(left) = &mut self.left {
             match left.checked_sub(chunk.len() as u64) {
                 Some(rest) => *left = rest,
-                None => return Some(Err(Cut(Reason::AnswerMismatch))),
+                None => return Some(Err(Truncated(Reason::AnswerMismatch))),
             }
         }
         Some(Ok(chunk))
     }
 
-    async fn next_or_silence(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next_or_silence(&mut self) -> Option<Result<Bytes, Truncated>> {
         let Self { fleet, id, tail, resp, slot, .. } = self;
         let Some((slot, endpoint)) = slot.as_ref().and_then(Slot::at) else {
-            let cut = |_| Cut(Reason::AnswerCut);
-            return resp.next().await.map(|chunk| chunk.map_err(cut));
+            let truncated = |_| Truncated(Reason::AnswerCut);
+            return resp.next().await.map(|chunk| chunk.map_err(truncated));
         };
         let detector = SilenceDetector { fleet, endpoint, id, part: AnswerPart::Body, tail: *tail };
         match detector.wait(resp.next()).await {
             Ok(None) => None,
             Ok(Some(Ok(chunk))) => Some(Ok(chunk)),
             Ok(Some(Err(_))) => {
-                slot.judge(Verdict::Bad);
-                Some(Err(Cut(Reason::AnswerCut)))
+                slot.record(Evidence::Bad);
+                Some(Err(Truncated(Reason::AnswerCut)))
             }
-            Err(silence) => Some(Err(Cut(record_silence(silence, slot, endpoint)))),
+            Err(silence) => Some(Err(Truncated(record_silence(silence, slot, endpoint)))),
         }
     }
 
-    /// Checks that the body was whole, and keeps the connection.
+    /// Checks that the body is complete, and returns the connection to the idle pool.
     ///
-    /// The client library ends a chunked body in the same way when its last chunk came and when
-    /// the connection was closed before that, so that a cut answer would pass for whole. Only in
-    /// the first case is the connection still there, and a probe over it succeeds.
-    pub async fn finish(self) -> Result<(), Cut> {
+    /// The client library reports the same end of a chunked body whether the last chunk arrived or
+    /// the connection was closed before it, so that a truncated answer would look complete. Only in
+    /// the first case is the connection still open, so that a probe over it succeeds.
+    pub async fn finish(self) -> Result<(), Truncated> {
         let Self { fleet, status, resp, mut conn, slot, left, took, .. } = self;
         drop(resp);
         let whole = match left {
@@ -158,20 +159,20 @@
         let at = slot.as_ref().and_then(Slot::at);
         match at {
             Some((slot, endpoint)) if whole => {
-                slot.settled();
+                slot.mark_ended();
                 let good = !status.is_server_error();
-                slot.judge(if good { Verdict::Good { took } } else { Verdict::Bad });
+                slot.record(if good { Evidence::Good { took } } else { Evidence::Bad });
                 endpoint.keep_conn(conn, endpoint.in_flight(), fleet.now());
             }
-            Some((slot, _)) => slot.judge(Verdict::Bad),
+            Some((slot, _)) => slot.record(Evidence::Bad),
             None => {}
         }
-        if whole { Ok(()) } else { Err(Cut(Reason::AnswerCut)) }
+        if whole { Ok(()) } else { Err(Truncated(Reason::AnswerCut)) }
     }
 }
 
 impl Framing {
-    /// How an answer to a request by `method` ends.
+    /// Determines how the answer to a request with `method` ends.
     pub fn of(method: &Method, resp: &ClientResponse) -> Self {
         let bodiless = method == Method::HEAD
             || resp.status() == StatusCode::NO_CONTENT
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request on one endpoint, up to an answer verified to belong to the request.
 
 use crate::model::Idempotency;
-use crate::request::answer::{Answer, AnswerBody, AnswerStream, Cut, Framing};
+use crate::request::answer::{Answer, AnswerBody, AnswerStream, Framing, Truncated};
 use crate::request::arrival::Arrival;
 use crate::request::conn::{Conn, Outgoing, SendError, Stage};
 use crate::request::endpoint::Endpoint;
@@ -9,7 +9,7 @@
 use crate::request::headers;
 use crate::request::outcome::Reason;
 use crate::request::silence::{AnswerPart, Silence, SilenceDetector};
-use crate::request::slot::{Slot, Verdict};
+use crate::request::slot::{Evidence, Slot};
 use actix_web::http::StatusCode;
 use actix_web::http::header::{HeaderName, HeaderValue};
 use awc::ClientResponse;
@@ -73,11 +73,11 @@
         if resp.headers().get(headers::REQUEST_ID).map(HeaderValue::as_bytes)
             != Some(self.arrival.id.as_str().as_bytes())
         {
-            slot.judge(Verdict::Bad);
+            slot.record(Evidence::Bad);
             return AttemptResult::Unknown(Reason::AnswerMismatch);
         }
         if let Some(why) = reported_not_run(&resp) {
-            slot.settled();
+            slot.mark_ended();
             return AttemptResult::NotRun(why);
         }
         self.answer(resp, slot, conn, at).await
@@ -92,18 +92,18 @@
             Ok(conn) => conn,
             Err(why) => {
                 // A silent idle connection doesn't count against the endpoint; new ones that fail do.
-                slot.judge(Verdict::Bad);
+                slot.record(Evidence::Bad);
                 return Err(AttemptResult::NotRun(why));
             }
         };
         loop {
             let reused = conn.stage() == Stage::Opened;
-            slot.sending(&self.arrival.id);
+            slot.mark_sent(&self.arrival.id);
             let detector = self.silence_detector(endpoint, AnswerPart::Head);
             match detector.wait(conn.send(self.outgoing())).await {
                 Ok(Ok(resp)) => return Ok((resp, conn)),
                 Ok(Err(SendError::NotSent)) => {
-                    slot.settled();
+                    slot.mark_ended();
                     if !reused {
                         return Err(AttemptResult::NotRun(NotRun::Unreachable));
                     }
@@ -111,7 +111,7 @@
                     conn = endpoint.new_conn(self.fleet.now());
                 }
                 Ok(Err(SendError::Lost)) => {
-                    slot.judge(Verdict::Bad);
+                    slot.record(Evidence::Bad);
                     return Err(AttemptResult::Unknown(Reason::ConnectionLost));
                 }
                 Err(silence) => {
@@ -162,7 +162,7 @@
             Framing::Length(length) => Some(length),
             Framing::Chunked => None,
             Framing::UntilClose => {
-                slot.judge(Verdict::Bad);
+                slot.record(Evidence::Bad);
                 return AttemptResult::Unknown(Reason::AnswerUnbounded);
             }
         };
@@ -173,7 +173,7 @@
         let body = if short {
             match stream.read_whole().await {
                 Ok(bytes) => AnswerBody::Whole(bytes),
-                Err(Cut(reason)) => return AttemptResult::Unknown(reason),
+                Err(Truncated(reason)) => return AttemptResult::Unknown(reason),
             }
         } else {
             AnswerBody::Stream(Box::new(stream))
@@ -217,7 +217,7 @@
             Reason::ConnectionSilent
         }
         Silence::Endpoint => {
-            slot.judge(Verdict::Bad);
+            slot.record(Evidence::Bad);
             Reason::ConnectionLost
         }
     }
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::ids::RequestId;
 use crate::model::{Config, Idempotency};
 use crate::request::admission::Refused;
-use crate::request::answer::{Answer, AnswerBody, Cut};
+use crate::request::answer::{Answer, AnswerBody, Truncated};
 use crate::request::arrival::{self, Arrival};
 use crate::request::body::{self, HeldBytes};
 use crate::request::endpoint::EndpointInfo;
@@ -65,9 +65,9 @@
 
 impl InFlight {
     /// Notes that an answer that was passed on in part was cut.
-    pub fn note_cut(&self, id: &RequestId, cut: Cut) {
+    pub fn record_truncation(&self, id: &RequestId, truncated: Truncated) {
         let now = self.0.fleet.now();
-        self.0.journal.borrow_mut().close(id, Outcome::Ran, cut.0, now);
+        self.0.journal.borrow_mut().close(id, Outcome::Ran, truncated.0, now);
     }
 }
 
--- a/src/request/fleet.rs
+++ b/src/request/fleet.rs
@@ -14,7 +14,7 @@
 use crate::request::route::{self, Candidate, Choosing, Usual};
 use crate::request::settings::DispatcherSettings;
 use crate::request::share::Taker;
-use crate::request::slot::{Slot, Verdict};
+use crate::request::slot::{Evidence, Slot};
 use crate::request::status::EndpointStatus;
 use indexmap::IndexMap;
 use rand::SeedableRng;
@@ -182,11 +182,11 @@
     }
 
     /// A request ended at an endpoint.
-    pub fn ended(self: &Rc<Self>, endpoint: &Endpoint, class: &ClassName, verdict: Verdict) {
+    pub fn ended(self: &Rc<Self>, endpoint: &Endpoint, class: &ClassName, evidence: Evidence) {
         let now = self.now();
-        let took = match verdict {
-            Verdict::Good { took } => Some(took),
-            Verdict::Bad | Verdict::Nothing => None,
+        let took = match evidence {
+            Evidence::Good { took } => Some(took),
+            Evidence::Bad | Evidence::Neutral => None,
         };
         if let Some(queue) = self.queues.borrow_mut().get_mut(&endpoint.service) {
             if let (Some(took), Some(usual)) = (took, queue.usual(class)) {
@@ -194,10 +194,10 @@
             }
             queue.ended(class, took, now);
         }
-        match verdict {
-            Verdict::Good { .. } => endpoint.health.borrow_mut().succeeded(now),
-            Verdict::Bad => self.blame(endpoint, now),
-            Verdict::Nothing => {}
+        match evidence {
+            Evidence::Good { .. } => endpoint.health.borrow_mut().succeeded(now),
+            Evidence::Bad => self.blame(endpoint, now),
+            Evidence::Neutral => {}
         }
         self.pump(&endpoint.service);
     }
--- a/src/request/pieces.rs
+++ b/src/request/pieces.rs
@@ -5,7 +5,7 @@
 //! would keep the endpoint's slot for good; so when the answer is due, the slot is taken back.
 
 use crate::ids::RequestId;
-use crate::request::answer::{AnswerStream, Cut};
+use crate::request::answer::{AnswerStream, Truncated};
 use crate::request::dispatch::InFlight;
 use crate::request::outcome::Reason;
 use actix_web::rt::time::sleep;
@@ -63,27 +63,27 @@
 }
 
 impl Pieces {
-    async fn next(&self) -> Option<Result<Bytes, Cut>> {
+    async fn next(&self) -> Option<Result<Bytes, Truncated>> {
         let shelved = self.shelf.replace(Shelved::Reading);
         let Rest { mut stream, in_flight } = match shelved {
             Shelved::Rest(rest) => rest,
             Shelved::TakenBack => {
                 self.shelf.replace(Shelved::Ended);
-                return Some(Err(Cut(Reason::DeadlinePassed)));
+                return Some(Err(Truncated(Reason::DeadlinePassed)));
             }
             Shelved::Reading | Shelved::Ended => return None,
         };
-        let cut = match stream.next().await {
+        let truncated = match stream.next().await {
             Some(Ok(chunk)) => {
                 self.shelf.replace(Shelved::Rest(Rest { stream, in_flight }));
                 return Some(Ok(chunk));
             }
-            Some(Err(cut)) => cut,
+            Some(Err(truncated)) => truncated,
             None => stream.finish().await.err()?,
         };
-        in_flight.note_cut(&self.id, cut);
+        in_flight.record_truncation(&self.id, truncated);
         self.shelf.replace(Shelved::Ended);
-        Some(Err(cut))
+        Some(Err(truncated))
     }
 }
 
@@ -96,6 +96,6 @@
         return;
     }
     if let Shelved::Rest(rest) = shelf.replace(Shelved::TakenBack) {
-        rest.in_flight.note_cut(&id, Cut(Reason::DeadlinePassed));
+        rest.in_flight.record_truncation(&id, Truncated(Reason::DeadlinePassed));
     }
 }
--- a/src/request/slot.rs
+++ b/src/request/slot.rs
@@ -1,8 +1,8 @@
-//! The right to have one request at an endpoint.
+//! A slot: permission to have one request in progress at an endpoint.
 //!
-//! A slot is free again only when nothing of its request runs at the endpoint any more. A caller
-//! that goes away, a deadline or a silent connection ends the wait here, not the work there; giving
-//! the slot back at once would put more requests on the endpoint than it has slots.
+//! A slot is released only once its request no longer runs at the endpoint. A caller that
+//! disconnects, a deadline or a silent connection ends the wait in this daemon but not the work at
+//! the endpoint; releasing the slot at once would overload the endpoint beyond its slots.
 
 use crate::ids::{ClassName, RequestId};
 use crate::request::conn::RequestState;
@@ -14,53 +14,53 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// First pause before asking whether an abandoned request still runs.
-const FIRST_ASK: Duration = Duration::from_millis(2);
+/// Delay before the first probe for the state of an abandoned request.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(2);
 
-/// Longest pause before asking again.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Upper bound of the delay between such probes, which doubles each time.
+const MAX_PROBE_DELAY: Duration = Duration::from_millis(250);
 
-/// Answers in a row that say nothing runs. One alone may be overtaken by the request itself.
-const SURE: u32 = 2;
+/// Probes that must report the request as not running: a single one may overtake the request.
+const MIN_NOT_RUNNING: u32 = 2;
 
-/// Probes in a row without an answer, after which the endpoint is taken to be gone.
-const GONE: u32 = 3;
+/// Unanswered probes after which the endpoint is assumed to be gone.
+const MAX_UNANSWERED: u32 = 3;
 
-/// Longest time that a slot is held for an abandoned request.
-const LONGEST_HOLD: Duration = Duration::from_secs(300);
+/// Longest time a slot is held_for for an abandoned request.
+const MAX_HOLD: Duration = Duration::from_secs(300);
 
-/// What a request showed of the endpoint.
+/// What the result of a request says about the health of the endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) enum Verdict {
-    /// Nothing, as when a connection went silent or the caller went away.
+pub(super) enum Evidence {
+    /// No evidence, for example because a connection went silent or the caller disconnected.
     #[default]
-    Nothing,
+    Neutral,
     Good {
         took: Duration,
     },
     Bad,
 }
 
-/// A slot; given back when dropped, once nothing of its request is left at the endpoint.
+/// A slot in use; after it is dropped, it is released once its request has ended at the endpoint.
 pub(super) struct Slot {
-    lease: Option<Lease>,
-    /// The request that may be at the endpoint.
+    held_slot: Option<HeldSlot>,
+    /// The request that may be running at the endpoint.
     sent: RefCell<Option<RequestId>>,
 }
 
-/// What is given back.
-struct Lease {
+/// The part of a slot that is released; dropping it frees the slot.
+struct HeldSlot {
     fleet: Rc<Fleet>,
     endpoint: Rc<Endpoint>,
     class: ClassName,
     number: u64,
-    at: Duration,
+    taken_at: Duration,
     tail: Duration,
-    verdict: Cell<Verdict>,
+    evidence: Cell<Evidence>,
 }
 
 impl Slot {
-    /// Takes a slot at `endpoint`, which has one free.
+    /// Takes a slot of `endpoint`, which must have a free one.
     pub fn take(
         fleet: &Rc<Fleet>,
         endpoint: &Rc<Endpoint>,
@@ -68,88 +68,88 @@
         usual: Usual,
         number: u64,
     ) -> Self {
-        let at = fleet.now();
-        endpoint.start(number, at, usual.mean());
-        let lease = Lease {
+        let taken_at = fleet.now();
+        endpoint.start(number, taken_at, usual.mean());
+        let held_slot = HeldSlot {
             fleet: Rc::clone(fleet),
             endpoint: Rc::clone(endpoint),
             class: class.clone(),
             number,
-            at,
+            taken_at,
             tail: usual.tail(),
-            verdict: Cell::default(),
+            evidence: Cell::default(),
         };
-        Self { lease: Some(lease), sent: RefCell::default() }
+        Self { held_slot: Some(held_slot), sent: RefCell::default() }
     }
 
-    /// The endpoint.
+    /// The endpoint that the slot belongs to.
     pub fn endpoint(&self) -> Option<&Rc<Endpoint>> {
-        self.lease.as_ref().map(|lease| &lease.endpoint)
+        self.held_slot.as_ref().map(|held_slot| &held_slot.endpoint)
     }
 
-    /// The slot with its endpoint.
+    /// The slot together with its endpoint.
     pub fn at(&self) -> Option<(&Self, &Endpoint)> {
         self.endpoint().map(|endpoint| (self, &**endpoint))
     }
 
-    /// Bytes of a request may leave from now on.
-    pub fn sending(&self, id: &RequestId) {
+    /// Records that bytes of request `id` may be sent from now on.
+    pub fn mark_sent(&self, id: &RequestId) {
         *self.sent.borrow_mut() = Some(id.clone());
     }
 
-    /// Nothing of the request is at the endpoint.
-    pub fn settled(&self) {
+    /// Records that the request is not running at the endpoint.
+    pub fn mark_ended(&self) {
         *self.sent.borrow_mut() = None;
     }
 
-    /// Notes what the request showed of the endpoint.
-    pub fn judge(&self, verdict: Verdict) {
-        if let Some(lease) = &self.lease {
-            lease.verdict.set(verdict);
+    /// Records what the request says about the endpoint.
+    pub fn record(&self, evidence: Evidence) {
+        if let Some(held_slot) = &self.held_slot {
+            held_slot.evidence.set(evidence);
         }
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let Some(lease) = self.lease.take() else { return };
+        let Some(held_slot) = self.held_slot.take() else { return };
         let Some(id) = self.sent.borrow_mut().take() else { return };
-        // While the runtime shuts down nothing can be asked any more, nor started.
+        // No task can be spawned while the runtime shuts down.
         if tokio::runtime::Handle::try_current().is_ok() {
-            actix_web::rt::spawn(hold(lease, id));
+            actix_web::rt::spawn(hold_until_ended(held_slot, id));
         }
     }
 }
 
-impl Drop for Lease {
+impl Drop for HeldSlot {
     fn drop(&mut self) {
         self.endpoint.end(self.number);
-        self.fleet.ended(&self.endpoint, &self.class, self.verdict.get());
+        self.fleet.ended(&self.endpoint, &self.class, self.evidence.get());
     }
 }
 
-/// Keeps the slot until the endpoint has surely done with the request.
-async fn hold(lease: Lease, id: RequestId) {
-    let mut pause = FIRST_ASK;
+/// Holds the slot until the request is known to have ended at the endpoint.
+async fn hold_until_ended(held_slot: HeldSlot, id: RequestId) {
+    let mut delay = FIRST_PROBE_DELAY;
     let mut not_running = 0;
     let mut unanswered = 0;
     loop {
-        sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
-        let now = lease.fleet.now();
-        let held = now.saturating_sub(lease.at);
-        match lease.endpoint.probe(Some(&id), now).await.map(|reply| reply.state) {
+        sleep(delay).await;
+        delay = (delay * 2).min(MAX_PROBE_DELAY);
+        let now = held_slot.fleet.now();
+        let held_for = now.saturating_sub(held_slot.taken_at);
+        match held_slot.endpoint.probe(Some(&id), now).await.map(|reply| reply.state) {
             Some(RequestState::Running) => (not_running, unanswered) = (0, 0),
             Some(RequestState::NotRunning) => {
                 not_running += 1;
-                pause = FIRST_ASK;
+                delay = FIRST_PROBE_DELAY;
             }
-            // Without the endpoint's state, the time that few requests exceed must do.
-            Some(RequestState::Unreported) if held > lease.tail => return,
+            // Without a reported state, the tail service time of the class is used instead.
+            Some(RequestState::Unreported) if held_for > held_slot.tail => return,
             Some(RequestState::Unreported) => {}
             None => unanswered += 1,
         }
-        if not_running >= SURE || unanswered >= GONE || held > LONGEST_HOLD {
+        if not_running >= MIN_NOT_RUNNING || unanswered >= MAX_UNANSWERED || held_for > MAX_HOLD {
             return;
         }
     }
