--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -274,10 +274,10 @@
             AnswerBody::Whole(bytes) => resp.body(bytes),
             AnswerBody::Stream(stream) => {
                 let length = stream.length();
-                let pieces = pieces::new(stream, id.clone(), in_flight);
+                let chunks = pieces::new(stream, id.clone(), in_flight);
                 match length {
-                    Some(length) => resp.body(SizedStream::new(length, pieces)),
-                    None => resp.streaming(pieces),
+                    Some(length) => resp.body(SizedStream::new(length, chunks)),
+                    None => resp.streaming(chunks),
                 }
             }
         }
--- a/src/request/pieces.rs
+++ b/src/request/pieces.rs
@@ -1,8 +1,8 @@
-//! An answer as the caller takes it.
+//! Streams an answer to the caller with back pressure.
 //!
-//! Pieces are read from the endpoint only as fast as the caller reads them, so that a large answer
-//! takes little memory here. A caller that stops reading is never asked for again, though, and
-//! would keep the endpoint's slot for good; so when the answer is due, the slot is taken back.
+//! Chunks are read from the endpoint only as fast as the caller reads them, so that a large answer
+//! takes little memory in the daemon. The server never polls the stream again once the caller stops
+//! reading, which would hold the slot forever; so the slot is released at the deadline.
 
 use crate::ids::RequestId;
 use crate::request::answer::{AnswerStream, Truncated};
@@ -16,86 +16,88 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// What is given up together when the answer ends.
-struct Rest {
+/// Resources that are released together when the answer ends.
+struct ActiveStream {
     stream: Box<AnswerStream>,
     in_flight: InFlight,
 }
 
-/// The rest of an answer between two pieces.
-enum Shelved {
-    Rest(Rest),
-    /// A piece is being read.
+/// State of an answer between two polls.
+enum StreamState {
+    Idle(ActiveStream),
+    /// A chunk is being read.
     Reading,
-    /// The answer ended, whole or cut.
+    /// The answer ended, complete or truncated.
     Ended,
-    /// The caller did not read in time.
-    TakenBack,
+    /// The deadline passed before the caller had read everything.
+    Expired,
 }
 
-type Shelf = Rc<RefCell<Shelved>>;
+type SharedState = Rc<RefCell<StreamState>>;
 
-struct Pieces {
-    shelf: Shelf,
+struct CallerStream {
+    state: SharedState,
     id: RequestId,
-    guard: actix_web::rt::task::JoinHandle<()>,
+    deadline_task: actix_web::rt::task::JoinHandle<()>,
 }
 
-impl Drop for Pieces {
+impl Drop for CallerStream {
     fn drop(&mut self) {
-        self.guard.abort();
+        self.deadline_task.abort();
     }
 }
 
-/// The pieces of an answer; the caller's connection is cut where the answer is.
+/// Returns the chunks of an answer as a stream; a truncated answer ends it with an error, which
+/// closes the caller's connection.
 pub(super) fn new(
     stream: Box<AnswerStream>,
     id: RequestId,
     in_flight: InFlight,
 ) -> impl Stream<Item = Result<Bytes, actix_web::Error>> + 'static {
     let left = stream.time_left();
-    let shelf = Rc::new(RefCell::new(Shelved::Rest(Rest { stream, in_flight })));
-    let guard = actix_web::rt::spawn(take_back(Rc::downgrade(&shelf), id.clone(), left));
-    stream::unfold(Pieces { shelf, id, guard }, |pieces| async move {
-        let piece = pieces.next().await?;
-        Some((piece.map_err(actix_web::error::ErrorBadGateway), pieces))
+    let state = Rc::new(RefCell::new(StreamState::Idle(ActiveStream { stream, in_flight })));
+    let deadline_task =
+        actix_web::rt::spawn(release_at_deadline(Rc::downgrade(&state), id.clone(), left));
+    stream::unfold(CallerStream { state, id, deadline_task }, |caller_stream| async move {
+        let chunk = caller_stream.next().await?;
+        Some((chunk.map_err(actix_web::error::ErrorBadGateway), caller_stream))
     })
 }
 
-impl Pieces {
+impl CallerStream {
     async fn next(&self) -> Option<Result<Bytes, Truncated>> {
-        let shelved = self.shelf.replace(Shelved::Reading);
-        let Rest { mut stream, in_flight } = match shelved {
-            Shelved::Rest(rest) => rest,
-            Shelved::TakenBack => {
-                self.shelf.replace(Shelved::Ended);
+        let previous = self.state.replace(StreamState::Reading);
+        let ActiveStream { mut stream, in_flight } = match previous {
+            StreamState::Idle(active) => active,
+            StreamState::Expired => {
+                self.state.replace(StreamState::Ended);
                 return Some(Err(Truncated(Reason::DeadlinePassed)));
             }
-            Shelved::Reading | Shelved::Ended => return None,
+            StreamState::Reading | StreamState::Ended => return None,
         };
         let truncated = match stream.next().await {
             Some(Ok(chunk)) => {
-                self.shelf.replace(Shelved::Rest(Rest { stream, in_flight }));
+                self.state.replace(StreamState::Idle(ActiveStream { stream, in_flight }));
                 return Some(Ok(chunk));
             }
             Some(Err(truncated)) => truncated,
             None => stream.finish().await.err()?,
         };
         in_flight.record_truncation(&self.id, truncated);
-        self.shelf.replace(Shelved::Ended);
+        self.state.replace(StreamState::Ended);
         Some(Err(truncated))
     }
 }
 
-/// Takes the slot back from a caller that does not read.
-async fn take_back(shelf: Weak<RefCell<Shelved>>, id: RequestId, left: Duration) {
+/// Releases the slot at the deadline if the caller has not read the whole answer.
+async fn release_at_deadline(state: Weak<RefCell<StreamState>>, id: RequestId, left: Duration) {
     sleep(left).await;
-    let Some(shelf) = shelf.upgrade() else { return };
-    if !matches!(*shelf.borrow(), Shelved::Rest(_)) {
-        // A piece is being read, which ends by the same time of its own accord.
+    let Some(state) = state.upgrade() else { return };
+    if !matches!(*state.borrow(), StreamState::Idle(_)) {
+        // A chunk is being read, which has the same deadline.
         return;
     }
-    if let Shelved::Rest(rest) = shelf.replace(Shelved::TakenBack) {
-        rest.in_flight.record_truncation(&id, Truncated(Reason::DeadlinePassed));
+    if let StreamState::Idle(active) = state.replace(StreamState::Expired) {
+        active.in_flight.record_truncation(&id, Truncated(Reason::DeadlinePassed));
     }
 }
