--- a/benches/requests/overload.rs
+++ b/benches/requests/overload.rs
@@ -252,7 +252,7 @@
     fn offer(&mut self, job: Job, now: Duration) {
         let class = &CLASSES[job.class];
         let due = now + Duration::from_millis(class.deadline);
-        let _ = self.admission.offer(&ClassName::new(class.name), None, due, job, SLOTS, now);
+        let _ = self.admission.enqueue(&ClassName::new(class.name), None, due, job, SLOTS, now);
     }
 
     fn next(&mut self, now: Duration) -> Option<Job> {
@@ -271,6 +271,6 @@
     }
 
     fn tick(&mut self, now: Duration) {
-        self.admission.give_up(now);
+        self.admission.expire(now);
     }
 }
--- a/src/request/deliver.rs
+++ b/src/request/deliver.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::VmId;
 use crate::model::Idempotency;
-use crate::request::admission::Refused;
+use crate::request::admission::Rejection;
 use crate::request::answer::Answer;
 use crate::request::arrival::Arrival;
 use crate::request::attempt::{Attempt, AttemptResult, NotRun};
@@ -63,8 +63,8 @@
         loop {
             let slot = match self.wait_for_slot(arrival, &progress).await {
                 Ok(slot) => slot,
-                Err(refused) => {
-                    return self.finish_without_slot(arrival, body, progress, refused).await;
+                Err(rejection) => {
+                    return self.finish_without_slot(arrival, body, progress, rejection).await;
                 }
             };
             let Some(endpoint) = slot.endpoint().map(Rc::clone) else {
@@ -88,7 +88,7 @@
         self: &Rc<Self>,
         arrival: &Arrival,
         progress: &RequestProgress,
-    ) -> Result<Slot, Refused> {
+    ) -> Result<Slot, Rejection> {
         let asked = self.fleet.now();
         let wanted = Wanted {
             service: &arrival.service,
@@ -104,7 +104,7 @@
                 Some(endpoint) => format!("{}: least predicted finish", endpoint.vm),
                 None => String::new(),
             },
-            Err(refused) => format!("no slot: {}", refused.reason),
+            Err(rejection) => format!("no slot: {}", rejection.reason),
         };
         self.journal.borrow_mut().route(&arrival.id, queued, route);
         got
@@ -196,15 +196,15 @@
         arrival: &Arrival,
         body: &Bytes,
         progress: RequestProgress,
-        refused: Refused,
+        rejection: Rejection,
     ) -> Result<Answer, Refusal> {
         if progress.tries > 0 {
             return progress.give_up();
         }
-        if let Some(result) = self.forward(arrival, body, refused).await {
+        if let Some(result) = self.forward(arrival, body, rejection).await {
             return result;
         }
-        Err(Refusal::not_run(refused.reason).with_retry_after(refused.retry_after))
+        Err(Refusal::not_run(rejection.reason).with_retry_after(rejection.retry_after))
     }
 }
 
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::ids::RequestId;
 use crate::model::{Config, Idempotency};
-use crate::request::admission::Refused;
+use crate::request::admission::Rejection;
 use crate::request::answer::{Answer, AnswerBody, Truncated};
 use crate::request::arrival::{self, Arrival};
 use crate::request::body::{self, HeldBytes};
@@ -160,8 +160,8 @@
     /// Refuses new requests and those that still wait as not run; those sent are finished.
     pub fn drain(&self) {
         self.0.draining.set(true);
-        let refused = Refused { reason: Reason::Draining, retry_after: COME_BACK };
-        self.0.fleet.refuse_waiting(refused);
+        let rejection = Rejection { reason: Reason::Draining, retry_after: COME_BACK };
+        self.0.fleet.refuse_waiting(rejection);
     }
 
     /// Requests between arrival and the end of their answer. When draining, zero means that the
--- a/src/request/fleet.rs
+++ b/src/request/fleet.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::ids::{ClassName, DaemonId, ServiceName, TeamName, VmId};
 use crate::model::Config;
-use crate::request::admission::{Admission, Refused, Waiting};
+use crate::request::admission::{Admission, QueuedRequest, Rejection};
 use crate::request::endpoint::{Endpoint, EndpointInfo, EndpointState, Probing};
 use crate::request::health;
 use crate::request::outcome::Reason;
@@ -30,7 +30,7 @@
 
 /// Whoever waits for a slot.
 struct Waiter {
-    tx: oneshot::Sender<Result<Slot, Refused>>,
+    tx: oneshot::Sender<Result<Slot, Rejection>>,
     /// Endpoints that failed the request already.
     avoid: Vec<VmId>,
 }
@@ -138,17 +138,17 @@
     }
 
     /// A slot for a request, as soon as it is its turn.
-    pub async fn acquire(self: &Rc<Self>, wanted: &Wanted<'_>) -> Result<Slot, Refused> {
+    pub async fn acquire(self: &Rc<Self>, wanted: &Wanted<'_>) -> Result<Slot, Rejection> {
         let slots = self.slots(wanted.service);
         if slots == 0 {
-            return Err(Refused { reason: Reason::NoEndpoint, retry_after: COME_BACK });
+            return Err(Rejection { reason: Reason::NoEndpoint, retry_after: COME_BACK });
         }
         let (tx, rx) = oneshot::channel();
-        let ticket = self.offer(wanted, tx, slots)?;
+        let ticket = self.enqueue(wanted, tx, slots)?;
         let place = Place { fleet: self, service: wanted.service, class: wanted.class, ticket };
         self.pump(wanted.service);
         let left = wanted.due.saturating_sub(self.now());
-        let late = Refused { reason: Reason::DeadlinePassed, retry_after: COME_BACK };
+        let late = Rejection { reason: Reason::DeadlinePassed, retry_after: COME_BACK };
         let got = actix_web::rt::time::timeout(left, rx).await;
         drop(place);
         match got {
@@ -158,21 +158,21 @@
     }
 
     /// Refuses everyone who waits.
-    pub fn refuse_waiting(&self, refused: Refused) {
+    pub fn refuse_waiting(&self, rejection: Rejection) {
         let waiting: Vec<_> =
             self.queues.borrow_mut().values_mut().flat_map(Admission::clear).collect();
         for waiting in waiting {
-            let _ = waiting.item.tx.send(Err(refused));
+            let _ = waiting.item.tx.send(Err(rejection));
         }
     }
 
     /// Refuses those who waited too long, hands out free slots and starts probes that are due.
     pub fn tick(self: &Rc<Self>) {
         let now = self.now();
-        let late: Vec<(Waiting<Waiter>, Refused)> =
-            self.queues.borrow_mut().values_mut().flat_map(|queue| queue.give_up(now)).collect();
-        for (waiting, refused) in late {
-            let _ = waiting.item.tx.send(Err(refused));
+        let late: Vec<(QueuedRequest<Waiter>, Rejection)> =
+            self.queues.borrow_mut().values_mut().flat_map(|queue| queue.expire(now)).collect();
+        for (waiting, rejection) in late {
+            let _ = waiting.item.tx.send(Err(rejection));
         }
         self.pump_all();
         let endpoints: Vec<_> = self.endpoints.borrow().values().cloned().collect();
@@ -237,16 +237,16 @@
         status.collect()
     }
 
-    fn offer(
+    fn enqueue(
         &self,
         wanted: &Wanted<'_>,
-        tx: oneshot::Sender<Result<Slot, Refused>>,
+        tx: oneshot::Sender<Result<Slot, Rejection>>,
         slots: u32,
-    ) -> Result<u64, Refused> {
+    ) -> Result<u64, Rejection> {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(wanted.service.clone()).or_default();
         let waiter = Waiter { tx, avoid: wanted.avoid.to_vec() };
-        queue.offer(wanted.class, wanted.team.cloned(), wanted.due, waiter, slots, self.now())
+        queue.enqueue(wanted.class, wanted.team.cloned(), wanted.due, waiter, slots, self.now())
     }
 
     fn pump_all(self: &Rc<Self>) {
--- a/src/request/hop.rs
+++ b/src/request/hop.rs
@@ -4,7 +4,7 @@
 //! asked only if no endpoint at home got the request and there is time left for it there.
 
 use crate::ids::{DaemonId, DomainId};
-use crate::request::admission::Refused;
+use crate::request::admission::Rejection;
 use crate::request::answer::{Answer, AnswerBody, AnswerStream, Framing};
 use crate::request::arrival::Arrival;
 use crate::request::conn::{Conn, Outgoing, SendError};
@@ -44,10 +44,10 @@
         self: &Rc<Self>,
         arrival: &Arrival,
         body: &Bytes,
-        refused: Refused,
+        rejection: Rejection,
     ) -> Option<Result<Answer, Refusal>> {
         let may_help = matches!(
-            refused.reason,
+            rejection.reason,
             Reason::NoEndpoint | Reason::QueueFull | Reason::NoSlot | Reason::DeadlineTooShort
         );
         if arrival.forwarded || !may_help || self.draining.get() {
--- a/src/request/tests/admission.rs
+++ b/src/request/tests/admission.rs
@@ -33,22 +33,22 @@
     admission
 }
 
-fn offer(admission: &mut Admission<u32>, class: &ClassName, team: &str, item: u32) -> bool {
+fn enqueue(admission: &mut Admission<u32>, class: &ClassName, team: &str, item: u32) -> bool {
     let due = Duration::from_secs(60);
     let team = Some(TeamName::new(team));
-    admission.offer(class, team, due, item, 8, Duration::ZERO).is_ok()
+    admission.enqueue(class, team, due, item, 8, Duration::ZERO).is_ok()
 }
 
 #[test]
 fn builds_never_take_every_slot() {
     let mut admission = admission();
-    (0..100).for_each(|item| assert!(offer(&mut admission, &build(), "a", item)));
+    (0..100).for_each(|item| assert!(enqueue(&mut admission, &build(), "a", item)));
     let mut started = 0;
     while admission.next(8, Duration::ZERO).is_some() {
         started += 1;
     }
     assert!((1..8).contains(&started), "{started} builds on 8 slots");
-    assert!(offer(&mut admission, &preview(), "b", 0));
+    assert!(enqueue(&mut admission, &preview(), "b", 0));
     let next = admission.next(8, Duration::ZERO).map(|(class, _)| class);
     assert_eq!(next, Some(preview()));
 }
@@ -57,9 +57,9 @@
 fn a_build_runs_even_if_previews_could_use_every_slot() {
     let mut admission = admission();
     for item in 0..40 {
-        offer(&mut admission, &preview(), "a", item);
+        enqueue(&mut admission, &preview(), "a", item);
     }
-    assert!(offer(&mut admission, &build(), "a", 0));
+    assert!(enqueue(&mut admission, &build(), "a", 0));
     let started: Vec<_> = std::iter::from_fn(|| admission.next(8, Duration::ZERO)).collect();
     assert!(started.iter().any(|(class, _)| *class == build()));
 }
@@ -68,9 +68,12 @@
 fn teams_take_turns_however_much_one_asks_for() {
     let mut admission = admission();
     for item in 0..30 {
-        offer(&mut admission, &preview(), "flood", item);
+        enqueue(&mut admission, &preview(), "flood", item);
     }
-    assert!(offer(&mut admission, &preview(), "small", 1000), "a flood keeps nobody else out");
+    assert!(
+        enqueue(&mut admission, &preview(), "small", 1000),
+        "a flood must not keep other teams out"
+    );
     let first: Vec<u32> =
         std::iter::from_fn(|| admission.next(64, Duration::ZERO).map(|(_, next)| next.item))
             .take(2)
@@ -79,37 +82,37 @@
 }
 
 #[test]
-fn whoever_would_wait_beyond_patience_is_told_at_once_when_to_come_back() {
+fn a_request_beyond_the_wait_limit_is_rejected_with_a_retry_time() {
     let mut admission = admission();
-    let mut refused = None;
+    let mut rejection = None;
     for item in 0..1000 {
         let due = Duration::from_secs(60);
-        if let Err(why) = admission.offer(&preview(), None, due, item, 8, Duration::ZERO) {
-            refused = Some(why);
+        if let Err(why) = admission.enqueue(&preview(), None, due, item, 8, Duration::ZERO) {
+            rejection = Some(why);
             break;
         }
     }
-    let refused = refused.expect("the queue is bounded");
-    assert_eq!(refused.reason, Reason::QueueFull);
-    assert!(refused.retry_after > Duration::ZERO);
+    let rejection = rejection.expect("the queue is bounded");
+    assert_eq!(rejection.reason, Reason::QueueFull);
+    assert!(rejection.retry_after > Duration::ZERO);
 }
 
 #[test]
-fn whoever_can_not_be_answered_in_time_is_told_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_rejected() {
     let mut admission = admission();
-    let refused = admission.offer(&build(), None, MS * 500, 0, 8, Duration::ZERO).unwrap_err();
-    assert_eq!(refused.reason, Reason::DeadlineTooShort);
+    let rejection = admission.enqueue(&build(), None, MS * 500, 0, 8, Duration::ZERO).unwrap_err();
+    assert_eq!(rejection.reason, Reason::DeadlineTooShort);
 }
 
 #[test]
-fn whoever_waited_too_long_is_given_up_and_nobody_else() {
+fn only_requests_that_waited_too_long_expire() {
     let mut admission = admission();
-    offer(&mut admission, &preview(), "a", 1);
+    enqueue(&mut admission, &preview(), "a", 1);
     let due = Duration::from_secs(60);
-    admission.offer(&preview(), None, due, 2, 8, MS * 30).unwrap();
-    let given_up: Vec<u32> =
-        admission.give_up(MS * 60).into_iter().map(|(waiting, _)| waiting.item).collect();
-    assert_eq!(given_up, [1]);
+    admission.enqueue(&preview(), None, due, 2, 8, MS * 30).unwrap();
+    let expired: Vec<u32> =
+        admission.expire(MS * 60).into_iter().map(|(waiting, _)| waiting.item).collect();
+    assert_eq!(expired, [1]);
     assert_eq!(admission.next(8, MS * 60).map(|(_, next)| next.item), Some(2));
 }
 
@@ -117,7 +120,7 @@
 fn a_cancelled_request_is_not_started() {
     let mut admission = admission();
     let due = Duration::from_secs(60);
-    let ticket = admission.offer(&preview(), None, due, 1, 8, Duration::ZERO).unwrap();
+    let ticket = admission.enqueue(&preview(), None, due, 1, 8, Duration::ZERO).unwrap();
     admission.cancel(&preview(), ticket);
     assert!(admission.next(8, Duration::ZERO).is_none());
 }
