--- a/benches/requests/routing.rs
+++ b/benches/requests/routing.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use waxwingstall::ids::{DaemonId, VmId};
-use waxwingstall::request::route::{Candidate, Choosing, Pace, Usual, choose};
+use waxwingstall::request::route::{Candidate, Policy, ServiceTimeEstimate, Slowdown, choose};
 use waxwingstall::request::share::even_split;
 
 const SEED: u64 = 11;
@@ -44,8 +44,8 @@
 
 struct Daemon {
     in_flight: Vec<Vec<Duration>>,
-    paces: Vec<Pace>,
-    usual: Usual,
+    slowdowns: Vec<Slowdown>,
+    estimate: ServiceTimeEstimate,
     shares: Vec<u32>,
     waiting: VecDeque<(Duration, Duration)>,
 }
@@ -55,7 +55,7 @@
     endpoints: Vec<Endpoint>,
     daemons: Vec<Daemon>,
     agenda: Agenda<Event>,
-    choosing: Choosing,
+    policy: Policy,
     times: Histogram<u64>,
     violations: u64,
 }
@@ -66,14 +66,14 @@
     println!("load  way                      p50 ms   p99 ms  p99.9 ms  slot violations");
     for load in LOADS {
         let ways = [
-            (Choosing::Random, Split::Even, "random"),
-            (Choosing::TwoChoices, Split::Even, "two choices"),
-            (Choosing::LeastInFlight, Split::Even, "least in flight"),
-            (Choosing::LeastPredictedFinish, Split::Even, "least predicted finish"),
-            (Choosing::LeastPredictedFinish, Split::None, "the same without shares"),
+            (Policy::Random, Split::Even, "random"),
+            (Policy::TwoChoices, Split::Even, "two choices"),
+            (Policy::LeastInFlight, Split::Even, "least in flight"),
+            (Policy::LeastPredictedFinish, Split::Even, "least predicted finish"),
+            (Policy::LeastPredictedFinish, Split::None, "the same without shares"),
         ];
-        for (choosing, split, name) in ways {
-            let world = World::new(choosing, split, load).run();
+        for (policy, split, name) in ways {
+            let world = World::new(policy, split, load).run();
             println!(
                 "{load:<5} {name:<23} {:>7.1} {:>8.1} {:>9.1} {:>10}",
                 millis(&world.times, 0.5),
@@ -86,7 +86,7 @@
 }
 
 impl World {
-    fn new(choosing: Choosing, split: Split, load: f64) -> Self {
+    fn new(policy: Policy, split: Split, load: f64) -> Self {
         let mut trace = SmallRng::seed_from_u64(SEED);
         let endpoints = (0..ENDPOINTS)
             .map(|_| Endpoint { factor: trace.random_range(0.7..1.5), noise: 1.0, running: 0 })
@@ -100,8 +100,8 @@
             .iter()
             .map(|me| Daemon {
                 in_flight: vec![Vec::new(); ENDPOINTS],
-                paces: vec![Pace::default(); ENDPOINTS],
-                usual: Usual::new(SERVICE),
+                slowdowns: vec![Slowdown::default(); ENDPOINTS],
+                estimate: ServiceTimeEstimate::new(SERVICE),
                 shares: (0..ENDPOINTS).map(|vm| share(vm, me)).collect(),
                 waiting: VecDeque::new(),
             })
@@ -118,7 +118,7 @@
         (0..waves).for_each(|wave| agenda.add(WAVE * wave, Event::Wave));
         let rng = SmallRng::seed_from_u64(SEED + 1);
         let times = histogram();
-        Self { rng, endpoints, daemons, agenda, choosing, times, violations: 0 }
+        Self { rng, endpoints, daemons, agenda, policy, times, violations: 0 }
     }
 
     fn run(mut self) -> Self {
@@ -154,7 +154,7 @@
             .filter(|vm| (daemon.in_flight[*vm].len() as u32) < daemon.shares[*vm])
             .collect();
         let candidates: Vec<Candidate> = rooms.iter().map(|vm| daemon.see(*vm, now)).collect();
-        let Some(chosen) = choose(self.choosing, &candidates, &mut self.rng) else { return };
+        let Some(chosen) = choose(self.policy, &candidates, &mut self.rng) else { return };
         let vm = rooms[chosen];
         let Some((arrived, base)) = daemon.waiting.pop_front() else { return };
         daemon.in_flight[vm].push(now);
@@ -172,20 +172,20 @@
         let daemon = &mut self.daemons[at];
         let position = daemon.in_flight[vm].iter().position(|start| *start == started);
         daemon.in_flight[vm].swap_remove(position.expect("it was started"));
-        let ratio = daemon.usual.ratio(now - started);
-        daemon.paces[vm].learn(ratio, now);
-        daemon.usual.learn(now - started);
+        let ratio = daemon.estimate.ratio(now - started);
+        daemon.slowdowns[vm].update(ratio, now);
+        daemon.estimate.update(now - started);
     }
 }
 
 impl Daemon {
     fn see(&self, vm: usize, now: Duration) -> Candidate {
         let oldest = self.in_flight[vm].iter().min();
-        let overdue = oldest.map_or(0.0, |start| self.usual.ratio(now - *start));
+        let overdue = oldest.map_or(0.0, |start| self.estimate.ratio(now - *start));
         Candidate {
             in_flight: self.in_flight[vm].len() as u32,
             usable: self.shares[vm],
-            slowness: self.paces[vm].slowness(now, overdue),
+            slowness: self.slowdowns[vm].factor(now, overdue),
             failed_share: 0.0,
         }
     }
--- a/src/request/admission.rs
+++ b/src/request/admission.rs
@@ -14,7 +14,7 @@
 use crate::ids::{ClassName, TeamName};
 use crate::model::RequestClass;
 use crate::request::outcome::Reason;
-use crate::request::route::Usual;
+use crate::request::route::ServiceTimeEstimate;
 use fair::FairQueue;
 use indexmap::IndexMap;
 use std::collections::VecDeque;
@@ -64,7 +64,7 @@
 struct Class<T> {
     weight: u32,
     wait_limit: Duration,
-    usual: Usual,
+    estimate: ServiceTimeEstimate,
     running: u32,
     teams: IndexMap<Option<TeamName>, VecDeque<QueuedRequest<T>>>,
     fair: FairQueue<Option<TeamName>>,
@@ -102,8 +102,8 @@
     }
 
     /// The estimated service time of a class.
-    pub fn usual(&self, class: &ClassName) -> Option<&Usual> {
-        self.classes.get(class).map(|class| &class.usual)
+    pub fn estimate(&self, class: &ClassName) -> Option<&ServiceTimeEstimate> {
+        self.classes.get(class).map(|class| &class.estimate)
     }
 
     /// The number of queued requests by class.
@@ -128,7 +128,7 @@
         };
         let wait = class.predicted_wait(&team, share);
         let reject = |reason| Err(Rejection { reason, retry_after: wait });
-        if now + wait + class.usual.mean() > due {
+        if now + wait + class.estimate.mean() > due {
             return reject(Reason::DeadlineTooShort);
         }
         if wait > class.wait_limit || total >= MAX_QUEUED {
@@ -150,7 +150,7 @@
             .map(|(name, _)| (name.clone(), self.fair.start(name)))
             .min_by(|(_, one), (_, other)| one.total_cmp(other))?;
         let class = self.classes.get_mut(&name)?;
-        let cost = class.usual.mean().as_secs_f64();
+        let cost = class.estimate.mean().as_secs_f64();
         let waiting = class.pop(cost)?;
         class.running += 1;
         class.update_demand(now);
@@ -189,7 +189,7 @@
         class.running = class.running.saturating_sub(1);
         class.update_demand(now);
         if let Some(took) = took {
-            class.usual.learn(took);
+            class.estimate.update(took);
         }
     }
 
@@ -203,11 +203,11 @@
 
     fn can_start(&self, name: &ClassName, class: &Class<T>, slots: u32, now: Duration) -> bool {
         let running: u32 = self.classes.values().map(|class| class.running).sum();
-        let longer = class.usual.mean().mul_f64(SHORT_CLASS_RATIO);
+        let longer = class.estimate.mean().mul_f64(SHORT_CLASS_RATIO);
         let shorter = self
             .classes
             .iter()
-            .filter(|(other, short)| *other != name && short.usual.mean() < longer);
+            .filter(|(other, short)| *other != name && short.estimate.mean() < longer);
         let weights: u32 = self.classes.values().map(|class| class.weight).sum();
         let reserved: u32 =
             shorter.map(|(_, short)| short.unused_reserve(slots, weights, now)).sum();
@@ -221,7 +221,7 @@
         Self {
             weight: cfg.weight,
             wait_limit,
-            usual: Usual::new(cfg.expected),
+            estimate: ServiceTimeEstimate::new(cfg.expected),
             running: 0,
             teams: IndexMap::new(),
             fair: FairQueue::default(),
@@ -244,7 +244,7 @@
     fn predicted_wait(&self, team: &Option<TeamName>, share: f64) -> Duration {
         let own = self.teams.get(team).map_or(0, VecDeque::len);
         let ahead: usize = self.teams.values().map(|waiting| waiting.len().min(own + 1)).sum();
-        self.usual.mean().mul_f64(ahead as f64 / share)
+        self.estimate.mean().mul_f64(ahead as f64 / share)
     }
 
     fn pop(&mut self, cost: f64) -> Option<QueuedRequest<T>> {
@@ -260,7 +260,7 @@
     }
 
     fn expire(&mut self, now: Duration, expired: &mut Vec<(QueuedRequest<T>, Rejection)>) {
-        let mean = self.usual.mean();
+        let mean = self.estimate.mean();
         let wait_limit = self.wait_limit;
         for queue in self.teams.values_mut() {
             while let Some(first) = queue.front() {
--- a/src/request/endpoint.rs
+++ b/src/request/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::ids::{DomainId, RequestId, ServiceName, VmId};
 use crate::request::conn::{Conn, ProbeReply};
 use crate::request::health::Health;
-use crate::request::route::{Candidate, Pace};
+use crate::request::route::{Candidate, Slowdown};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
     pub connect_time: Duration,
     pub listed: Cell<EndpointState>,
     pub health: RefCell<Health>,
-    pub pace: RefCell<Pace>,
+    pub slowdown: RefCell<Slowdown>,
     pub probing: Cell<Probing>,
     /// Slots of an even split, until the daemons or the configuration change.
     pub even_share: Cell<Option<u32>>,
@@ -63,7 +63,7 @@
 struct Started {
     number: u64,
     at: Duration,
-    usual: Duration,
+    estimate: Duration,
 }
 
 impl Endpoint {
@@ -77,7 +77,7 @@
             connect_time,
             listed: Cell::new(info.state),
             health: RefCell::default(),
-            pace: RefCell::default(),
+            slowdown: RefCell::default(),
             probing: Cell::new(Probing::No),
             even_share: Cell::default(),
             started: RefCell::default(),
@@ -109,19 +109,19 @@
     pub fn candidate(&self, usable: u32, now: Duration) -> Candidate {
         let started = self.started.borrow();
         let overdue = started.iter().map(|started| {
-            now.saturating_sub(started.at).as_secs_f64() / started.usual.as_secs_f64().max(1e-6)
+            now.saturating_sub(started.at).as_secs_f64() / started.estimate.as_secs_f64().max(1e-6)
         });
         Candidate {
             in_flight: self.in_flight(),
             usable,
-            slowness: self.pace.borrow().slowness(now, overdue.fold(0.0, f64::max)),
+            slowness: self.slowdown.borrow().factor(now, overdue.fold(0.0, f64::max)),
             failed_share: self.health.borrow().failed_share(),
         }
     }
 
     /// Notes that a request starts.
-    pub fn start(&self, number: u64, at: Duration, usual: Duration) {
-        self.started.borrow_mut().push(Started { number, at, usual });
+    pub fn start(&self, number: u64, at: Duration, estimate: Duration) {
+        self.started.borrow_mut().push(Started { number, at, estimate });
     }
 
     /// Notes that a request is surely no longer there.
--- a/src/request/fleet.rs
+++ b/src/request/fleet.rs
@@ -11,7 +11,7 @@
 use crate::request::endpoint::{Endpoint, EndpointInfo, EndpointState, Probing};
 use crate::request::health;
 use crate::request::outcome::Reason;
-use crate::request::route::{self, Candidate, Choosing, Usual};
+use crate::request::route::{self, Candidate, Policy, ServiceTimeEstimate};
 use crate::request::settings::DispatcherSettings;
 use crate::request::share::Taker;
 use crate::request::slot::{Evidence, Slot};
@@ -189,8 +189,8 @@
             Evidence::Bad | Evidence::Neutral => None,
         };
         if let Some(queue) = self.queues.borrow_mut().get_mut(&endpoint.service) {
-            if let (Some(took), Some(usual)) = (took, queue.usual(class)) {
-                endpoint.pace.borrow_mut().learn(usual.ratio(took), now);
+            if let (Some(took), Some(estimate)) = (took, queue.estimate(class)) {
+                endpoint.slowdown.borrow_mut().update(estimate.ratio(took), now);
             }
             queue.ended(class, took, now);
         }
@@ -202,14 +202,18 @@
         self.pump(&endpoint.service);
     }
 
-    /// The usual service time of a class.
-    pub fn usual(&self, service: &ServiceName, class: &ClassName) -> Option<Usual> {
-        self.queues.borrow().get(service).and_then(|queue| queue.usual(class).copied())
+    /// The estimate service time of a class.
+    pub fn estimate(
+        &self,
+        service: &ServiceName,
+        class: &ClassName,
+    ) -> Option<ServiceTimeEstimate> {
+        self.queues.borrow().get(service).and_then(|queue| queue.estimate(class).copied())
     }
 
     /// Time that few requests of a class exceed.
     pub fn tail(&self, service: &ServiceName, class: &ClassName) -> Duration {
-        self.usual(service, class).map_or(Duration::ZERO, |usual| usual.tail())
+        self.estimate(service, class).map_or(Duration::ZERO, |estimate| estimate.tail())
     }
 
     /// Requests that wait, by class.
@@ -230,7 +234,7 @@
             listed: endpoint.listed.get(),
             standing: endpoint.health.borrow().standing(),
             failed_share: endpoint.health.borrow().failed_share(),
-            slowness: endpoint.pace.borrow().slowness(now, 0.0),
+            slowness: endpoint.slowdown.borrow().factor(now, 0.0),
             share: self.share_of(endpoint, now),
             in_flight: endpoint.in_flight(),
         });
@@ -271,9 +275,9 @@
             };
             let Some((class, waiting)) = next else { return };
             let Some(endpoint) = self.choose(&rooms, &waiting.item.avoid) else { return };
-            let Some(usual) = self.usual(service, &class) else { return };
+            let Some(estimate) = self.estimate(service, &class) else { return };
             self.last_slot.set(self.last_slot.get() + 1);
-            let slot = Slot::take(self, &endpoint, &class, usual, self.last_slot.get());
+            let slot = Slot::take(self, &endpoint, &class, estimate, self.last_slot.get());
             if let Err(unwanted) = waiting.item.tx.send(Ok(slot)) {
                 // Its caller is gone. Dropping the slot comes back here, for the next in turn.
                 drop(unwanted);
@@ -301,7 +305,7 @@
         }
         let candidates: Vec<Candidate> = others.iter().map(|(_, candidate)| *candidate).collect();
         let mut rng = self.rng.borrow_mut();
-        let at = route::choose(Choosing::default(), &candidates, &mut *rng)?;
+        let at = route::choose(Policy::default(), &candidates, &mut *rng)?;
         Some(Rc::clone(&others[at].0))
     }
 
--- a/src/request/hop.rs
+++ b/src/request/hop.rs
@@ -54,8 +54,8 @@
             return None;
         }
         let now = self.fleet.now();
-        let usual = self.fleet.usual(&arrival.service, &arrival.class)?;
-        if arrival.left(now) < usual.mean() {
+        let estimate = self.fleet.estimate(&arrival.service, &arrival.class)?;
+        if arrival.left(now) < estimate.mean() {
             return None;
         }
         let peer = self.next_peer(now)?;
--- a/src/request/route.rs
+++ b/src/request/route.rs
@@ -1,34 +1,34 @@
-//! Which endpoint a request goes to.
+//! Selects the endpoint for a request.
 //!
-//! The choice is the least predicted finish: the class's usual service time, times how slow the
-//! endpoint was lately, times how many requests it already has. Slowness is forgotten towards the
-//! usual with age, so that a stale view neither attracts nor repels for long, and requests that are
-//! overdue count before they end, so that a wave of noise is seen while it rises.
+//! The endpoint with the lowest predicted completion time is chosen: the estimated service time of
+//! the class, times the recent slowdown of the endpoint, times a factor for the requests it already
+//! has. The slowdown decays to 1 with age, so that stale data neither attracts nor repels requests
+//! for long. Overdue requests count before they end, so that a slowdown is noticed as it begins.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// Age at which half of what was learned of an endpoint is forgotten.
-const HALF_LIFE: Duration = Duration::from_secs(2);
+/// Half-life of the measured slowdown of an endpoint.
+const SLOWDOWN_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Weight of one more answer in what is known of an endpoint.
-const LEARN: f64 = 0.2;
+/// Weight of a new sample in the slowdown of an endpoint.
+const SLOWDOWN_WEIGHT: f64 = 0.2;
 
-/// Weight of one more answer in what is known of a class.
-const LEARN_CLASS: f64 = 0.05;
+/// Weight of a new sample in the service time estimate of a class.
+const ESTIMATE_WEIGHT: f64 = 0.05;
 
-/// Slowness beyond which endpoints are all the same.
-const SLOWEST: f64 = 20.0;
+/// Upper limit of the slowdown; slower endpoints are treated alike.
+const MAX_SLOWDOWN: f64 = 20.0;
 
-/// Extra time that a full endpoint takes, as a share. Slots share processors.
-const CROWDING: f64 = 0.5;
+/// Relative increase in service time of an endpoint with all slots in use, as slots share CPUs.
+const FULL_LOAD_PENALTY: f64 = 0.5;
 
-/// Predictions this close are taken as equal, and one of them is drawn.
-const CLOSE: f64 = 1.05;
+/// Scores within this factor of the lowest are treated as equal, and one is drawn at random.
+const SCORE_TOLERANCE: f64 = 1.05;
 
-/// How endpoints are chosen; all but the last are for comparison.
+/// How an endpoint is selected; all but the last are used only for comparison in benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Choosing {
+pub enum Policy {
     Random,
     TwoChoices,
     LeastInFlight,
@@ -36,71 +36,72 @@
     LeastPredictedFinish,
 }
 
-/// How slow an endpoint was lately, against the usual for its requests' classes.
+/// Recent service time of an endpoint relative to the estimates of its requests' classes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Slowdown {
     slowness: f64,
     at: Duration,
 }
 
-/// The usual service time of a class.
+/// Moving estimate of the service time of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
+pub struct ServiceTimeEstimate {
     mean: f64,
-    /// Mean distance from the mean.
-    spread: f64,
+    /// Mean absolute deviation.
+    deviation: f64,
 }
 
-/// An endpoint with room, as the choice sees it.
+/// An endpoint with a free slot, as input to the selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     pub in_flight: u32,
     pub usable: u32,
-    /// From [`Pace::slowness`].
+    /// See [`Slowdown::factor`].
     pub slowness: f64,
-    /// Share of its recent answers that were failures.
+    /// Fraction of recent answers that were failures.
     pub failed_share: f64,
 }
 
-impl Default for Pace {
+impl Default for Slowdown {
     fn default() -> Self {
         Self { slowness: 1.0, at: Duration::ZERO }
     }
 }
 
-impl Pace {
-    /// Learns from an answer that took `ratio` times the usual.
-    pub fn learn(&mut self, ratio: f64, now: Duration) {
-        let aged = self.aged(now);
-        self.slowness = aged + (ratio.clamp(1.0 / SLOWEST, SLOWEST) - aged) * LEARN;
+impl Slowdown {
+    /// Adds an answer that took `ratio` times the estimate of its class.
+    pub fn update(&mut self, ratio: f64, now: Duration) {
+        let decayed = self.decayed(now);
+        self.slowness =
+            decayed + (ratio.clamp(1.0 / MAX_SLOWDOWN, MAX_SLOWDOWN) - decayed) * SLOWDOWN_WEIGHT;
         self.at = now;
     }
 
-    /// Times the usual that a request takes; `overdue` is the same for its longest request that
-    /// is still under way.
-    pub fn slowness(&self, now: Duration, overdue: f64) -> f64 {
-        self.aged(now).max(overdue.min(SLOWEST))
+    /// Returns the slowdown as a multiple of the estimate; `overdue` is the elapsed time of the
+    /// oldest running request as such a multiple.
+    pub fn factor(&self, now: Duration, overdue: f64) -> f64 {
+        self.decayed(now).max(overdue.min(MAX_SLOWDOWN))
     }
 
-    fn aged(&self, now: Duration) -> f64 {
+    fn decayed(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        let kept = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
+        let kept = 0.5_f64.powf(age / SLOWDOWN_HALF_LIFE.as_secs_f64());
         1.0 + (self.slowness - 1.0) * kept
     }
 }
 
-impl Usual {
-    /// What the configuration expects, until measured.
+impl ServiceTimeEstimate {
+    /// Starts from the service time given in the configuration.
     pub fn new(expected: Duration) -> Self {
         let mean = expected.as_secs_f64().max(1e-6);
-        Self { mean, spread: mean / 2.0 }
+        Self { mean, deviation: mean / 2.0 }
     }
 
-    /// Learns from an answer.
-    pub fn learn(&mut self, took: Duration) {
+    /// Adds the service time of an answer.
+    pub fn update(&mut self, took: Duration) {
         let took = took.as_secs_f64();
-        self.spread += ((took - self.mean).abs() - self.spread) * LEARN_CLASS;
-        self.mean += (took - self.mean) * LEARN_CLASS;
+        self.deviation += ((took - self.mean).abs() - self.deviation) * ESTIMATE_WEIGHT;
+        self.mean += (took - self.mean) * ESTIMATE_WEIGHT;
         self.mean = self.mean.max(1e-6);
     }
 
@@ -109,9 +110,9 @@
         Duration::from_secs_f64(self.mean)
     }
 
-    /// A time that few answers take longer than.
+    /// A time that few answers exceed: the mean plus four mean deviations.
     pub fn tail(&self) -> Duration {
-        Duration::from_secs_f64(self.mean + 4.0 * self.spread)
+        Duration::from_secs_f64(self.mean + 4.0 * self.deviation)
     }
 
     /// `took` as a multiple of the mean.
@@ -121,39 +122,43 @@
 }
 
 impl Candidate {
-    /// Predicted time to finish, in usual service times; failures count as time lost.
+    /// Predicted completion time, in multiples of the service time estimate. A failure rate counts
+    /// as additional time.
     fn predicted(&self) -> f64 {
-        let crowded = 1.0 + CROWDING * f64::from(self.in_flight) / f64::from(self.usable.max(1));
-        self.slowness * crowded / (1.0 - self.failed_share.min(0.95))
+        let load_factor =
+            1.0 + FULL_LOAD_PENALTY * f64::from(self.in_flight) / f64::from(self.usable.max(1));
+        self.slowness * load_factor / (1.0 - self.failed_share.min(0.95))
     }
 }
 
-/// Chooses one of `candidates`, all of which have room; their index.
-pub fn choose(choosing: Choosing, candidates: &[Candidate], rng: &mut impl Rng) -> Option<usize> {
+/// Selects one of `candidates`, all of which have a free slot, and returns its index.
+pub fn choose(policy: Policy, candidates: &[Candidate], rng: &mut impl Rng) -> Option<usize> {
     if candidates.is_empty() {
         return None;
     }
     let draw = |rng: &mut dyn rand::RngCore| rng.random_range(0..candidates.len());
-    match choosing {
-        Choosing::Random => Some(draw(rng)),
-        Choosing::TwoChoices => {
+    match policy {
+        Policy::Random => Some(draw(rng)),
+        Policy::TwoChoices => {
             let (one, other) = (draw(rng), draw(rng));
             let fewer = candidates[other].in_flight < candidates[one].in_flight;
             Some(if fewer { other } else { one })
         }
-        Choosing::LeastInFlight => draw_least(candidates, |c| f64::from(c.in_flight), 1.0, rng),
-        Choosing::LeastPredictedFinish => draw_least(candidates, Candidate::predicted, CLOSE, rng),
+        Policy::LeastInFlight => draw_lowest(candidates, |c| f64::from(c.in_flight), 1.0, rng),
+        Policy::LeastPredictedFinish => {
+            draw_lowest(candidates, Candidate::predicted, SCORE_TOLERANCE, rng)
+        }
     }
 }
 
-fn draw_least(
+fn draw_lowest(
     candidates: &[Candidate],
     score: impl Fn(&Candidate) -> f64,
-    close: f64,
+    tolerance: f64,
     rng: &mut impl Rng,
 ) -> Option<usize> {
     let least = candidates.iter().map(&score).fold(f64::INFINITY, f64::min);
-    let near = |c: &Candidate| score(c) <= least * close;
+    let near = |c: &Candidate| score(c) <= least * tolerance;
     let count = candidates.iter().filter(|c| near(c)).count();
     let drawn = rng.random_range(0..count.max(1));
     candidates.iter().enumerate().filter(|(_, c)| near(c)).nth(drawn).map(|(at, _)| at)
--- a/src/request/slot.rs
+++ b/src/request/slot.rs
@@ -8,7 +8,7 @@
 use crate::request::conn::RequestState;
 use crate::request::endpoint::Endpoint;
 use crate::request::fleet::Fleet;
-use crate::request::route::Usual;
+use crate::request::route::ServiceTimeEstimate;
 use actix_web::rt::time::sleep;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -65,18 +65,18 @@
         fleet: &Rc<Fleet>,
         endpoint: &Rc<Endpoint>,
         class: &ClassName,
-        usual: Usual,
+        estimate: ServiceTimeEstimate,
         number: u64,
     ) -> Self {
         let taken_at = fleet.now();
-        endpoint.start(number, taken_at, usual.mean());
+        endpoint.start(number, taken_at, estimate.mean());
         let held_slot = HeldSlot {
             fleet: Rc::clone(fleet),
             endpoint: Rc::clone(endpoint),
             class: class.clone(),
             number,
             taken_at,
-            tail: usual.tail(),
+            tail: estimate.tail(),
             evidence: Cell::default(),
         };
         Self { held_slot: Some(held_slot), sent: RefCell::default() }
--- a/src/request/tests/route.rs
+++ b/src/request/tests/route.rs
@@ -1,4 +1,4 @@
-use crate::request::route::{Candidate, Choosing, Pace, choose};
+use crate::request::route::{Candidate, Policy, Slowdown, choose};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::time::Duration;
@@ -9,12 +9,12 @@
     Candidate { in_flight, usable: 8, slowness, failed_share }
 }
 
-/// How often each candidate is chosen of 1000 times.
+/// How often each candidate is chosen in 1000 draws.
 fn chosen(candidates: &[Candidate]) -> Vec<usize> {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut counts = vec![0; candidates.len()];
     for _ in 0..1000 {
-        let at = choose(Choosing::LeastPredictedFinish, candidates, &mut rng).unwrap();
+        let at = choose(Policy::LeastPredictedFinish, candidates, &mut rng).unwrap();
         counts[at] += 1;
     }
     counts
@@ -33,27 +33,27 @@
 
 #[test]
 fn errors_answered_quickly_do_not_attract() {
-    // Failed answers teach no pace, so that the endpoint looks usual, and failing counts as slow.
+    // Failed answers don't update the slowdown, so it stays at 1; the failure rate counts instead.
     assert_eq!(chosen(&[candidate(0, 1.0, 0.9), candidate(4, 1.0, 0.0)]), [0, 1000]);
 }
 
 #[test]
-fn an_old_view_is_forgotten() {
-    let mut pace = Pace::default();
-    (0..50).for_each(|_| pace.learn(8.0, SECOND));
-    assert!(pace.slowness(SECOND, 0.0) > 7.0);
-    assert!(pace.slowness(SECOND * 21, 0.0) < 1.01);
+fn the_slowdown_decays_with_age() {
+    let mut slowdown = Slowdown::default();
+    (0..50).for_each(|_| slowdown.update(8.0, SECOND));
+    assert!(slowdown.factor(SECOND, 0.0) > 7.0);
+    assert!(slowdown.factor(SECOND * 21, 0.0) < 1.01);
 }
 
 #[test]
 fn an_overdue_request_counts_before_it_ends() {
-    let pace = Pace::default();
-    assert_eq!(pace.slowness(SECOND, 5.0), 5.0);
-    assert_eq!(pace.slowness(SECOND, 0.2), 1.0);
+    let slowdown = Slowdown::default();
+    assert_eq!(slowdown.factor(SECOND, 5.0), 5.0);
+    assert_eq!(slowdown.factor(SECOND, 0.2), 1.0);
 }
 
 #[test]
-fn nothing_is_chosen_from_nothing() {
+fn no_candidates_give_no_choice() {
     let mut rng = SmallRng::seed_from_u64(7);
-    assert_eq!(choose(Choosing::Random, &[], &mut rng), None);
+    assert_eq!(choose(Policy::Random, &[], &mut rng), None);
 }
