--- a/src/request/deliver.rs
+++ b/src/request/deliver.rs
@@ -8,7 +8,7 @@
 use crate::request::attempt::{Attempt, AttemptResult, NotRun};
 use crate::request::dispatch::Inner;
 use crate::request::endpoint::Endpoint;
-use crate::request::fleet::Wanted;
+use crate::request::fleet::SlotRequest;
 use crate::request::journal::Try;
 use crate::request::outcome::{Reason, Refusal};
 use crate::request::slot::Slot;
@@ -90,14 +90,14 @@
         progress: &RequestProgress,
     ) -> Result<Slot, Rejection> {
         let asked = self.fleet.now();
-        let wanted = Wanted {
+        let slot_request = SlotRequest {
             service: &arrival.service,
             class: &arrival.class,
             team: arrival.team.as_ref(),
             due: arrival.due,
             avoid: &progress.avoid,
         };
-        let got = self.fleet.acquire(&wanted).await;
+        let got = self.fleet.acquire(&slot_request).await;
         let queued = self.fleet.now().saturating_sub(asked);
         let route = match &got {
             Ok(slot) => match slot.endpoint() {
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -126,14 +126,14 @@
     /// Takes the platform's list of endpoints. Those that are no longer on it, or are leaving,
     /// finish what they have and get nothing new.
     pub fn endpoints(&self, listed: &[EndpointInfo]) {
-        self.0.fleet.list(listed);
+        self.0.fleet.set_endpoints(listed);
     }
 
     /// Takes the other daemons: those of this domain share its endpoints' slots, and those of
     /// others may be forwarded to.
     pub fn peers(&self, fronts: &[PeerFront]) {
         let home = fronts.iter().filter(|front| front.domain == self.0.settings.domain);
-        self.0.fleet.set_home_daemons(home.map(|front| front.id.clone()).collect());
+        self.0.fleet.set_domain_daemons(home.map(|front| front.id.clone()).collect());
         let mut peers = self.0.peers.borrow_mut();
         let known = std::mem::take(&mut *peers);
         let shunned = |front: &PeerFront| {
@@ -161,7 +161,7 @@
     pub fn drain(&self) {
         self.0.draining.set(true);
         let rejection = Rejection { reason: Reason::Draining, retry_after: COME_BACK };
-        self.0.fleet.refuse_waiting(rejection);
+        self.0.fleet.reject_queued(rejection);
     }
 
     /// Requests between arrival and the end of their answer. When draining, zero means that the
--- a/src/request/endpoint.rs
+++ b/src/request/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: its address, its slots in use, its health and its idle connections.
+//! An endpoint: its address, slots in use, health and idle connections.
 
 use crate::ids::{DomainId, RequestId, ServiceName, VmId};
 use crate::request::conn::{Conn, ProbeReply};
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An idle connection is closed rather than used when it has been idle for longer.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+/// An idle connection is closed instead of reused after this time.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// A connection is closed rather than used when it is older.
-const AGE_LIMIT: Duration = Duration::from_secs(300);
+/// A connection older than this is closed instead of reused.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(300);
 
-/// An endpoint on the platform's list.
+/// An endpoint as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointInfo {
     pub vm: VmId,
@@ -26,7 +26,7 @@
     pub state: EndpointState,
 }
 
-/// Whether the platform's list has an endpoint as live.
+/// State of an endpoint as listed by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointState {
@@ -34,7 +34,7 @@
     Leaving,
 }
 
-/// An endpoint as this daemon uses it.
+/// The state that this daemon keeps for an endpoint.
 pub(super) struct Endpoint {
     pub vm: VmId,
     pub service: ServiceName,
@@ -45,20 +45,20 @@
     pub health: RefCell<Health>,
     pub slowdown: RefCell<Slowdown>,
     pub probing: Cell<Probing>,
-    /// Slots of an even split, until the daemons or the configuration change.
+    /// Cached share of an even split; cleared when the daemons or the configuration change.
     pub even_share: Cell<Option<u32>>,
     started: RefCell<Vec<Started>>,
     idle: RefCell<Vec<Conn>>,
 }
 
-/// Whether a probe of an endpoint that is out is under way.
+/// Whether a health probe of the endpoint is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Probing {
     No,
     Yes,
 }
 
-/// A request under way.
+/// A running request.
 #[derive(Clone, Copy, Debug)]
 struct Started {
     number: u64,
@@ -67,7 +67,7 @@
 }
 
 impl Endpoint {
-    /// An endpoint as listed, or none if its address can't be read.
+    /// Creates an endpoint, or returns none if its address can't be parsed.
     pub fn new(info: &EndpointInfo, connect_time: Duration) -> Option<Self> {
         Some(Self {
             vm: info.vm.clone(),
@@ -85,19 +85,19 @@
         })
     }
 
-    /// Whether `info` tells of this endpoint, rather than of another in its place.
-    pub fn is_still(&self, info: &EndpointInfo) -> bool {
+    /// Whether `info` describes this endpoint rather than a replacement on the same VM.
+    pub fn is_same(&self, info: &EndpointInfo) -> bool {
         info.addr.parse() == Ok(self.addr)
             && info.service == self.service
             && info.domain == self.domain
     }
 
-    /// Requests that are, or may still be, at the endpoint.
+    /// The number of requests that are, or may still be, running at the endpoint.
     pub fn in_flight(&self) -> u32 {
         u32::try_from(self.started.borrow().len()).unwrap_or(u32::MAX)
     }
 
-    /// Of `share` slots, those that requests may be started on.
+    /// Of `share` slots, the number that may be used for new requests.
     pub fn usable(&self, share: u32, now: Duration) -> u32 {
         match self.listed.get() {
             EndpointState::Live => self.health.borrow().usable(share, now),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The endpoint as the choice sees it.
+    /// The endpoint as input to the endpoint selection.
     pub fn candidate(&self, usable: u32, now: Duration) -> Candidate {
         let started = self.started.borrow();
         let overdue = started.iter().map(|started| {
@@ -119,49 +119,49 @@
         }
     }
 
-    /// Notes that a request starts.
+    /// Records the start of a request.
     pub fn start(&self, number: u64, at: Duration, estimate: Duration) {
         self.started.borrow_mut().push(Started { number, at, estimate });
     }
 
-    /// Notes that a request is surely no longer there.
+    /// Records that a request is known to have ended.
     pub fn end(&self, number: u64) {
         self.started.borrow_mut().retain(|started| started.number != number);
     }
 
-    /// An idle connection that is young enough.
+    /// Takes an idle connection that is within the idle and age limits, closing those that are not.
     pub fn idle_conn(&self, now: Duration) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         while let Some(conn) = idle.pop() {
-            let young = now.saturating_sub(conn.opened) < AGE_LIMIT;
-            if young && now.saturating_sub(conn.last_active) < IDLE_LIMIT {
+            let young_enough = now.saturating_sub(conn.opened) < MAX_CONNECTION_AGE;
+            if young_enough && now.saturating_sub(conn.last_active) < MAX_IDLE_TIME {
                 return Some(conn);
             }
         }
         None
     }
 
-    /// A connection to be opened.
+    /// Creates a connection that is opened on first use.
     pub fn new_conn(&self, now: Duration) -> Conn {
         Conn::new(self.addr, self.connect_time, now)
     }
 
-    /// Keeps a connection whose answer was read to its end, one for each slot at most.
-    pub fn keep_conn(&self, mut conn: Conn, most: u32, now: Duration) {
+    /// Keeps a connection whose answer was read completely; no more than `max_idle` are kept.
+    pub fn keep_conn(&self, mut conn: Conn, max_idle: u32, now: Duration) {
         conn.last_active = now;
         let mut idle = self.idle.borrow_mut();
         idle.push(conn);
-        if idle.len() > most.max(1) as usize {
+        if idle.len() > max_idle.max(1) as usize {
             idle.remove(0);
         }
     }
 
-    /// Closes the idle connections: one was found silent, so the others are in doubt.
+    /// Closes all idle connections; called after one went silent, which makes the others suspect.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Asks for health, and after a request, over a connection of its own.
+    /// Probes the endpoint over a new connection, asking for the state of request `id` if given.
     pub async fn probe(&self, id: Option<&RequestId>, now: Duration) -> Option<ProbeReply> {
         let mut conn = self.new_conn(now);
         conn.probe(id).await.ok()
--- a/src/request/fleet.rs
+++ b/src/request/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints of all services, and who waits for their slots.
+//! The endpoints of all services, and the queues for their slots.
 
 mod shares;
 
@@ -25,13 +25,13 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time after which to come back when no endpoint serves.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `retry-after` sent to the caller when no endpoint is available or no slot was free in time.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Whoever waits for a slot.
+/// A request that waits for a slot.
 struct Waiter {
     tx: oneshot::Sender<Result<Slot, Rejection>>,
-    /// Endpoints that failed the request already.
+    /// Endpoints on which earlier attempts of the request failed.
     avoid: Vec<VmId>,
 }
 
@@ -41,8 +41,8 @@
     clock: Arc<dyn Clock>,
     cfg: RefCell<Option<Arc<Config>>>,
     shares: Cell<Shares>,
-    /// The daemons of this domain, this one included.
-    home_daemons: RefCell<Vec<DaemonId>>,
+    /// The daemons of this domain, including this one.
+    domain_daemons: RefCell<Vec<DaemonId>>,
     takers: RefCell<IndexMap<VmId, Taker>>,
     endpoints: RefCell<IndexMap<VmId, Rc<Endpoint>>>,
     queues: RefCell<IndexMap<ServiceName, Admission<Waiter>>>,
@@ -50,15 +50,15 @@
     last_slot: Cell<u64>,
 }
 
-/// A place in the queue; given up when dropped.
-struct Place<'a> {
+/// An entry in a queue; dropping it removes the request from the queue.
+struct QueueEntry<'a> {
     fleet: &'a Fleet,
     service: &'a ServiceName,
     class: &'a ClassName,
     ticket: u64,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         if let Some(queue) = self.fleet.queues.borrow_mut().get_mut(self.service) {
             queue.cancel(self.class, self.ticket);
@@ -66,8 +66,8 @@
     }
 }
 
-/// What a slot is wanted for.
-pub(super) struct Wanted<'a> {
+/// A request for a slot.
+pub(super) struct SlotRequest<'a> {
     pub service: &'a ServiceName,
     pub class: &'a ClassName,
     pub team: Option<&'a TeamName>,
@@ -76,7 +76,7 @@
 }
 
 impl Fleet {
-    /// No endpoints yet; this daemon has all slots to itself until told otherwise.
+    /// Creates a fleet without endpoints. Until other daemons are known, this one uses all slots.
     pub fn new(settings: DispatcherSettings, clock: Arc<dyn Clock>) -> Self {
         let me = settings.me.clone();
         let seed = xxhash_rust::xxh3::xxh3_64(settings.me.as_str().as_bytes());
@@ -85,7 +85,7 @@
             clock,
             cfg: RefCell::default(),
             shares: Cell::default(),
-            home_daemons: RefCell::new(vec![me]),
+            domain_daemons: RefCell::new(vec![me]),
             takers: RefCell::default(),
             endpoints: RefCell::default(),
             queues: RefCell::default(),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Time on this daemon's clock.
+    /// Current time of this daemon's clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -112,16 +112,16 @@
         }
         drop(queues);
         *self.cfg.borrow_mut() = Some(cfg);
-        self.forget_even_shares();
-        self.pump_all();
+        self.clear_even_shares();
+        self.assign_all_slots();
     }
 
-    /// Takes the platform's list. Endpoints that are no longer on it finish what they have.
-    pub fn list(self: &Rc<Self>, listed: &[EndpointInfo]) {
+    /// Replaces the list of endpoints. Those no longer listed finish the requests they have.
+    pub fn set_endpoints(self: &Rc<Self>, listed: &[EndpointInfo]) {
         let mut known = std::mem::take(&mut *self.endpoints.borrow_mut());
         let mut endpoints = IndexMap::with_capacity(listed.len());
         for info in listed {
-            let kept = known.swap_remove(&info.vm).filter(|old| old.is_still(info));
+            let kept = known.swap_remove(&info.vm).filter(|old| old.is_same(info));
             let connect_time = self.settings.limits.connect_time;
             let made = || Endpoint::new(info, connect_time).map(Rc::new);
             let Some(endpoint) = kept.or_else(made) else {
@@ -134,31 +134,32 @@
         known.values().for_each(|endpoint| endpoint.health.borrow_mut().delisted());
         self.takers.borrow_mut().retain(|vm, _| endpoints.contains_key(vm));
         *self.endpoints.borrow_mut() = endpoints;
-        self.pump_all();
+        self.assign_all_slots();
     }
 
-    /// A slot for a request, as soon as it is its turn.
-    pub async fn acquire(self: &Rc<Self>, wanted: &Wanted<'_>) -> Result<Slot, Rejection> {
-        let slots = self.slots(wanted.service);
+    /// Waits for a slot.
+    pub async fn acquire(self: &Rc<Self>, request: &SlotRequest<'_>) -> Result<Slot, Rejection> {
+        let slots = self.slots(request.service);
         if slots == 0 {
-            return Err(Rejection { reason: Reason::NoEndpoint, retry_after: COME_BACK });
+            return Err(Rejection { reason: Reason::NoEndpoint, retry_after: RETRY_AFTER });
         }
         let (tx, rx) = oneshot::channel();
-        let ticket = self.enqueue(wanted, tx, slots)?;
-        let place = Place { fleet: self, service: wanted.service, class: wanted.class, ticket };
-        self.pump(wanted.service);
-        let left = wanted.due.saturating_sub(self.now());
-        let late = Rejection { reason: Reason::DeadlinePassed, retry_after: COME_BACK };
-        let got = actix_web::rt::time::timeout(left, rx).await;
-        drop(place);
-        match got {
-            Ok(Ok(got)) => got,
-            Ok(Err(_)) | Err(_) => Err(late),
+        let ticket = self.enqueue(request, tx, slots)?;
+        let entry =
+            QueueEntry { fleet: self, service: request.service, class: request.class, ticket };
+        self.assign_slots(request.service);
+        let left = request.due.saturating_sub(self.now());
+        let expired = Rejection { reason: Reason::DeadlinePassed, retry_after: RETRY_AFTER };
+        let result = actix_web::rt::time::timeout(left, rx).await;
+        drop(entry);
+        match result {
+            Ok(Ok(result)) => result,
+            Ok(Err(_)) | Err(_) => Err(expired),
         }
     }
 
-    /// Refuses everyone who waits.
-    pub fn refuse_waiting(&self, rejection: Rejection) {
+    /// Rejects all queued requests.
+    pub fn reject_queued(&self, rejection: Rejection) {
         let waiting: Vec<_> =
             self.queues.borrow_mut().values_mut().flat_map(Admission::clear).collect();
         for waiting in waiting {
@@ -166,22 +167,22 @@
         }
     }
 
-    /// Refuses those who waited too long, hands out free slots and starts probes that are due.
+    /// Rejects requests that waited too long, assigns free slots and starts probes that are due.
     pub fn tick(self: &Rc<Self>) {
         let now = self.now();
-        let late: Vec<(QueuedRequest<Waiter>, Rejection)> =
+        let expired: Vec<(QueuedRequest<Waiter>, Rejection)> =
             self.queues.borrow_mut().values_mut().flat_map(|queue| queue.expire(now)).collect();
-        for (waiting, rejection) in late {
+        for (waiting, rejection) in expired {
             let _ = waiting.item.tx.send(Err(rejection));
         }
-        self.pump_all();
+        self.assign_all_slots();
         let endpoints: Vec<_> = self.endpoints.borrow().values().cloned().collect();
         for endpoint in endpoints {
             self.probe_if_due(endpoint, now);
         }
     }
 
-    /// A request ended at an endpoint.
+    /// Records that a request ended at an endpoint, and assigns its slot.
     pub fn ended(self: &Rc<Self>, endpoint: &Endpoint, class: &ClassName, evidence: Evidence) {
         let now = self.now();
         let took = match evidence {
@@ -196,13 +197,13 @@
         }
         match evidence {
             Evidence::Good { .. } => endpoint.health.borrow_mut().succeeded(now),
-            Evidence::Bad => self.blame(endpoint, now),
+            Evidence::Bad => self.record_failure(endpoint, now),
             Evidence::Neutral => {}
         }
-        self.pump(&endpoint.service);
+        self.assign_slots(&endpoint.service);
     }
 
-    /// The estimate service time of a class.
+    /// The estimated service time of a class.
     pub fn estimate(
         &self,
         service: &ServiceName,
@@ -211,19 +212,19 @@
         self.queues.borrow().get(service).and_then(|queue| queue.estimate(class).copied())
     }
 
-    /// Time that few requests of a class exceed.
+    /// Tail service time of a class, which few requests exceed.
     pub fn tail(&self, service: &ServiceName, class: &ClassName) -> Duration {
         self.estimate(service, class).map_or(Duration::ZERO, |estimate| estimate.tail())
     }
 
-    /// Requests that wait, by class.
+    /// The number of queued requests by class.
     pub fn waiting(&self) -> IndexMap<ClassName, usize> {
         let queues = self.queues.borrow();
         let counts = queues.values().flat_map(Admission::waiting);
         counts.map(|(class, count)| (class.clone(), count)).collect()
     }
 
-    /// The endpoints as this daemon sees them.
+    /// The state of each endpoint as seen by this daemon.
     pub fn endpoint_status(&self) -> Vec<EndpointStatus> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
@@ -243,30 +244,30 @@
 
     fn enqueue(
         &self,
-        wanted: &Wanted<'_>,
+        request: &SlotRequest<'_>,
         tx: oneshot::Sender<Result<Slot, Rejection>>,
         slots: u32,
     ) -> Result<u64, Rejection> {
         let mut queues = self.queues.borrow_mut();
-        let queue = queues.entry(wanted.service.clone()).or_default();
-        let waiter = Waiter { tx, avoid: wanted.avoid.to_vec() };
-        queue.enqueue(wanted.class, wanted.team.cloned(), wanted.due, waiter, slots, self.now())
+        let queue = queues.entry(request.service.clone()).or_default();
+        let waiter = Waiter { tx, avoid: request.avoid.to_vec() };
+        queue.enqueue(request.class, request.team.cloned(), request.due, waiter, slots, self.now())
     }
 
-    fn pump_all(self: &Rc<Self>) {
+    fn assign_all_slots(self: &Rc<Self>) {
         let services: Vec<_> = self.queues.borrow().keys().cloned().collect();
         for service in &services {
-            self.pump(service);
+            self.assign_slots(service);
         }
     }
 
-    /// Hands out free slots of a service to whoever is next.
-    fn pump(self: &Rc<Self>, service: &ServiceName) {
+    /// Assigns free slots of a service to queued requests.
+    fn assign_slots(self: &Rc<Self>, service: &ServiceName) {
         loop {
             let now = self.now();
             let slots = self.slots(service);
-            let rooms = self.rooms(service, now);
-            if rooms.is_empty() {
+            let free_endpoints = self.free_endpoints(service, now);
+            if free_endpoints.is_empty() {
                 return;
             }
             let next = match self.queues.borrow_mut().get_mut(service) {
@@ -274,39 +275,49 @@
                 None => None,
             };
             let Some((class, waiting)) = next else { return };
-            let Some(endpoint) = self.choose(&rooms, &waiting.item.avoid) else { return };
+            let Some(endpoint) = self.choose(&free_endpoints, &waiting.item.avoid) else { return };
             let Some(estimate) = self.estimate(service, &class) else { return };
             self.last_slot.set(self.last_slot.get() + 1);
             let slot = Slot::take(self, &endpoint, &class, estimate, self.last_slot.get());
-            if let Err(unwanted) = waiting.item.tx.send(Ok(slot)) {
-                // Its caller is gone. Dropping the slot comes back here, for the next in turn.
-                drop(unwanted);
+            if let Err(undelivered) = waiting.item.tx.send(Ok(slot)) {
+                // The caller has disconnected. Dropping the slot calls this function again.
+                drop(undelivered);
                 return;
             }
         }
     }
 
-    fn rooms(&self, service: &ServiceName, now: Duration) -> Vec<(Rc<Endpoint>, Candidate)> {
+    fn free_endpoints(
+        &self,
+        service: &ServiceName,
+        now: Duration,
+    ) -> Vec<(Rc<Endpoint>, Candidate)> {
         let endpoints = self.endpoints.borrow();
         let home = endpoints.values().filter(|e| e.service == *service && self.is_home(e));
-        let rooms = home.filter_map(|endpoint| {
+        let free_endpoints = home.filter_map(|endpoint| {
             let usable = endpoint.usable(self.share_of(endpoint, now), now);
-            let room = endpoint.in_flight() < usable;
-            room.then(|| (Rc::clone(endpoint), endpoint.candidate(usable, now)))
+            let has_free_slot = endpoint.in_flight() < usable;
+            has_free_slot.then(|| (Rc::clone(endpoint), endpoint.candidate(usable, now)))
         });
-        rooms.collect()
+        free_endpoints.collect()
     }
 
-    /// An endpoint with room, rather one that has not failed the request before.
-    fn choose(&self, rooms: &[(Rc<Endpoint>, Candidate)], avoid: &[VmId]) -> Option<Rc<Endpoint>> {
-        let mut others: Vec<_> = rooms.iter().filter(|(e, _)| !avoid.contains(&e.vm)).collect();
-        if others.is_empty() {
-            others = rooms.iter().collect();
+    /// Selects an endpoint with a free slot, preferring those not in `avoid`.
+    fn choose(
+        &self,
+        free_endpoints: &[(Rc<Endpoint>, Candidate)],
+        avoid: &[VmId],
+    ) -> Option<Rc<Endpoint>> {
+        let mut preferred: Vec<_> =
+            free_endpoints.iter().filter(|(e, _)| !avoid.contains(&e.vm)).collect();
+        if preferred.is_empty() {
+            preferred = free_endpoints.iter().collect();
         }
-        let candidates: Vec<Candidate> = others.iter().map(|(_, candidate)| *candidate).collect();
+        let candidates: Vec<Candidate> =
+            preferred.iter().map(|(_, candidate)| *candidate).collect();
         let mut rng = self.rng.borrow_mut();
         let at = route::choose(Policy::default(), &candidates, &mut *rng)?;
-        Some(Rc::clone(&others[at].0))
+        Some(Rc::clone(&preferred[at].0))
     }
 
     /// Slots of a service that this daemon may use.
@@ -321,15 +332,15 @@
         endpoint.domain == self.settings.domain
     }
 
-    fn blame(&self, endpoint: &Endpoint, now: Duration) {
+    fn record_failure(&self, endpoint: &Endpoint, now: Duration) {
         let endpoints = self.endpoints.borrow();
         let peers: Vec<_> = endpoints
             .values()
             .filter(|e| e.service == endpoint.service && e.domain == endpoint.domain)
             .filter(|e| e.listed.get() == EndpointState::Live)
             .collect();
-        let out = peers.iter().filter(|e| e.health.borrow().is_out()).count();
-        let may_eject = health::may_eject(out, peers.len());
+        let ejected = peers.iter().filter(|e| e.health.borrow().is_out()).count();
+        let may_eject = health::may_eject(ejected, peers.len());
         endpoint.health.borrow_mut().failed(now, may_eject);
     }
 
@@ -345,7 +356,7 @@
             endpoint.probing.set(Probing::No);
             let accepting = probed.is_some_and(|reply| reply.accepting);
             endpoint.health.borrow_mut().probed(accepting, fleet.now());
-            fleet.pump(&endpoint.service);
+            fleet.assign_slots(&endpoint.service);
         });
     }
 }
--- a/src/request/fleet/shares.rs
+++ b/src/request/fleet/shares.rs
@@ -1,4 +1,4 @@
-//! This daemon's parts of the endpoints' slots.
+//! The share of each endpoint's slots that this daemon may use.
 
 use super::Fleet;
 use crate::ids::{DaemonId, ServiceName};
@@ -7,43 +7,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How this daemon's part of an endpoint's slots is found.
+/// How the daemon's share of an endpoint's slots is determined.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Shares {
-    /// An even split among the daemons of the domain that this one knows of. While two daemons
-    /// know of different ones their parts may sum to more than there is.
+    /// An even split among the known daemons of the domain. While daemons disagree on who is in the
+    /// domain, their shares may sum to more than the slots of the endpoint.
     #[default]
     Even,
-    /// As granted by the holder of each VM's control lease.
+    /// Granted by the holder of the VM's control lease.
     Granted,
 }
 
 impl Fleet {
-    /// Changes how this daemon's slots are found.
+    /// Changes how the daemon's share is determined.
     pub fn set_shares(self: &Rc<Self>, shares: Shares) {
         self.shares.set(shares);
-        self.pump_all();
+        self.assign_all_slots();
     }
 
-    /// Takes the other daemons of this domain.
-    pub fn set_home_daemons(self: &Rc<Self>, others: Vec<DaemonId>) {
+    /// Replaces the list of other daemons in this domain.
+    pub fn set_domain_daemons(self: &Rc<Self>, others: Vec<DaemonId>) {
         let mut daemons = others;
         daemons.push(self.settings.me.clone());
         daemons.sort();
         daemons.dedup();
-        *self.home_daemons.borrow_mut() = daemons;
-        self.forget_even_shares();
-        self.pump_all();
+        *self.domain_daemons.borrow_mut() = daemons;
+        self.clear_even_shares();
+        self.assign_all_slots();
     }
 
-    /// The asks to send to the givers of this domain's endpoints.
+    /// The slot requests to send for the endpoints of this domain.
     pub fn share_asks(&self) -> Vec<ShareAsk> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
         let mut takers = self.takers.borrow_mut();
         let home = endpoints.values().filter(|endpoint| self.is_home(endpoint));
         let asks = home.map(|endpoint| {
-            let waiting = self.waiting_at(&endpoint.service);
+            let waiting = self.queued_for(&endpoint.service);
             let taker = takers
                 .entry(endpoint.vm.clone())
                 .or_insert_with(|| Taker::new(self.settings.me.clone(), endpoint.vm.clone()));
@@ -54,21 +54,21 @@
         asks.collect()
     }
 
-    /// Takes a giver's grant, whose ask was sent at `sent`.
+    /// Applies a grant whose request was sent at `sent`.
     pub fn share_granted(self: &Rc<Self>, grant: &ShareGrant, sent: Duration) {
         if let Some(taker) = self.takers.borrow_mut().get_mut(&grant.vm) {
             taker.granted(grant, sent);
         }
-        self.pump_all();
+        self.assign_all_slots();
     }
 
-    fn waiting_at(&self, service: &ServiceName) -> u32 {
+    fn queued_for(&self, service: &ServiceName) -> u32 {
         let queues = self.queues.borrow();
         let waiting = queues.get(service).map_or(0, |queue| queue.waiting().map(|(_, n)| n).sum());
         u32::try_from(waiting).unwrap_or(u32::MAX)
     }
 
-    /// Slots of an endpoint that are this daemon's.
+    /// The number of an endpoint's slots that this daemon may use.
     pub(super) fn share_of(&self, endpoint: &Endpoint, now: Duration) -> u32 {
         match self.shares.get() {
             Shares::Granted => {
@@ -76,25 +76,25 @@
             }
             Shares::Even => match endpoint.even_share.get() {
                 Some(share) => share,
-                None => self.split_evenly(endpoint),
+                None => self.compute_even_share(endpoint),
             },
         }
     }
 
-    /// Works an even share out and keeps it: hashing every daemon's name for each endpoint at each
-    /// request would cost more than the rest of the choice.
-    fn split_evenly(&self, endpoint: &Endpoint) -> u32 {
+    /// Computes and caches an even share: hashing the name of every daemon for each endpoint on
+    /// each request would cost more than the rest of the endpoint selection.
+    fn compute_even_share(&self, endpoint: &Endpoint) -> u32 {
         let cfg = self.cfg.borrow();
         let service = cfg.as_ref().and_then(|cfg| cfg.services.get(&endpoint.service));
         let slots = service.map_or(0, |service| service.slots);
-        let daemons = self.home_daemons.borrow();
+        let daemons = self.domain_daemons.borrow();
         let share = even_split(&endpoint.vm, slots, &self.settings.me, &daemons);
         endpoint.even_share.set(Some(share));
         share
     }
 
-    /// Has even shares worked out anew.
-    pub(super) fn forget_even_shares(&self) {
+    /// Clears the cached even shares.
+    pub(super) fn clear_even_shares(&self) {
         self.endpoints.borrow().values().for_each(|endpoint| endpoint.even_share.set(None));
     }
 }
