--- a/src/control/slots.rs
+++ b/src/control/slots.rs
@@ -7,7 +7,9 @@
 use crate::core::VmSummary;
 use crate::ids::{ServiceName, Token, VmId};
 use crate::model::Config;
-use crate::request::share::{Before, Givers, KeeperSettings, ShareAsk, ShareGrant};
+use crate::request::share::{
+    AllocatorSettings, PriorGrants, ShareGrant, ShareRequest, SlotAllocators,
+};
 use crate::worker::Earlier;
 use indexmap::IndexMap;
 use std::sync::Arc;
@@ -16,7 +18,7 @@
 /// The slots that this daemon gives.
 #[derive(Debug, Default)]
 pub struct Slots {
-    givers: Givers,
+    givers: SlotAllocators,
     config: Arc<Config>,
     /// Validity of a grant.
     ttl: Duration,
@@ -52,27 +54,37 @@
     }
 
     /// Answers the asks for endpoints on held VMs.
-    pub fn ask(&mut self, held: &[VmSummary], asks: &[ShareAsk], now: Duration) -> Vec<ShareGrant> {
+    pub fn ask(
+        &mut self,
+        held: &[VmSummary],
+        asks: &[ShareRequest],
+        now: Duration,
+    ) -> Vec<ShareGrant> {
         asks.iter().filter_map(|ask| self.ask_one(held, ask, now)).collect()
     }
 
-    fn ask_one(&mut self, held: &[VmSummary], ask: &ShareAsk, now: Duration) -> Option<ShareGrant> {
+    fn ask_one(
+        &mut self,
+        held: &[VmSummary],
+        ask: &ShareRequest,
+        now: Duration,
+    ) -> Option<ShareGrant> {
         let Some(vm) = held.iter().find(|vm| vm.vm == ask.vm) else {
             self.givers.lose(&ask.vm);
             return None;
         };
         let settings = self.settings(&ask.vm)?;
         let first = self.first.get(&ask.vm) == Some(&vm.token);
-        let before = if first { Before::Nothing } else { Before::Unknown };
+        let before = if first { PriorGrants::None } else { PriorGrants::Unknown };
         self.givers.hold(&ask.vm, vm.token, now + vm.valid_for, settings, before, now);
-        self.givers.ask(ask, now)
+        self.givers.allocate(ask, now)
     }
 
-    fn settings(&self, vm: &VmId) -> Option<KeeperSettings> {
+    fn settings(&self, vm: &VmId) -> Option<AllocatorSettings> {
         let service = self.services.get(vm)?;
         let slots = self.config.services.get(service)?.slots;
         let classes = self.config.requests.values().filter(|class| class.service == *service);
-        let longest_run = classes.map(|class| class.deadline).max().unwrap_or_default();
-        Some(KeeperSettings { slots, ttl: self.ttl, longest_run })
+        let max_run_time = classes.map(|class| class.deadline).max().unwrap_or_default();
+        Some(AllocatorSettings { slots, ttl: self.ttl, max_run_time })
     }
 }
--- a/src/front/shares.rs
+++ b/src/front/shares.rs
@@ -8,7 +8,7 @@
 use crate::ids::{DaemonId, VmId};
 use crate::peers::{Call, Reply};
 use crate::request::Dispatcher;
-use crate::request::share::ShareAsk;
+use crate::request::share::ShareRequest;
 use indexmap::IndexMap;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
 }
 
 async fn ask_all(links: &Links, dispatcher: &Dispatcher) {
-    let asks = dispatcher.share_asks();
+    let asks = dispatcher.share_requests();
     let vms: Vec<VmId> = asks.iter().map(|ask| ask.vm.clone()).collect();
     let domain = links.domain.clone();
     let holders = links.control.send(Inspect(move |control: &Control| {
@@ -61,7 +61,7 @@
         vms.iter().map(|vm| core.holder_of(vm, &domain)).collect::<Vec<_>>()
     }));
     let Ok(holders) = holders.await else { return };
-    let mut batches: IndexMap<DaemonId, Vec<ShareAsk>> = IndexMap::new();
+    let mut batches: IndexMap<DaemonId, Vec<ShareRequest>> = IndexMap::new();
     for (ask, holder) in asks.into_iter().zip(holders) {
         if let Some(holder) = holder {
             batches.entry(holder).or_default().push(ask);
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -19,7 +19,7 @@
 use crate::listing::DaemonEntry;
 use crate::membership::{BarrierId, Membership, MembershipSettings};
 use crate::peer::{Member, MemberState, PeerMsg};
-use crate::request::share::{ShareAsk, ShareGrant};
+use crate::request::share::{ShareGrant, ShareRequest};
 use crate::ring::{RING_CAPACITY, Ring};
 use crate::storage::{HearRevision, KnowMembers, Storage};
 use crate::task::{TaskSpec, TaskState};
@@ -80,7 +80,7 @@
     Vms,
     /// Slots of endpoints on VMs held by the daemon asked.
     Slots {
-        asks: Vec<ShareAsk>,
+        asks: Vec<ShareRequest>,
     },
 }
 
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::request::pieces;
 use crate::request::retry::RetryBudget;
 use crate::request::settings::DispatcherSettings;
-use crate::request::share::{ShareAsk, ShareGrant};
+use crate::request::share::{ShareGrant, ShareRequest};
 use crate::request::status::RequestStatus;
 use actix_web::body::SizedStream;
 use actix_web::web::Payload;
@@ -109,8 +109,8 @@
 
     /// The asks to send to the holders of the endpoints' control leases, about twice a second.
     /// Has a meaning with [`Shares::Granted`] only.
-    pub fn share_asks(&self) -> Vec<ShareAsk> {
-        self.0.fleet.share_asks()
+    pub fn share_requests(&self) -> Vec<ShareRequest> {
+        self.0.fleet.share_requests()
     }
 
     /// Takes the answer to an ask that was sent at `sent`, on this dispatcher's clock.
--- a/src/request/fleet.rs
+++ b/src/request/fleet.rs
@@ -13,7 +13,7 @@
 use crate::request::outcome::Reason;
 use crate::request::route::{self, Candidate, Policy, ServiceTimeEstimate};
 use crate::request::settings::DispatcherSettings;
-use crate::request::share::Taker;
+use crate::request::share::SlotClient;
 use crate::request::slot::{Evidence, Slot};
 use crate::request::status::EndpointStatus;
 use indexmap::IndexMap;
@@ -43,7 +43,7 @@
     shares: Cell<Shares>,
     /// The daemons of this domain, including this one.
     domain_daemons: RefCell<Vec<DaemonId>>,
-    takers: RefCell<IndexMap<VmId, Taker>>,
+    slot_clients: RefCell<IndexMap<VmId, SlotClient>>,
     endpoints: RefCell<IndexMap<VmId, Rc<Endpoint>>>,
     queues: RefCell<IndexMap<ServiceName, Admission<Waiter>>>,
     rng: RefCell<SmallRng>,
@@ -86,7 +86,7 @@
             cfg: RefCell::default(),
             shares: Cell::default(),
             domain_daemons: RefCell::new(vec![me]),
-            takers: RefCell::default(),
+            slot_clients: RefCell::default(),
             endpoints: RefCell::default(),
             queues: RefCell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
@@ -132,7 +132,7 @@
             endpoints.insert(info.vm.clone(), endpoint);
         }
         known.values().for_each(|endpoint| endpoint.health.borrow_mut().delisted());
-        self.takers.borrow_mut().retain(|vm, _| endpoints.contains_key(vm));
+        self.slot_clients.borrow_mut().retain(|vm, _| endpoints.contains_key(vm));
         *self.endpoints.borrow_mut() = endpoints;
         self.assign_all_slots();
     }
--- a/src/request/fleet/shares.rs
+++ b/src/request/fleet/shares.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::ids::{DaemonId, ServiceName};
 use crate::request::endpoint::Endpoint;
-use crate::request::share::{ShareAsk, ShareGrant, Taker, even_split};
+use crate::request::share::{ShareGrant, ShareRequest, SlotClient, even_split};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -37,27 +37,27 @@
     }
 
     /// The slot requests to send for the endpoints of this domain.
-    pub fn share_asks(&self) -> Vec<ShareAsk> {
+    pub fn share_requests(&self) -> Vec<ShareRequest> {
         let now = self.now();
         let endpoints = self.endpoints.borrow();
-        let mut takers = self.takers.borrow_mut();
+        let mut slot_clients = self.slot_clients.borrow_mut();
         let home = endpoints.values().filter(|endpoint| self.is_home(endpoint));
-        let asks = home.map(|endpoint| {
+        let requests = home.map(|endpoint| {
             let waiting = self.queued_for(&endpoint.service);
-            let taker = takers
+            let client = slot_clients
                 .entry(endpoint.vm.clone())
-                .or_insert_with(|| Taker::new(self.settings.me.clone(), endpoint.vm.clone()));
+                .or_insert_with(|| SlotClient::new(self.settings.me.clone(), endpoint.vm.clone()));
             let in_flight = endpoint.in_flight();
-            taker.demand(in_flight + waiting);
-            taker.ask(in_flight, now)
+            client.demand(in_flight + waiting);
+            client.request(in_flight, now)
         });
-        asks.collect()
+        requests.collect()
     }
 
     /// Applies a grant whose request was sent at `sent`.
     pub fn share_granted(self: &Rc<Self>, grant: &ShareGrant, sent: Duration) {
-        if let Some(taker) = self.takers.borrow_mut().get_mut(&grant.vm) {
-            taker.granted(grant, sent);
+        if let Some(client) = self.slot_clients.borrow_mut().get_mut(&grant.vm) {
+            client.granted(grant, sent);
         }
         self.assign_all_slots();
     }
@@ -72,7 +72,7 @@
     pub(super) fn share_of(&self, endpoint: &Endpoint, now: Duration) -> u32 {
         match self.shares.get() {
             Shares::Granted => {
-                self.takers.borrow().get(&endpoint.vm).map_or(0, |taker| taker.usable(now))
+                self.slot_clients.borrow().get(&endpoint.vm).map_or(0, |client| client.usable(now))
             }
             Shares::Even => match endpoint.even_share.get() {
                 Some(share) => share,
--- a/src/request/share.rs
+++ b/src/request/share.rs
@@ -1,56 +1,57 @@
-//! How the slots of one endpoint are shared among the daemons that route to it.
+//! Distributes the slots of an endpoint among the daemons that route requests to it.
 //!
-//! One daemon gives: the holder of the VM's control lease. Grants are whole slots, expire, and are
-//! answers to asks, so that a lost answer leaves the asker with what it had. The giver counts, for
-//! each asker, the most that the asker may believe it has; the sum of that never exceeds the
-//! endpoint's slots, whatever is lost, late or repeated.
+//! The holder of the VM's control lease allocates the slots. Grants cover whole slots, expire, and
+//! are sent only in reply to a request, so that a lost reply leaves the client with what it had.
+//! For each client, the allocator counts the highest number of slots that the client may believe
+//! it has; the sum never exceeds the slots of the endpoint, whichever messages are lost, delayed or
+//! duplicated.
 //!
-//! A new giver does not know what the last one gave. Until every such grant has surely run out it
-//! gives an asker only what that asker holds already.
+//! A new allocator doesn't know the grants of its predecessor. Until all of them must have expired,
+//! it grants a client at most the slots that the client already holds.
 
 mod givers;
 mod keeper;
 mod taker;
 
-pub use givers::{Before, Givers};
-pub use keeper::{Keeper, KeeperSettings};
-pub use taker::Taker;
+pub use givers::{PriorGrants, SlotAllocators};
+pub use keeper::{AllocatorSettings, SlotAllocator};
+pub use taker::SlotClient;
 
 use crate::ids::{DaemonId, Token, VmId};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Asks the giver for slots, or renews them.
+/// Requests slots from the allocator, or renews them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct ShareAsk {
+pub struct ShareRequest {
     pub from: DaemonId,
     pub vm: VmId,
-    /// Rises with each ask; a late or repeated one must not undo what a later one said.
+    /// Increases with each request, so that a late or duplicate one is ignored after a later one.
     pub number: u64,
-    /// The latest grant that the asker has, if it has not expired.
+    /// The latest grant that the client has, if it has not expired.
     pub seen: Option<GrantId>,
-    /// Slots that the asker holds by it.
+    /// Number of slots that the client holds under that grant.
     pub holds: u32,
-    /// Requests that it has at the endpoint now.
+    /// Requests that the client currently has at the endpoint.
     pub in_use: u32,
-    /// Slots that it could use.
+    /// Number of slots that the client could use.
     pub wants: u32,
 }
 
-/// Slots granted, in place of any grant before.
+/// A grant of slots, which replaces any earlier grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ShareGrant {
     pub vm: VmId,
     pub id: GrantId,
     pub slots: u32,
-    /// Counted from when the ask was sent.
+    /// Validity, counted from when the request was sent.
     pub ttl: Duration,
 }
 
-/// Orders grants: by the giver's lease, then by number.
+/// Identifies a grant; ordered by the control lease of the allocator, then by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct GrantId {
@@ -58,8 +59,9 @@
     pub number: u64,
 }
 
-/// The slots of `vm` that are `me`'s when they are split evenly among `daemons`, without a giver.
-/// The odd ones go by rank in a hash of both names, so that no daemon gets the odd ones everywhere.
+/// The number of slots of `vm` for `me` if they are split evenly among `daemons`, without an
+/// allocator. The remainder is assigned by a hash of both names, so that no daemon gets the extra
+/// slot on every endpoint.
 pub fn even_split(vm: &VmId, slots: u32, me: &DaemonId, daemons: &[DaemonId]) -> u32 {
     let count = u32::try_from(daemons.len()).unwrap_or(u32::MAX).max(1);
     let mine = rank_key(vm, me);
--- a/src/request/share/givers.rs
+++ b/src/request/share/givers.rs
@@ -1,47 +1,47 @@
-//! The endpoints that this daemon gives the slots of.
+//! The allocators of the endpoints whose control leases this daemon holds.
 
-use super::{Keeper, KeeperSettings, ShareAsk, ShareGrant};
+use super::{AllocatorSettings, ShareGrant, ShareRequest, SlotAllocator};
 use crate::ids::{Token, VmId};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// What is known of the grants of a giver before.
+/// Whether grants of an earlier allocator may still be valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Before {
-    /// There was none since the endpoint's VM booted.
-    Nothing,
-    /// Grants may still be in force.
+pub enum PriorGrants {
+    /// There has been no allocator since the endpoint's VM booted.
+    None,
+    /// Grants may still be valid.
     Unknown,
 }
 
-/// A giver for each VM whose control lease this daemon holds.
+/// An allocator for each VM whose control lease this daemon holds.
 #[derive(Clone, Debug, Default)]
-pub struct Givers {
+pub struct SlotAllocators {
     held: IndexMap<VmId, Held>,
 }
 
 #[derive(Clone, Debug)]
 struct Held {
     token: Token,
-    /// End of the control lease, as this daemon may rely on it.
+    /// Time up to which this daemon may rely on the control lease.
     valid_until: Duration,
-    keeper: Keeper,
+    allocator: SlotAllocator,
 }
 
-impl Givers {
-    /// No endpoint yet.
+impl SlotAllocators {
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The control lease of an endpoint's VM was acquired or renewed, up to `valid_until`.
+    /// Records that the control lease of a VM was acquired or renewed, valid until `valid_until`.
     pub fn hold(
         &mut self,
         vm: &VmId,
         token: Token,
         valid_until: Duration,
-        settings: KeeperSettings,
-        before: Before,
+        settings: AllocatorSettings,
+        prior: PriorGrants,
         now: Duration,
     ) {
         if let Some(held) = self.held.get_mut(vm)
@@ -50,22 +50,23 @@
             held.valid_until = valid_until;
             return;
         }
-        let mut keeper = Keeper::new(vm.clone(), token, settings, now);
-        if before == Before::Nothing {
-            keeper = keeper.with_nothing_before();
+        let mut allocator = SlotAllocator::new(vm.clone(), token, settings, now);
+        if prior == PriorGrants::None {
+            allocator = allocator.without_prior_grants();
         }
-        self.held.insert(vm.clone(), Held { token, valid_until, keeper });
+        self.held.insert(vm.clone(), Held { token, valid_until, allocator });
     }
 
-    /// The control lease was given back or lost.
+    /// Records that the control lease was released or lost.
     pub fn lose(&mut self, vm: &VmId) {
         self.held.swap_remove(vm);
     }
 
-    /// Answers an ask, unless this daemon isn't the giver. The lease is checked here, as the last
-    /// step: a giver that was paused past its lease would otherwise give what another gives too.
-    pub fn ask(&mut self, ask: &ShareAsk, now: Duration) -> Option<ShareGrant> {
-        let held = self.held.get_mut(&ask.vm)?;
-        (now < held.valid_until).then(|| held.keeper.ask(ask, now))
+    /// Replies to a request, or returns none if this daemon is not the allocator. The lease is
+    /// checked here as the last step: a process that was paused until after its lease expired would
+    /// otherwise grant slots that the next allocator grants too.
+    pub fn allocate(&mut self, request: &ShareRequest, now: Duration) -> Option<ShareGrant> {
+        let held = self.held.get_mut(&request.vm)?;
+        (now < held.valid_until).then(|| held.allocator.allocate(request, now))
     }
 }
--- a/src/request/share/keeper.rs
+++ b/src/request/share/keeper.rs
@@ -1,161 +1,162 @@
-//! The giver's side.
+//! The allocator of the slots of an endpoint.
 
-use super::{GrantId, ShareAsk, ShareGrant};
+use super::{GrantId, ShareGrant, ShareRequest};
 use crate::ids::{DaemonId, Token, VmId};
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Grants of one asker that are counted one by one.
-const GRANTS_KEPT: usize = 4;
+/// Unconfirmed grants per client that are tracked individually.
+const MAX_TRACKED_GRANTS: usize = 4;
 
-/// How long grants last.
+/// Settings of a [`SlotAllocator`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeeperSettings {
-    /// Slots of the endpoint.
+pub struct AllocatorSettings {
+    /// Number of slots of the endpoint.
     pub slots: u32,
-    /// Validity of a grant. Longer than it takes another daemon to get the control lease, so that
-    /// askers still hold something for a new giver to confirm.
+    /// Validity of a grant. It must be longer than it takes another daemon to acquire the control
+    /// lease, so that clients still hold slots for a new allocator to confirm.
     pub ttl: Duration,
-    /// How long a request may still be at the endpoint after its daemon's grant ran out. The
-    /// longest deadline of the service's classes is sure; a shorter time lets slots move sooner
-    /// after a daemon vanished, and leaves the rest to the endpoint's own refusals.
-    pub longest_run: Duration,
+    /// How long a request may still run at the endpoint after the grant of its daemon expired. The
+    /// longest deadline of the service's classes is safe; a shorter time frees slots sooner after a
+    /// daemon fails, and relies on the endpoint to refuse the excess requests.
+    pub max_run_time: Duration,
 }
 
-/// Gives the slots of one endpoint, for as long as the VM's control lease is held.
+/// Allocates the slots of an endpoint while the control lease of its VM is held.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct SlotAllocator {
     vm: VmId,
     token: Token,
-    settings: KeeperSettings,
-    /// Until then, grants of the giver before may be in force.
-    inherits_until: Duration,
+    settings: AllocatorSettings,
+    /// Until then, grants of the previous allocator may still be valid.
+    prior_grants_until: Duration,
     last_number: u64,
-    askers: IndexMap<DaemonId, Asker>,
+    clients: IndexMap<DaemonId, Client>,
 }
 
-/// What an asker may believe it has.
+/// The grants that a client may believe it has.
 #[derive(Clone, Debug, Default)]
-struct Asker {
-    /// Grants that the asker may act on; all but the last until it is known to have the last.
-    grants: Vec<Given>,
-    last_ask: u64,
-    /// Requests that it had at the endpoint when it last asked.
+struct Client {
+    /// Grants that the client may act on: the latest, and earlier ones until it confirms that.
+    grants: Vec<IssuedGrant>,
+    last_request: u64,
+    /// Requests that the client had at the endpoint when it last requested slots.
     in_use: u32,
     wants: u32,
-    /// When its last grant, and every request sent under it, has surely ended.
-    gone_at: Duration,
+    /// When its last grant must have expired and every request sent under it must have ended.
+    ends_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct IssuedGrant {
     number: u64,
     slots: u32,
 }
 
-impl Keeper {
-    /// The giver under control lease `token`, granted at `now`.
-    pub fn new(vm: VmId, token: Token, settings: KeeperSettings, now: Duration) -> Self {
-        let inherits_until = now + settings.ttl + settings.longest_run;
-        Self { vm, token, settings, inherits_until, last_number: 0, askers: IndexMap::new() }
+impl SlotAllocator {
+    /// Creates the allocator for control lease `token`, acquired at `now`.
+    pub fn new(vm: VmId, token: Token, settings: AllocatorSettings, now: Duration) -> Self {
+        let prior_grants_until = now + settings.ttl + settings.max_run_time;
+        Self { vm, token, settings, prior_grants_until, last_number: 0, clients: IndexMap::new() }
     }
 
-    /// The first giver ever, as when the endpoint has just started.
-    pub fn with_nothing_before(mut self) -> Self {
-        self.inherits_until = Duration::ZERO;
+    /// Marks this as the first allocator of the endpoint, so that no earlier grants exist.
+    pub fn without_prior_grants(mut self) -> Self {
+        self.prior_grants_until = Duration::ZERO;
         self
     }
 
-    /// Answers an ask. The caller holds the control lease at `now`.
-    pub fn ask(&mut self, ask: &ShareAsk, now: Duration) -> ShareGrant {
-        self.forget_gone(now);
-        self.note(ask);
-        let slots = self.entitled(ask, now);
+    /// Replies to a request. The caller must hold the control lease at `now`.
+    pub fn allocate(&mut self, request: &ShareRequest, now: Duration) -> ShareGrant {
+        self.remove_ended(now);
+        self.update_client(request);
+        let slots = self.slots_for(request, now);
         self.last_number += 1;
-        let given = Given { number: self.last_number, slots };
-        let gone_at = now + self.settings.ttl + self.settings.longest_run;
-        if let Some(asker) = self.askers.get_mut(&ask.from) {
-            asker.give(given);
-            asker.gone_at = gone_at;
+        let issued = IssuedGrant { number: self.last_number, slots };
+        let ends_at = now + self.settings.ttl + self.settings.max_run_time;
+        if let Some(client) = self.clients.get_mut(&request.from) {
+            client.add_grant(issued);
+            client.ends_at = ends_at;
         }
         ShareGrant {
             vm: self.vm.clone(),
-            id: GrantId { token: self.token, number: given.number },
+            id: GrantId { token: self.token, number: issued.number },
             slots,
             ttl: self.settings.ttl,
         }
     }
 
-    /// The most that all askers together may believe they have.
+    /// The highest number of slots that all clients together may believe they have.
     pub fn committed(&self) -> u32 {
-        self.askers.values().map(Asker::committed).sum()
+        self.clients.values().map(Client::committed).sum()
     }
 
-    fn note(&mut self, ask: &ShareAsk) {
-        let asker = self.askers.entry(ask.from.clone()).or_default();
-        if ask.number <= asker.last_ask {
+    fn update_client(&mut self, request: &ShareRequest) {
+        let client = self.clients.entry(request.from.clone()).or_default();
+        if request.number <= client.last_request {
             return;
         }
-        asker.last_ask = ask.number;
-        asker.wants = ask.wants;
-        asker.in_use = ask.in_use;
-        match ask.seen {
-            // It has this grant or a later one, and acts on none before it.
+        client.last_request = request.number;
+        client.wants = request.wants;
+        client.in_use = request.in_use;
+        match request.seen {
+            // The client has this grant, so it no longer acts on earlier ones.
             Some(seen) if seen.token == self.token => {
-                asker.grants.retain(|given| given.number >= seen.number);
+                client.grants.retain(|issued| issued.number >= seen.number);
             }
-            // It still acts on a grant of the giver before.
+            // The client still acts on a grant of a previous allocator.
             Some(seen) if seen.token < self.token => {
-                if asker.grants.iter().all(|given| given.slots < ask.holds) {
-                    asker.grants.insert(0, Given { number: 0, slots: ask.holds });
+                if client.grants.iter().all(|issued| issued.slots < request.holds) {
+                    client.grants.insert(0, IssuedGrant { number: 0, slots: request.holds });
                 }
             }
             Some(_) | None => {}
         }
     }
 
-    /// Slots for the asker: its fair part, as far as nobody else may hold them.
-    fn entitled(&self, ask: &ShareAsk, now: Duration) -> u32 {
-        let own = self.askers.get(&ask.from).map_or(0, Asker::committed);
+    /// The slots to grant: the fair share of the client, limited to slots that no other may hold.
+    fn slots_for(&self, request: &ShareRequest, now: Duration) -> u32 {
+        let own = self.clients.get(&request.from).map_or(0, Client::committed);
         let others = self.committed() - own;
         let free = self.settings.slots.saturating_sub(others);
-        let most = if now < self.inherits_until { ask.holds.min(free) } else { free };
-        self.fair_part(&ask.from).min(most)
+        let most = if now < self.prior_grants_until { request.holds.min(free) } else { free };
+        self.fair_share(&request.from).min(most)
     }
 
-    /// Shares the slots out one by one to whoever wants more and has least; ties go by name.
-    fn fair_part(&self, of: &DaemonId) -> u32 {
-        let mut asking: Vec<(&DaemonId, u32, u32)> =
-            self.askers.iter().map(|(id, asker)| (id, asker.wants, 0)).collect();
-        asking.sort_by_key(|(id, ..)| *id);
+    /// Distributes the slots one by one to the client that wants more and has fewest; ties are
+    /// resolved by name.
+    fn fair_share(&self, of: &DaemonId) -> u32 {
+        let mut shares: Vec<(&DaemonId, u32, u32)> =
+            self.clients.iter().map(|(id, client)| (id, client.wants, 0)).collect();
+        shares.sort_by_key(|(id, ..)| *id);
         for _ in 0..self.settings.slots {
-            let next = asking.iter_mut().filter(|(_, wants, has)| has < wants);
-            let Some((_, _, has)) = next.min_by_key(|(_, _, has)| *has) else { break };
-            *has += 1;
+            let next = shares.iter_mut().filter(|(_, wants, share)| share < wants);
+            let Some((_, _, share)) = next.min_by_key(|(_, _, share)| *share) else { break };
+            *share += 1;
         }
-        asking.iter().find(|(id, ..)| *id == of).map_or(0, |(_, _, has)| *has)
+        shares.iter().find(|(id, ..)| *id == of).map_or(0, |(_, _, share)| *share)
     }
 
-    fn forget_gone(&mut self, now: Duration) {
-        self.askers.retain(|_, asker| now < asker.gone_at);
+    fn remove_ended(&mut self, now: Duration) {
+        self.clients.retain(|_, client| now < client.ends_at);
     }
 }
 
-impl Asker {
-    /// Adds a grant. While answers are lost the asker never names a newer one; the oldest are
-    /// then counted together, at the most of them.
-    fn give(&mut self, given: Given) {
-        if self.grants.len() == GRANTS_KEPT {
+impl Client {
+    /// Adds a grant. While replies are lost, the client confirms no newer grant; the oldest grants
+    /// are then merged, with the highest number of slots among them.
+    fn add_grant(&mut self, issued: IssuedGrant) {
+        if self.grants.len() == MAX_TRACKED_GRANTS {
             let oldest = self.grants.remove(0);
             let next = &mut self.grants[0];
             next.slots = next.slots.max(oldest.slots);
         }
-        self.grants.push(given);
+        self.grants.push(issued);
     }
 
-    /// The most that it may believe it has, or already uses.
+    /// The highest number of slots that the client may believe it has, or uses already.
     fn committed(&self) -> u32 {
-        let given = self.grants.iter().map(|given| given.slots).max().unwrap_or(0);
-        given.max(self.in_use)
+        let issued = self.grants.iter().map(|issued| issued.slots).max().unwrap_or(0);
+        issued.max(self.in_use)
     }
 }
--- a/src/request/share/taker.rs
+++ b/src/request/share/taker.rs
@@ -1,24 +1,24 @@
-//! The asker's side, for one endpoint.
+//! The client of an allocator, for one endpoint.
 
-use super::{GrantId, ShareAsk, ShareGrant};
+use super::{GrantId, ShareGrant, ShareRequest};
 use crate::ids::{DaemonId, VmId};
 use std::time::Duration;
 
-/// Slots wanted beyond those in use, so that a burst finds some.
+/// Slots requested beyond those in use, to absorb bursts.
 const HEADROOM: u32 = 1;
 
-/// Part of a grant's validity that is left unused, against clocks that run apart.
-const DRIFT: f64 = 0.1;
+/// Fraction of a grant's validity that is not used, to allow for clock drift.
+const DRIFT_MARGIN: f64 = 0.1;
 
-/// What one daemon holds of one endpoint's slots.
+/// The slots of an endpoint that this daemon holds.
 #[derive(Clone, Debug)]
-pub struct Taker {
+pub struct SlotClient {
     me: DaemonId,
     vm: VmId,
     grant: Option<Held>,
-    /// Most in use or waited for since the last ask.
+    /// Highest number of requests running or queued since the last request for slots.
     peak: u32,
-    asks: u64,
+    requests: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -28,32 +28,32 @@
     valid_until: Duration,
 }
 
-impl Taker {
-    /// A daemon that holds nothing yet.
+impl SlotClient {
+    /// Creates a client that holds no slots.
     pub fn new(me: DaemonId, vm: VmId) -> Self {
-        Self { me, vm, grant: None, peak: 0, asks: 0 }
+        Self { me, vm, grant: None, peak: 0, requests: 0 }
     }
 
-    /// Slots that requests may be started on.
+    /// The number of slots that may be used for new requests.
     pub fn usable(&self, now: Duration) -> u32 {
         self.grant.filter(|held| now < held.valid_until).map_or(0, |held| held.slots)
     }
 
-    /// Notes requests in use, and waiting for this endpoint.
+    /// Records the number of requests running or queued for this endpoint.
     pub fn demand(&mut self, slots: u32) {
         self.peak = self.peak.max(slots);
     }
 
-    /// The ask to send now. `in_use` counts requests that may still be at the endpoint.
-    pub fn ask(&mut self, in_use: u32, now: Duration) -> ShareAsk {
+    /// Returns the request to send now; `in_use` counts requests that may still be at the endpoint.
+    pub fn request(&mut self, in_use: u32, now: Duration) -> ShareRequest {
         let held = self.grant.filter(|held| now < held.valid_until);
         let wants = self.peak.max(in_use) + HEADROOM;
         self.peak = in_use;
-        self.asks += 1;
-        ShareAsk {
+        self.requests += 1;
+        ShareRequest {
             from: self.me.clone(),
             vm: self.vm.clone(),
-            number: self.asks,
+            number: self.requests,
             seen: held.map(|held| held.id),
             holds: held.map_or(0, |held| held.slots),
             in_use,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Takes a grant whose ask was sent at `sent`. An older one than is held has no effect: its
-    /// giver may have lost the lease, or counts on a later grant.
+    /// Applies a grant whose request was sent at `sent`. A grant older than the current one is
+    /// ignored: its allocator may have lost the lease, or already counts with a later grant.
     pub fn granted(&mut self, grant: &ShareGrant, sent: Duration) {
         if self.grant.is_some_and(|held| grant.id <= held.id) {
             return;
         }
-        let valid_until = sent + grant.ttl.mul_f64(1.0 - DRIFT);
+        let valid_until = sent + grant.ttl.mul_f64(1.0 - DRIFT_MARGIN);
         self.grant = Some(Held { id: grant.id, slots: grant.slots, valid_until });
     }
 }
--- a/src/request/tests/share.rs
+++ b/src/request/tests/share.rs
@@ -1,61 +1,69 @@
 use crate::ids::{DaemonId, Token, VmId};
-use crate::request::share::{Keeper, KeeperSettings, ShareAsk, ShareGrant, Taker, even_split};
+use crate::request::share::{
+    AllocatorSettings, ShareGrant, ShareRequest, SlotAllocator, SlotClient, even_split,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
 const SLOTS: u32 = 8;
 const TTL: Duration = Duration::from_secs(3);
-const LONGEST_RUN: Duration = Duration::from_secs(5);
+const MAX_RUN_TIME: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(100);
 
-fn keeper(token: u64, now: Duration) -> Keeper {
-    let settings = KeeperSettings { slots: SLOTS, ttl: TTL, longest_run: LONGEST_RUN };
-    Keeper::new(VmId::new("vm"), Token(token), settings, now)
+fn allocator(token: u64, now: Duration) -> SlotAllocator {
+    let settings = AllocatorSettings { slots: SLOTS, ttl: TTL, max_run_time: MAX_RUN_TIME };
+    SlotAllocator::new(VmId::new("vm"), Token(token), settings, now)
 }
 
 fn daemons(count: usize) -> Vec<DaemonId> {
     (0..count).map(|at| DaemonId::new(&format!("d{at}"))).collect()
 }
 
-fn takers(count: usize) -> Vec<Taker> {
-    daemons(count).into_iter().map(|id| Taker::new(id, VmId::new("vm"))).collect()
+fn clients(count: usize) -> Vec<SlotClient> {
+    daemons(count).into_iter().map(|id| SlotClient::new(id, VmId::new("vm"))).collect()
 }
 
-/// An ask with this demand, answered at once.
-fn renew(keeper: &mut Keeper, taker: &mut Taker, demand: u32, in_use: u32, now: Duration) {
-    taker.demand(demand);
-    let ask = taker.ask(in_use, now);
-    let grant = keeper.ask(&ask, now);
-    taker.granted(&grant, now);
+/// Requests slots with this demand and applies the reply at once.
+fn renew(
+    allocator: &mut SlotAllocator,
+    client: &mut SlotClient,
+    demand: u32,
+    in_use: u32,
+    now: Duration,
+) {
+    client.demand(demand);
+    let request = client.request(in_use, now);
+    let grant = allocator.allocate(&request, now);
+    client.granted(&grant, now);
 }
 
 #[test]
-fn slots_move_to_where_they_are_wanted() {
-    let mut keeper = keeper(1, Duration::ZERO).with_nothing_before();
-    let mut takers = takers(2);
+fn slots_move_to_the_client_with_demand() {
+    let mut allocator = allocator(1, Duration::ZERO).without_prior_grants();
+    let mut clients = clients(2);
     let mut now = Duration::ZERO;
     for _ in 0..5 {
-        renew(&mut keeper, &mut takers[0], 8, 0, now);
-        renew(&mut keeper, &mut takers[1], 0, 0, now);
+        renew(&mut allocator, &mut clients[0], 8, 0, now);
+        renew(&mut allocator, &mut clients[1], 0, 0, now);
         now += STEP;
     }
-    let before: Vec<u32> = takers.iter().map(|taker| taker.usable(now)).collect();
+    let before: Vec<u32> = clients.iter().map(|client| client.usable(now)).collect();
     assert_eq!(before, [7, 1]);
     for _ in 0..5 {
-        renew(&mut keeper, &mut takers[0], 0, 0, now);
-        renew(&mut keeper, &mut takers[1], 8, 0, now);
+        renew(&mut allocator, &mut clients[0], 0, 0, now);
+        renew(&mut allocator, &mut clients[1], 8, 0, now);
         now += STEP;
     }
-    let after: Vec<u32> = takers.iter().map(|taker| taker.usable(now)).collect();
+    let after: Vec<u32> = clients.iter().map(|client| client.usable(now)).collect();
     assert_eq!(after, [1, 7]);
 }
 
-/// Asks and answers are lost, late and repeated, daemons come and go, and the giver changes, while
-/// requests run on past the grants they were started under. The endpoint must never have more
-/// requests than slots: whoever believes to hold slots, or still uses some, is counted.
+/// Requests and grants are lost, delayed and duplicated, and the allocator changes, while endpoint
+/// requests outlive the grants they were started under. The endpoint must never have more requests
+/// than slots.
 #[test]
-fn no_view_ever_sums_to_more_than_the_slots() {
+fn requests_never_exceed_the_slots_under_message_loss() {
     for seed in 0..40 {
         run_lossy(seed);
     }
@@ -64,11 +72,11 @@
 struct Sim {
     rng: SmallRng,
     now: Duration,
-    keepers: Vec<(Keeper, Duration)>,
-    takers: Vec<Taker>,
-    /// Ends of the requests under way, for each taker.
+    allocators: Vec<(SlotAllocator, Duration)>,
+    clients: Vec<SlotClient>,
+    /// End times of the running requests, by client.
     running: Vec<Vec<Duration>>,
-    asks: Vec<(usize, ShareAsk, Duration)>,
+    requests: Vec<(usize, ShareRequest, Duration)>,
     grants: Vec<(usize, ShareGrant, Duration)>,
 }
 
@@ -76,10 +84,10 @@
     let mut sim = Sim {
         rng: SmallRng::seed_from_u64(seed),
         now: Duration::ZERO,
-        keepers: vec![(keeper(1, Duration::ZERO).with_nothing_before(), TTL * 4)],
-        takers: takers(5),
+        allocators: vec![(allocator(1, Duration::ZERO).without_prior_grants(), TTL * 4)],
+        clients: clients(5),
         running: vec![Vec::new(); 5],
-        asks: Vec::new(),
+        requests: Vec::new(),
         grants: Vec::new(),
     };
     let mut most = 0;
@@ -97,63 +105,63 @@
         self.now += STEP;
         let now = self.now;
         self.running.iter_mut().for_each(|running| running.retain(|end| *end > now));
-        for at in 0..self.takers.len() {
+        for at in 0..self.clients.len() {
             self.start_requests(at);
             if self.rng.random_bool(0.3) {
                 let demand = self.rng.random_range(0..=SLOTS);
-                self.takers[at].demand(demand);
+                self.clients[at].demand(demand);
                 let in_use = self.running[at].len() as u32;
-                let ask = self.takers[at].ask(in_use, now);
-                self.asks.push((at, ask, now));
+                let request = self.clients[at].request(in_use, now);
+                self.requests.push((at, request, now));
             }
         }
-        self.change_giver();
-        self.deliver_asks();
+        self.change_allocator();
+        self.deliver_requests();
         self.deliver_grants();
     }
 
     fn start_requests(&mut self, at: usize) {
-        while self.running[at].len() < self.takers[at].usable(self.now) as usize
+        while self.running[at].len() < self.clients[at].usable(self.now) as usize
             && self.rng.random_bool(0.7)
         {
-            let run = LONGEST_RUN.mul_f64(self.rng.random());
+            let run = MAX_RUN_TIME.mul_f64(self.rng.random());
             self.running[at].push(self.now + run);
         }
     }
 
-    /// The holder of the control lease changes when the lease has run out. The one before holds
-    /// no valid lease any more, and answers nothing.
-    fn change_giver(&mut self) {
-        let (_, until) = self.keepers.last().unwrap();
+    /// Replaces the allocator once its control lease has expired; the previous one no longer
+    /// replies.
+    fn change_allocator(&mut self) {
+        let (_, until) = self.allocators.last().unwrap();
         if self.now < *until {
             return;
         }
-        let token = self.keepers.len() as u64 + 1;
+        let token = self.allocators.len() as u64 + 1;
         let lease = TTL * self.rng.random_range(2..20);
-        self.keepers.push((keeper(token, self.now), self.now + lease));
+        self.allocators.push((allocator(token, self.now), self.now + lease));
     }
 
-    fn deliver_asks(&mut self) {
-        for (at, ask, sent) in std::mem::take(&mut self.asks) {
+    fn deliver_requests(&mut self) {
+        for (at, request, sent) in std::mem::take(&mut self.requests) {
             match self.rng.random_range(0..10) {
                 // Lost.
                 0 | 1 => continue,
-                // Late.
-                2 | 3 => self.asks.push((at, ask, sent)),
-                // Repeated.
+                // Delayed.
+                2 | 3 => self.requests.push((at, request, sent)),
+                // Duplicated.
                 4 => {
-                    self.asks.push((at, ask.clone(), sent));
-                    self.answer(at, &ask, sent);
+                    self.requests.push((at, request.clone(), sent));
+                    self.answer(at, &request, sent);
                 }
-                _ => self.answer(at, &ask, sent),
+                _ => self.answer(at, &request, sent),
             }
         }
     }
 
-    fn answer(&mut self, at: usize, ask: &ShareAsk, sent: Duration) {
-        let (keeper, until) = self.keepers.last_mut().unwrap();
+    fn answer(&mut self, at: usize, request: &ShareRequest, sent: Duration) {
+        let (allocator, until) = self.allocators.last_mut().unwrap();
         assert!(self.now < *until);
-        let grant = keeper.ask(ask, self.now);
+        let grant = allocator.allocate(request, self.now);
         self.grants.push((at, grant, sent));
     }
 
@@ -163,62 +171,62 @@
                 0 | 1 => {}
                 2..=4 => self.grants.push((at, grant, sent)),
                 5 => {
-                    self.takers[at].granted(&grant, sent);
+                    self.clients[at].granted(&grant, sent);
                     self.grants.push((at, grant, sent));
                 }
-                _ => self.takers[at].granted(&grant, sent),
+                _ => self.clients[at].granted(&grant, sent),
             }
         }
     }
 }
 
-/// An ask made while one request ran is delivered after a later one that told of six, and whose
-/// answer took slots away. Believing it would free five slots that are still in use.
+/// A request for slots sent while one slot was in use arrives after a later one that reported six
+/// in use and whose reply took slots away. Using the late one would free five slots still in use.
 #[test]
-fn a_late_ask_does_not_undo_what_a_later_one_said() {
-    let mut keeper = keeper(1, Duration::ZERO).with_nothing_before();
-    let mut takers = takers(2);
-    renew(&mut keeper, &mut takers[0], 7, 0, Duration::ZERO);
-    assert_eq!(takers[0].usable(STEP), 8);
-    let late = takers[0].ask(1, STEP);
-    renew(&mut keeper, &mut takers[1], 7, 0, STEP);
-    renew(&mut keeper, &mut takers[0], 6, 6, STEP);
-    renew(&mut keeper, &mut takers[0], 6, 6, STEP);
-    assert_eq!(takers[0].usable(STEP), 4, "half was taken away");
-    keeper.ask(&late, STEP);
-    renew(&mut keeper, &mut takers[1], 7, 0, STEP);
-    assert!(takers[1].usable(STEP) <= SLOTS - 6, "six are still in use");
+fn a_late_request_does_not_override_a_later_one() {
+    let mut allocator = allocator(1, Duration::ZERO).without_prior_grants();
+    let mut clients = clients(2);
+    renew(&mut allocator, &mut clients[0], 7, 0, Duration::ZERO);
+    assert_eq!(clients[0].usable(STEP), 8);
+    let late = clients[0].request(1, STEP);
+    renew(&mut allocator, &mut clients[1], 7, 0, STEP);
+    renew(&mut allocator, &mut clients[0], 6, 6, STEP);
+    renew(&mut allocator, &mut clients[0], 6, 6, STEP);
+    assert_eq!(clients[0].usable(STEP), 4, "half was taken away");
+    allocator.allocate(&late, STEP);
+    renew(&mut allocator, &mut clients[1], 7, 0, STEP);
+    assert!(clients[1].usable(STEP) <= SLOTS - 6, "six are still in use");
 }
 
 #[test]
-fn a_holder_that_is_cut_off_keeps_nothing_after_its_grant() {
-    let mut keeper = keeper(1, Duration::ZERO).with_nothing_before();
-    let mut takers = takers(2);
-    renew(&mut keeper, &mut takers[0], 8, 0, Duration::ZERO);
-    assert_eq!(takers[0].usable(Duration::ZERO), 8);
-    assert_eq!(takers[0].usable(TTL), 0);
-    renew(&mut keeper, &mut takers[1], 8, 0, TTL);
-    assert_eq!(takers[1].usable(TTL), 0, "the other's requests may still run");
-    let later = TTL + LONGEST_RUN;
-    renew(&mut keeper, &mut takers[1], 8, 0, later);
-    assert_eq!(takers[1].usable(later), 8);
+fn a_disconnected_client_has_no_slots_after_its_grant_expires() {
+    let mut allocator = allocator(1, Duration::ZERO).without_prior_grants();
+    let mut clients = clients(2);
+    renew(&mut allocator, &mut clients[0], 8, 0, Duration::ZERO);
+    assert_eq!(clients[0].usable(Duration::ZERO), 8);
+    assert_eq!(clients[0].usable(TTL), 0);
+    renew(&mut allocator, &mut clients[1], 8, 0, TTL);
+    assert_eq!(clients[1].usable(TTL), 0, "the other's requests may still run");
+    let later = TTL + MAX_RUN_TIME;
+    renew(&mut allocator, &mut clients[1], 8, 0, later);
+    assert_eq!(clients[1].usable(later), 8);
 }
 
 #[test]
-fn a_new_giver_confirms_what_is_held_and_gives_nothing_more_for_a_while() {
-    let mut old = keeper(1, Duration::ZERO).with_nothing_before();
-    let mut takers = takers(2);
-    renew(&mut old, &mut takers[0], 3, 0, Duration::ZERO);
-    let held = takers[0].usable(STEP);
-    let mut new = keeper(2, STEP);
-    renew(&mut new, &mut takers[0], 8, 0, STEP);
-    renew(&mut new, &mut takers[1], 8, 0, STEP);
-    assert_eq!([takers[0].usable(STEP), takers[1].usable(STEP)], [held, 0]);
-    let ask = takers[1].ask(0, STEP);
-    let late = old.ask(&ask, STEP);
+fn a_new_allocator_at_first_only_confirms_the_slots_already_held() {
+    let mut old = allocator(1, Duration::ZERO).without_prior_grants();
+    let mut clients = clients(2);
+    renew(&mut old, &mut clients[0], 3, 0, Duration::ZERO);
+    let held = clients[0].usable(STEP);
+    let mut new = allocator(2, STEP);
+    renew(&mut new, &mut clients[0], 8, 0, STEP);
+    renew(&mut new, &mut clients[1], 8, 0, STEP);
+    assert_eq!([clients[0].usable(STEP), clients[1].usable(STEP)], [held, 0]);
+    let request = clients[1].request(0, STEP);
+    let late = old.allocate(&request, STEP);
     assert!(late.slots > 0);
-    takers[1].granted(&late, STEP);
-    assert_eq!(takers[1].usable(STEP), 0, "a grant of the giver before has no effect");
+    clients[1].granted(&late, STEP);
+    assert_eq!(clients[1].usable(STEP), 0, "a grant of the previous allocator has no effect");
 }
 
 #[test]
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use waxwingstall::clock::{Clock, SystemClock};
 use waxwingstall::ids::{ClassName, DaemonId, Token};
-use waxwingstall::request::share::{Before, Givers, KeeperSettings};
+use waxwingstall::request::share::{AllocatorSettings, PriorGrants, SlotAllocators};
 use waxwingstall::request::{
     DispatcherSettings, EndpointState, Explained, Limits, Outcome, PeerFront, Reason, Shares,
 };
@@ -428,20 +428,27 @@
     let fronts = [start("d1"), start("d2")];
     let refused = call(fronts[0].addr, "plan", "x", "early");
     assert_eq!(refused.outcome(), "not-run", "nothing was granted yet: {refused:?}");
-    let mut givers = Givers::new();
-    let keeping = KeeperSettings {
+    let mut givers = SlotAllocators::new();
+    let keeping = AllocatorSettings {
         slots: 8,
         ttl: Duration::from_secs(1),
-        longest_run: Duration::from_millis(100),
+        max_run_time: Duration::from_millis(100),
     };
     let mut token = 1;
-    let round = |givers: &mut Givers, token: u64| {
+    let round = |givers: &mut SlotAllocators, token: u64| {
         let now = SystemClock.now();
-        givers.hold(&"vm-1".into(), Token(token), now + keeping.ttl, keeping, Before::Unknown, now);
+        givers.hold(
+            &"vm-1".into(),
+            Token(token),
+            now + keeping.ttl,
+            keeping,
+            PriorGrants::Unknown,
+            now,
+        );
         for front in &fronts {
             let sent = SystemClock.now();
-            for ask in front.with(|dispatcher| dispatcher.share_asks()) {
-                let Some(grant) = givers.ask(&ask, SystemClock.now()) else { continue };
+            for ask in front.with(|dispatcher| dispatcher.share_requests()) {
+                let Some(grant) = givers.allocate(&ask, SystemClock.now()) else { continue };
                 front.with(move |dispatcher| dispatcher.share_granted(&grant, sent));
             }
         }
