--- a/src/request/deliver.rs
+++ b/src/request/deliver.rs
@@ -169,7 +169,7 @@
     fn retry_cost(&self, why: NotRun, endpoint: &Endpoint) -> Cost {
         match why {
             NotRun::Leaving | NotRun::Unreachable => {
-                endpoint.health.borrow_mut().leaves(self.fleet.now());
+                endpoint.health.borrow_mut().mark_leaving(self.fleet.now());
                 Cost::Free
             }
             NotRun::Unproved | NotRun::Full => Cost::Budget,
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -136,12 +136,12 @@
         self.0.fleet.set_domain_daemons(home.map(|front| front.id.clone()).collect());
         let mut peers = self.0.peers.borrow_mut();
         let known = std::mem::take(&mut *peers);
-        let shunned = |front: &PeerFront| {
+        let skip_until = |front: &PeerFront| {
             let same = known.iter().find(|peer| peer.front == *front);
-            same.map_or(Duration::ZERO, |peer| peer.shunned_until)
+            same.map_or(Duration::ZERO, |peer| peer.skip_until)
         };
         peers.extend(
-            fronts.iter().map(|front| Peer { front: front.clone(), shunned_until: shunned(front) }),
+            fronts.iter().map(|front| Peer { front: front.clone(), skip_until: skip_until(front) }),
         );
     }
 
--- a/src/request/health.rs
+++ b/src/request/health.rs
@@ -1,8 +1,9 @@
-//! Whether an endpoint gets requests, judged from what became of earlier ones.
+//! Passive health checks: decides from the results of requests whether an endpoint gets more.
 //!
-//! An endpoint that fails is ejected for a time that doubles with each ejection, and returns
-//! slowly once a probe succeeds. At most half of a service's endpoints in a domain are ejected:
-//! when more fail, the fault is likely not theirs, and the rest could not carry the load.
+//! A failing endpoint is ejected for a time that doubles with each ejection, and its share of
+//! requests is raised gradually once a probe succeeds. At most half of a service's endpoints in a
+//! domain are ejected: if more of them fail, the cause is likely elsewhere, and the rest could not
+//! carry the load.
 
 pub mod life;
 
@@ -10,51 +11,51 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Failures in a row that eject.
-const IN_A_ROW: u32 = 5;
+/// Consecutive failures that eject an endpoint.
+const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 
-/// Share of failures that ejects, over about the last [`WINDOW`] answers.
-const FAILED_SHARE: f64 = 0.5;
+/// Failure rate that ejects an endpoint, over about the last [`WINDOW`] answers.
+const MAX_FAILED_SHARE: f64 = 0.5;
 
-/// Answers that the share of failures looks back on.
+/// Number of answers that the failure rate is averaged over.
 const WINDOW: f64 = 20.0;
 
-/// Answers needed before the share of failures says anything.
-const ENOUGH: u32 = 10;
+/// Number of answers before the failure rate is used.
+const MIN_ANSWERS: u32 = 10;
 
-/// First time out.
-const FIRST_OUT: Duration = Duration::from_secs(1);
+/// Duration of the first ejection.
+const FIRST_EJECTION: Duration = Duration::from_secs(1);
 
-/// Longest time out.
-const LONGEST_OUT: Duration = Duration::from_secs(30);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// Time from the first request after an ejection to a full share.
-const RETURN_TIME: Duration = Duration::from_secs(10);
+/// Time after an ejection in which the usable slots rise to the full number.
+const RAMP_UP_TIME: Duration = Duration::from_secs(10);
 
-/// Time without a failure after which earlier ejections are forgotten.
-const FORGIVEN: Duration = Duration::from_secs(120);
+/// Time without an ejection after which earlier ones no longer lengthen the next.
+const EJECTION_MEMORY: Duration = Duration::from_secs(120);
 
-/// Most endpoints out at once, of those of one service in a domain.
-pub const MOST_EJECTED: f64 = 0.5;
+/// Maximum fraction of the endpoints of a service in a domain that may be ejected at once.
+pub const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Where an endpoint is in its life.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
     Open,
-    /// Gets nothing until `until`, and then a probe.
+    /// Gets no requests; probed from `until` on.
     Ejected {
         until: Duration,
     },
-    /// Gets a growing share since `since`.
+    /// Gets a growing number of requests since `since`.
     Returning {
         since: Duration,
     },
-    /// Refuses connections or says that it leaves; gets nothing until `until`, and then a probe.
+    /// Refuses connections or reports that it is leaving; gets no requests; probed from `until` on.
     Leaving {
         until: Duration,
     },
-    /// Is no longer listed.
+    /// No longer listed by the platform.
     Gone,
 }
 
@@ -62,9 +63,9 @@
 #[derive(Clone, Debug)]
 pub struct Health {
     state: State,
-    /// When the state began, or when a probe is due in one that gets nothing.
+    /// Start of the state, or the time of the next probe if the endpoint gets no requests.
     at: Duration,
-    in_a_row: u32,
+    consecutive_failures: u32,
     answers: u32,
     failed_share: f64,
     ejections: u32,
@@ -76,7 +77,7 @@
         Self {
             state: State::Open,
             at: Duration::ZERO,
-            in_a_row: 0,
+            consecutive_failures: 0,
             answers: 0,
             failed_share: 0.0,
             ejections: 0,
@@ -86,12 +87,12 @@
 }
 
 impl Health {
-    /// An endpoint that nothing is known against.
+    /// Creates the health of an endpoint without failures.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Where it is now.
+    /// The current state.
     pub fn standing(&self) -> Standing {
         match self.state {
             State::Open => Standing::Open,
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Share of recent answers that were failures.
+    /// Fraction of recent answers that were failures.
     pub fn failed_share(&self) -> f64 {
         self.failed_share
     }
 
-    /// Whether it counts as out of service.
+    /// Whether the endpoint gets no requests.
     pub fn is_out(&self) -> bool {
         matches!(self.state, State::Ejected | State::Leaving | State::Gone)
     }
@@ -117,58 +118,58 @@
         matches!(self.state, State::Ejected | State::Leaving) && now >= self.at
     }
 
-    /// The slots that may be used, of those that are its own.
+    /// Of `slots` slots, the number that may be used.
     pub fn usable(&self, slots: u32, now: Duration) -> u32 {
         match self.state {
             State::Open => slots,
             State::Ejected | State::Leaving | State::Gone => 0,
             State::Returning => {
-                let share = now.saturating_sub(self.at).as_secs_f64() / RETURN_TIME.as_secs_f64();
+                let share = now.saturating_sub(self.at).as_secs_f64() / RAMP_UP_TIME.as_secs_f64();
                 let ramped = (f64::from(slots) * share.clamp(0.0, 1.0)).floor();
                 (ramped as u32).clamp(slots.min(1), slots)
             }
         }
     }
 
-    /// It answered as it should.
+    /// Records a successful answer.
     pub fn succeeded(&mut self, now: Duration) {
-        self.in_a_row = 0;
-        self.note(0.0);
-        if now.saturating_sub(self.at) >= RETURN_TIME {
+        self.consecutive_failures = 0;
+        self.record_answer(0.0);
+        if now.saturating_sub(self.at) >= RAMP_UP_TIME {
             self.state = life::step(self.state, Event::Returned);
         }
-        if self.ejections > 0 && now.saturating_sub(self.last_ejected) >= FORGIVEN {
+        if self.ejections > 0 && now.saturating_sub(self.last_ejected) >= EJECTION_MEMORY {
             self.ejections = 0;
         }
     }
 
-    /// It answered with an error or lost a connection. `may_eject` tells whether few enough
-    /// others are out.
+    /// Records an error answer or a lost connection. `may_eject` is false if too many other
+    /// endpoints are ejected.
     pub fn failed(&mut self, now: Duration, may_eject: bool) {
-        self.in_a_row += 1;
-        self.note(1.0);
-        let bad = self.in_a_row >= IN_A_ROW
-            || (self.answers >= ENOUGH && self.failed_share >= FAILED_SHARE)
+        self.consecutive_failures += 1;
+        self.record_answer(1.0);
+        let unhealthy = self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+            || (self.answers >= MIN_ANSWERS && self.failed_share >= MAX_FAILED_SHARE)
             || self.state == State::Returning;
-        if bad && may_eject && !self.is_out() {
+        if unhealthy && may_eject && !self.is_out() {
             self.state = life::step(self.state, Event::Failing);
             self.count_ejection(now);
         }
     }
 
-    /// It refused a connection or said that it leaves. This needs no other evidence: whatever was
-    /// sent there would come back as not run.
-    pub fn leaves(&mut self, now: Duration) {
+    /// Records that the endpoint refused a connection or reported that it is leaving. A single
+    /// report suffices, since any further request would be returned as not run.
+    pub fn mark_leaving(&mut self, now: Duration) {
         self.state = life::step(self.state, Event::Leaves);
-        self.at = now + FIRST_OUT;
+        self.at = now + FIRST_EJECTION;
     }
 
-    /// It is no longer on the platform's list.
+    /// Records that the platform no longer lists the endpoint.
     pub fn delisted(&mut self) {
         self.state = life::step(self.state, Event::Delisted);
     }
 
-    /// A probe came back.
+    /// Records the result of a probe.
     pub fn probed(&mut self, ok: bool, now: Duration) {
         if !self.is_out() {
             return;
@@ -176,34 +177,34 @@
         self.state = life::step(self.state, if ok { Event::ProbeGood } else { Event::ProbeBad });
         match self.state {
             State::Ejected => self.count_ejection(now),
-            State::Leaving => self.at = now + FIRST_OUT,
-            State::Open | State::Returning | State::Gone => self.begin(now),
+            State::Leaving => self.at = now + FIRST_EJECTION,
+            State::Open | State::Returning | State::Gone => self.reset(now),
         }
     }
 
-    /// Forgets the evidence against it.
-    fn begin(&mut self, now: Duration) {
+    /// Starts a state with the failure counters reset.
+    fn reset(&mut self, now: Duration) {
         self.at = now;
-        self.in_a_row = 0;
+        self.consecutive_failures = 0;
         self.answers = 0;
         self.failed_share = 0.0;
     }
 
     fn count_ejection(&mut self, now: Duration) {
-        let doubled = FIRST_OUT.saturating_mul(1 << self.ejections.min(10));
+        let doubled = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(10));
         self.ejections += 1;
         self.last_ejected = now;
-        self.at = now + doubled.min(LONGEST_OUT);
+        self.at = now + doubled.min(MAX_EJECTION);
     }
 
-    fn note(&mut self, failure: f64) {
+    fn record_answer(&mut self, failure: f64) {
         self.answers = self.answers.saturating_add(1);
         let weight = f64::max(1.0 / WINDOW, 1.0 / f64::from(self.answers));
         self.failed_share += (failure - self.failed_share) * weight;
     }
 }
 
-/// Whether one more of `total` endpoints may be ejected when `out` are out already.
-pub fn may_eject(out: usize, total: usize) -> bool {
-    (out + 1) as f64 <= total as f64 * MOST_EJECTED
+/// Whether one more of `total` endpoints may be ejected if `ejected` are ejected already.
+pub fn may_eject(ejected: usize, total: usize) -> bool {
+    (ejected + 1) as f64 <= total as f64 * MAX_EJECTED_SHARE
 }
--- a/src/request/health/life.rs
+++ b/src/request/health/life.rs
@@ -1,9 +1,9 @@
-//! The standing of an endpoint, as `charts/endpoint.toml` has it.
+//! The state machine of an endpoint's health, as defined in `charts/endpoint.toml`.
 
 use crate::chart::{Chart, Label, Machine, Result};
 use std::sync::LazyLock;
 
-/// Where an endpoint stands.
+/// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Open,
@@ -13,18 +13,18 @@
     Gone,
 }
 
-/// What moves it.
+/// Event that changes the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// There is evidence enough against it.
+    /// Enough requests failed to eject the endpoint.
     Failing,
-    /// It refuses connections or says that it leaves.
+    /// The endpoint refuses connections or reports that it is leaving.
     Leaves,
     ProbeGood,
     ProbeBad,
-    /// The slow return is over.
+    /// The gradual return to the full number of slots is complete.
     Returned,
-    /// It is no longer on the platform's list.
+    /// The platform no longer lists the endpoint.
     Delisted,
 }
 
@@ -51,12 +51,12 @@
 
 static LIFE: LazyLock<Result<Machine<State, Event>>> = LazyLock::new(load);
 
-/// Loads the chart, which is part of the program.
+/// Loads the chart that is compiled into the program.
 pub fn load() -> Result<Machine<State, Event>> {
     Machine::new(&Chart::parse(include_str!("../../../charts/endpoint.toml"))?)
 }
 
-/// The state after an event; the same where the chart has none for it.
+/// Returns the state after an event, or the same state if the chart has no such transition.
 pub fn step(state: State, event: Event) -> State {
     let next = LIFE.as_ref().ok().and_then(|life| life.next(state, event).ok());
     next.unwrap_or(state)
--- a/src/request/hop.rs
+++ b/src/request/hop.rs
@@ -1,7 +1,7 @@
-//! Forwarding to another domain's daemon when there is no room at home.
+//! Forwards requests to a daemon of another domain when no local endpoint has a free slot.
 //!
-//! A forwarded request is never forwarded again, so that there are no loops. Another domain is
-//! asked only if no endpoint at home got the request and there is time left for it there.
+//! A forwarded request is never forwarded again, which prevents loops. Forwarding is tried only if
+//! no local endpoint received the request and enough time is left to run it elsewhere.
 
 use crate::ids::{DaemonId, DomainId};
 use crate::request::admission::Rejection;
@@ -19,10 +19,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time that a daemon that could not be reached is not asked again.
-const SHUNNED: Duration = Duration::from_secs(5);
+/// Time for which a daemon that could not be reached is not used for forwarding.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Another daemon that takes callers' requests.
+/// The HTTP front end of another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerFront {
     pub id: DaemonId,
@@ -35,11 +35,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub front: PeerFront,
-    pub shunned_until: Duration,
+    pub skip_until: Duration,
 }
 
 impl Inner {
-    /// Forwards a request that found no slot here, if that may help.
+    /// Forwards a request that got no local slot, or returns none if forwarding is not possible.
     pub(super) async fn forward(
         self: &Rc<Self>,
         arrival: &Arrival,
@@ -60,13 +60,14 @@
         }
         let peer = self.next_peer(now)?;
         let left = arrival.left(now);
-        let sent = actix_web::rt::time::timeout(left, self.over_hop(arrival, body, &peer)).await;
+        let sent =
+            actix_web::rt::time::timeout(left, self.send_to_peer(arrival, body, &peer)).await;
         let result = sent.unwrap_or(Err(Refusal::unknown(Reason::DeadlinePassed)));
-        self.note_hop(arrival, &peer, now, &result);
+        self.record_forward(arrival, &peer, now, &result);
         match result {
-            // Nothing left this daemon; the refusal at home says more.
-            Err(refusal) if refusal == NOT_REACHED => {
-                self.shun(&peer, now);
+            // Nothing was sent; the local refusal is more informative.
+            Err(refusal) if refusal == NOT_SENT => {
+                self.skip_peer(&peer, now);
                 None
             }
             result => Some(result),
@@ -75,40 +76,40 @@
 
     fn next_peer(&self, now: Duration) -> Option<PeerFront> {
         let mut peers = self.peers.borrow_mut();
-        let open =
-            |peer: &Peer| peer.front.domain != self.settings.domain && peer.shunned_until <= now;
-        let at = peers.iter().position(open)?;
-        // The next request starts with the next daemon.
+        let available =
+            |peer: &Peer| peer.front.domain != self.settings.domain && peer.skip_until <= now;
+        let at = peers.iter().position(available)?;
+        // Round robin: the chosen daemon moves to the end of the list.
         let peer = peers.remove(at);
         let front = peer.front.clone();
         peers.push(peer);
         Some(front)
     }
 
-    fn shun(&self, front: &PeerFront, now: Duration) {
+    fn skip_peer(&self, front: &PeerFront, now: Duration) {
         let mut peers = self.peers.borrow_mut();
         for peer in peers.iter_mut().filter(|peer| peer.front == *front) {
-            peer.shunned_until = now + SHUNNED;
+            peer.skip_until = now + UNREACHABLE_BACKOFF;
         }
     }
 
-    async fn over_hop(
+    async fn send_to_peer(
         &self,
         arrival: &Arrival,
         body: &Bytes,
         peer: &PeerFront,
     ) -> Result<Answer, Refusal> {
-        let addr = peer.addr.parse().map_err(|_| NOT_REACHED)?;
+        let addr = peer.addr.parse().map_err(|_| NOT_SENT)?;
         let mut conn = Conn::new(addr, self.settings.limits.connect_time, self.fleet.now());
-        let resp = match conn.send(self.hop_request(arrival, body)).await {
+        let resp = match conn.send(self.forwarded_request(arrival, body)).await {
             Ok(resp) => resp,
-            Err(SendError::NotSent) => return Err(NOT_REACHED),
+            Err(SendError::NotSent) => return Err(NOT_SENT),
             Err(SendError::Lost) => return Err(Refusal::unknown(Reason::PeerFailed)),
         };
-        self.hop_answer(arrival, resp, conn)
+        self.read_forwarded_answer(arrival, resp, conn)
     }
 
-    fn hop_request(&self, arrival: &Arrival, body: &Bytes) -> Outgoing {
+    fn forwarded_request(&self, arrival: &Arrival, body: &Bytes) -> Outgoing {
         let millis = arrival.left(self.fleet.now()).as_millis().to_string();
         let team = arrival.team.as_ref().map(|team| (headers::TEAM, team.as_str()));
         let added = [
@@ -132,19 +133,19 @@
         }
     }
 
-    fn hop_answer(
+    fn read_forwarded_answer(
         &self,
         arrival: &Arrival,
         resp: ClientResponse,
         conn: Conn,
     ) -> Result<Answer, Refusal> {
         let word = |name| resp.headers().get(name).and_then(|v: &HeaderValue| v.to_str().ok());
-        let own = word(headers::REQUEST_ID) == Some(arrival.id.as_str());
+        let id_matches = word(headers::REQUEST_ID) == Some(arrival.id.as_str());
         let outcome = word(headers::OUTCOME).and_then(Outcome::read);
         let reason = word(headers::REASON).and_then(Reason::read).unwrap_or(Reason::PeerFailed);
         let retry_after = word(header::RETRY_AFTER).and_then(|v| v.parse().ok());
         let failed = Refusal::unknown(Reason::PeerFailed);
-        let (true, Some(outcome)) = (own, outcome) else { return Err(failed) };
+        let (true, Some(outcome)) = (id_matches, outcome) else { return Err(failed) };
         if outcome != Outcome::Ran {
             let retry_after = retry_after.map(Duration::from_secs);
             return Err(Refusal { outcome, reason, retry_after });
@@ -161,7 +162,7 @@
         Ok(Answer { status, headers, body: AnswerBody::Stream(Box::new(stream)) })
     }
 
-    fn note_hop(
+    fn record_forward(
         &self,
         arrival: &Arrival,
         peer: &PeerFront,
@@ -178,6 +179,6 @@
     }
 }
 
-/// The other daemon was not reached.
-const NOT_REACHED: Refusal =
+/// Result if no byte of the request was sent to the other daemon.
+const NOT_SENT: Refusal =
     Refusal { outcome: Outcome::NotRun, reason: Reason::PeerFailed, retry_after: None };
--- a/src/request/tests/health.rs
+++ b/src/request/tests/health.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn mostly_failures_eject_even_if_none_are_in_a_row() {
+fn a_high_failure_rate_ejects_without_five_consecutive_failures() {
     let mut health = Health::new();
     for _ in 0..20 {
         (0..3).for_each(|_| health.failed(SECOND, true));
@@ -29,17 +29,17 @@
 }
 
 #[test]
-fn nobody_is_ejected_beyond_the_cap() {
+fn no_endpoint_is_ejected_beyond_the_limit() {
     let mut health = Health::new();
     (0..100).for_each(|_| health.failed(SECOND, false));
     assert_eq!(health.standing(), Standing::Open);
-    let allowed: Vec<bool> = (0..4).map(|out| may_eject(out, 4)).collect();
+    let allowed: Vec<bool> = (0..4).map(|ejected| may_eject(ejected, 4)).collect();
     assert_eq!(allowed, [true, true, false, false]);
     assert!(!may_eject(0, 1), "the only endpoint is never ejected");
 }
 
 #[test]
-fn an_ejected_endpoint_returns_after_a_probe_and_slowly() {
+fn an_ejected_endpoint_returns_gradually_after_a_probe() {
     let mut health = Health::new();
     eject(&mut health, SECOND);
     assert!(!health.wants_probe(SECOND));
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn one_word_of_leaving_is_enough_and_only_a_probe_takes_it_back() {
+fn a_single_report_of_leaving_stops_requests_until_a_probe_succeeds() {
     let mut health = Health::new();
-    health.leaves(SECOND);
+    health.mark_leaving(SECOND);
     assert_eq!(health.usable(8, SECOND), 0);
     health.succeeded(SECOND);
     assert_eq!(health.usable(8, SECOND * 100), 0);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_delisted_endpoint_gets_nothing_and_no_probe_brings_it_back() {
+fn a_delisted_endpoint_gets_no_requests_even_after_a_probe() {
     let mut health = Health::new();
     health.delisted();
     health.probed(true, SECOND);
