--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to its answer.
+//! Handles the requests of callers from arrival to answer.
 
 use crate::clock::Clock;
 use crate::ids::RequestId;
@@ -26,21 +26,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which a caller should come back to a daemon that takes nothing now.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// `retry-after` sent to the caller while the daemon accepts no requests.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between looks at who waited too long and which probes are due.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which queued requests are checked for expiry and due probes are started.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Takes callers' requests and brings back their answers; lives on one thread.
+/// Handles the requests of callers. A dispatcher is bound to one thread.
 ///
-/// The server that it is mounted in must not allow half-closed connections
-/// (`HttpServer::h1_allow_half_closed(false)`): only then does a caller that goes away end its
-/// request, rather than have it run for nobody.
+/// The server must not allow half-closed connections (`HttpServer::h1_allow_half_closed(false)`).
+/// Otherwise the request of a caller that disconnects is not cancelled.
 #[derive(Clone)]
 pub struct Dispatcher(Rc<Inner>);
 
-/// The dispatcher's state.
+/// Shared state of a dispatcher.
 pub(super) struct Inner {
     pub settings: DispatcherSettings,
     pub fleet: Rc<Fleet>,
@@ -64,7 +63,7 @@
 }
 
 impl InFlight {
-    /// Notes that an answer that was passed on in part was cut.
+    /// Records that an answer was truncated after part of it had been sent.
     pub fn record_truncation(&self, id: &RequestId, truncated: Truncated) {
         let now = self.0.fleet.now();
         self.0.journal.borrow_mut().close(id, Outcome::Ran, truncated.0, now);
@@ -78,8 +77,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that has neither configuration nor endpoints yet, and no other daemon to
-    /// share with.
+    /// Creates a dispatcher without configuration, endpoints or other daemons.
     pub fn new(settings: DispatcherSettings, clock: Arc<dyn Clock>) -> Self {
         let journal = Journal::new(settings.limits.explained);
         let fleet = Rc::new(Fleet::new(settings.clone(), clock));
@@ -96,56 +94,56 @@
         }))
     }
 
-    /// This dispatcher, with its slots found in another way.
+    /// Returns this dispatcher with another way to determine its slots.
     pub fn with_shares(self, shares: Shares) -> Self {
         self.set_shares(shares);
         self
     }
 
-    /// Changes how this daemon's slots are found.
+    /// Changes how this daemon's slots are determined.
     pub fn set_shares(&self, shares: Shares) {
         self.0.fleet.set_shares(shares);
     }
 
-    /// The asks to send to the holders of the endpoints' control leases, about twice a second.
-    /// Has a meaning with [`Shares::Granted`] only.
+    /// The requests for slots to send to the holders of the endpoints' control leases, about twice
+    /// a second. Used only with [`Shares::Granted`].
     pub fn share_requests(&self) -> Vec<ShareRequest> {
         self.0.fleet.share_requests()
     }
 
-    /// Takes the answer to an ask that was sent at `sent`, on this dispatcher's clock.
+    /// Applies the reply to a request for slots sent at `sent`, on this dispatcher's clock.
     pub fn share_granted(&self, grant: &ShareGrant, sent: Duration) {
         self.0.fleet.share_granted(grant, sent);
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&self, cfg: Arc<Config>) {
         self.0.fleet.configure(cfg);
     }
 
-    /// Takes the platform's list of endpoints. Those that are no longer on it, or are leaving,
-    /// finish what they have and get nothing new.
+    /// Replaces the list of endpoints. Those that are leaving or no longer listed finish their
+    /// requests and get no new ones.
     pub fn endpoints(&self, listed: &[EndpointInfo]) {
         self.0.fleet.set_endpoints(listed);
     }
 
-    /// Takes the other daemons: those of this domain share its endpoints' slots, and those of
-    /// others may be forwarded to.
+    /// Replaces the list of other daemons. Those of this domain share its endpoints' slots;
+    /// requests may be forwarded to those of other domains.
     pub fn peers(&self, fronts: &[PeerFront]) {
         let home = fronts.iter().filter(|front| front.domain == self.0.settings.domain);
         self.0.fleet.set_domain_daemons(home.map(|front| front.id.clone()).collect());
         let mut peers = self.0.peers.borrow_mut();
-        let known = std::mem::take(&mut *peers);
+        let previous = std::mem::take(&mut *peers);
         let skip_until = |front: &PeerFront| {
-            let same = known.iter().find(|peer| peer.front == *front);
-            same.map_or(Duration::ZERO, |peer| peer.skip_until)
+            let unchanged = previous.iter().find(|peer| peer.front == *front);
+            unchanged.map_or(Duration::ZERO, |peer| peer.skip_until)
         };
         peers.extend(
             fronts.iter().map(|front| Peer { front: front.clone(), skip_until: skip_until(front) }),
         );
     }
 
-    /// Mounts the callers' routes, and starts this dispatcher's timer on the same thread.
+    /// Registers the routes for callers, and starts the periodic task on the same thread.
     pub fn configure_app(&self, app: &mut web::ServiceConfig) {
         actix_web::rt::spawn(tick(Rc::downgrade(&self.0)));
         let dispatcher = self.clone();
@@ -157,25 +155,25 @@
         app.route("/v1/requests/{class}", web::route().to(serve));
     }
 
-    /// Refuses new requests and those that still wait as not run; those sent are finished.
+    /// Refuses new and queued requests as not run; requests already sent are completed.
     pub fn drain(&self) {
         self.0.draining.set(true);
-        let rejection = Rejection { reason: Reason::Draining, retry_after: COME_BACK };
+        let rejection = Rejection { reason: Reason::Draining, retry_after: RETRY_AFTER };
         self.0.fleet.reject_queued(rejection);
     }
 
-    /// Requests between arrival and the end of their answer. When draining, zero means that the
-    /// daemon may stop without cutting anything.
+    /// Requests between arrival and the end of their answer. When this is zero while draining, the
+    /// daemon can stop without interrupting a request.
     pub fn in_flight(&self) -> usize {
         self.0.in_flight.get()
     }
 
-    /// What became of a recent request.
+    /// Explains how a recent request was handled.
     pub fn explain(&self, id: &RequestId) -> Explained {
         self.0.journal.borrow().explain(id)
     }
 
-    /// What the request path is doing.
+    /// Status of the request path.
     pub fn status(&self) -> RequestStatus {
         let inner = &self.0;
         RequestStatus {
@@ -188,7 +186,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn serve(&self, req: HttpRequest, payload: Payload) -> HttpResponse {
         let inner = &self.0;
         let in_flight = InFlight::new(inner);
@@ -197,18 +195,18 @@
             Err(refusal) => return inner.refuse(&arrival::new_id(), refusal),
         };
         let result = inner.run(&req, payload, &id).await;
-        inner.note_end(&id, &result);
+        inner.record_end(&id, &result);
         match result {
-            Ok(answer) => inner.pass_on(answer, &id, in_flight),
+            Ok(answer) => inner.respond(answer, &id, in_flight),
             Err(refusal) => inner.refuse(&id, refusal),
         }
     }
 }
 
-/// Looks after the fleet until the dispatcher is gone.
+/// Runs the periodic work of the fleet until the dispatcher is dropped.
 async fn tick(inner: Weak<Inner>) {
     loop {
-        actix_web::rt::time::sleep(TICK).await;
+        actix_web::rt::time::sleep(TICK_INTERVAL).await;
         match inner.upgrade() {
             Some(inner) => inner.fleet.tick(),
             None => return,
@@ -224,26 +222,26 @@
         id: &RequestId,
     ) -> Result<Answer, Refusal> {
         if self.draining.get() {
-            return Err(Refusal::not_run(Reason::Draining).with_retry_after(COME_BACK));
+            return Err(Refusal::not_run(Reason::Draining).with_retry_after(RETRY_AFTER));
         }
         let cfg = self.fleet.cfg();
-        let cfg = cfg.ok_or(Refusal::not_run(Reason::NoConfig).with_retry_after(COME_BACK))?;
+        let cfg = cfg.ok_or(Refusal::not_run(Reason::NoConfig).with_retry_after(RETRY_AFTER))?;
         let now = self.fleet.now();
         let arrival = Arrival::read(req, id.clone(), &cfg, now)?;
         self.journal.borrow_mut().open(id, &arrival.class, now);
         let body = body::read_whole(payload, &self.held, &self.settings.limits).await?;
         if self.draining.get() {
-            return Err(Refusal::not_run(Reason::Draining).with_retry_after(COME_BACK));
+            return Err(Refusal::not_run(Reason::Draining).with_retry_after(RETRY_AFTER));
         }
         match arrival.idempotency {
             Idempotency::Idempotent => self.deliver(&arrival, &body.bytes).await,
-            // A caller that goes away must not cut a run that can't be repeated.
+            // A run that can't be repeated must not be cancelled when the caller disconnects.
             Idempotency::NonIdempotent => {
                 let in_flight = InFlight::new(self);
                 let run = actix_web::rt::spawn(async move {
                     let inner = &in_flight.0;
                     let result = inner.deliver(&arrival, &body.bytes).await;
-                    inner.note_end(&arrival.id, &result);
+                    inner.record_end(&arrival.id, &result);
                     result
                 });
                 run.await.unwrap_or(Err(Refusal::unknown(Reason::ConnectionLost)))
@@ -256,7 +254,7 @@
         refusal.answer(id)
     }
 
-    fn note_end(&self, id: &RequestId, result: &Result<Answer, Refusal>) {
+    fn record_end(&self, id: &RequestId, result: &Result<Answer, Refusal>) {
         let (outcome, reason) = match result {
             Ok(_) => (Outcome::Ran, Reason::Answered),
             Err(refusal) => (refusal.outcome, refusal.reason),
@@ -264,12 +262,12 @@
         self.journal.borrow_mut().close(id, outcome, reason, self.fleet.now());
     }
 
-    fn pass_on(&self, answer: Answer, id: &RequestId, in_flight: InFlight) -> HttpResponse {
+    fn respond(&self, answer: Answer, id: &RequestId, in_flight: InFlight) -> HttpResponse {
         let mut resp = HttpResponseBuilder::new(answer.status);
         for header in answer.headers {
             resp.append_header(header);
         }
-        outcome::mark(&mut resp, id, Outcome::Ran, Reason::Answered);
+        outcome::add_outcome_headers(&mut resp, id, Outcome::Ran, Reason::Answered);
         match answer.body {
             AnswerBody::Whole(bytes) => resp.body(bytes),
             AnswerBody::Stream(stream) => {
--- a/src/request/journal.rs
+++ b/src/request/journal.rs
@@ -1,4 +1,4 @@
-//! What was done with recent requests, for `explain`; bounded.
+//! A bounded record of recent requests, used by `explain`.
 
 use crate::ids::{ClassName, RequestId, VmId};
 use crate::request::outcome::{Outcome, Reason};
@@ -7,28 +7,28 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Tries kept of one request.
-const TRIES_KEPT: usize = 8;
+/// Maximum number of attempts recorded per request.
+const MAX_ATTEMPTS_KEPT: usize = 8;
 
-/// The way of one request.
+/// How a request was handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RequestExplanation {
     pub id: RequestId,
     pub class: ClassName,
-    /// On this daemon's clock.
+    /// Time on this daemon's clock.
     pub arrived: Duration,
-    /// Time spent waiting for a slot.
+    /// Total time spent waiting for a slot.
     pub queued: Duration,
     pub route: String,
     pub tries: Vec<Try>,
-    /// Tries beyond those kept.
+    /// Number of attempts beyond those recorded.
     pub tries_dropped: u32,
-    /// Absent while the request is under way.
+    /// Absent while the request is in progress.
     pub end: Option<End>,
 }
 
-/// One try at an endpoint or a peer.
+/// An attempt on an endpoint or a peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Try {
@@ -47,39 +47,39 @@
     pub reason: Reason,
 }
 
-/// What is known of a request.
+/// Answer to a query for a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Explained {
     Known(Box<RequestExplanation>),
-    /// Nothing is known here. Requests that arrived up to `until` are forgotten; if it is absent
-    /// none are, and the request never came here.
+    /// There is no record of the request. Records of requests that arrived up to `until` may have
+    /// been dropped; if it is absent, none were, and the request never arrived at this daemon.
     Forgotten {
         until: Option<Duration>,
     },
 }
 
-/// Recent requests, oldest forgotten first.
+/// Records of recent requests; the oldest are dropped first.
 #[derive(Debug)]
 pub(super) struct Journal {
-    kept: usize,
+    capacity: usize,
     order: VecDeque<RequestId>,
     entries: IndexMap<RequestId, RequestExplanation>,
     forgotten_until: Option<Duration>,
 }
 
 impl Journal {
-    /// A journal of `kept` requests.
-    pub fn new(kept: usize) -> Self {
+    /// Creates a journal that keeps the records of `capacity` requests.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            kept: kept.max(1),
+            capacity: capacity.max(1),
             order: VecDeque::new(),
             entries: IndexMap::new(),
             forgotten_until: None,
         }
     }
 
-    /// Opens a request's entry. A repeated id starts anew.
+    /// Adds a record for a request. A repeated id replaces the earlier record.
     pub fn open(&mut self, id: &RequestId, class: &ClassName, now: Duration) {
         let entry = RequestExplanation {
             id: id.clone(),
@@ -94,12 +94,12 @@
         if self.entries.insert(id.clone(), entry).is_none() {
             self.order.push_back(id.clone());
         }
-        while self.order.len() > self.kept {
-            self.forget_oldest();
+        while self.order.len() > self.capacity {
+            self.drop_oldest();
         }
     }
 
-    /// Notes the time spent waiting and where the request goes.
+    /// Records time spent waiting for a slot and the endpoint chosen.
     pub fn route(&mut self, id: &RequestId, queued: Duration, route: String) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.queued += queued;
@@ -107,24 +107,24 @@
         }
     }
 
-    /// Notes a try.
+    /// Records an attempt.
     pub fn tried(&mut self, id: &RequestId, tried: Try) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        if entry.tries.len() < TRIES_KEPT {
+        if entry.tries.len() < MAX_ATTEMPTS_KEPT {
             entry.tries.push(tried);
         } else {
             entry.tries_dropped += 1;
         }
     }
 
-    /// Notes the end.
+    /// Records the result of a request.
     pub fn close(&mut self, id: &RequestId, outcome: Outcome, reason: Reason, now: Duration) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.end = Some(End { at: now, outcome, reason });
         }
     }
 
-    /// What is known of a request.
+    /// Returns the record of a request.
     pub fn explain(&self, id: &RequestId) -> Explained {
         match self.entries.get(id) {
             Some(entry) => Explained::Known(Box::new(entry.clone())),
@@ -132,7 +132,7 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn drop_oldest(&mut self) {
         let Some(id) = self.order.pop_front() else { return };
         if let Some(entry) = self.entries.swap_remove(&id) {
             self.forgotten_until = self.forgotten_until.max(Some(entry.arrived));
--- a/src/request/outcome.rs
+++ b/src/request/outcome.rs
@@ -1,7 +1,8 @@
-//! What became of a request, as every answer says it.
+//! The outcome of a request, which every answer states.
 //!
-//! `not-run` is a promise: it is said only if no byte of the request left for an endpoint, or if
-//! the endpoint itself said that it did not run it. Whatever is in doubt is `unknown`.
+//! `not-run` is a guarantee: it is reported only if no byte of the request was sent to an endpoint,
+//! or if the endpoint itself reported that it did not run the request. In case of doubt, the
+//! outcome is `unknown`.
 
 use crate::ids::RequestId;
 use crate::request::headers;
@@ -12,19 +13,19 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// An endpoint answered it, be it with an error.
+    /// An endpoint answered the request, possibly with an error.
     Ran,
-    /// No endpoint ran it, and none will.
+    /// No endpoint ran the request, and none will.
     NotRun,
-    /// It may have run, or may still.
+    /// The request may have run, or may still run.
     Unknown,
 }
 
-/// Why a request ended as it did.
+/// Reason for the outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -53,17 +54,17 @@
     PeerFailed,
 }
 
-/// A final answer that no endpoint gave.
+/// A final answer that doesn't come from an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     pub outcome: Outcome,
     pub reason: Reason,
-    /// When the caller should come back, if that may help.
+    /// Time after which the caller should retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
 
 impl Outcome {
-    /// The word in the `waxwing-outcome` header.
+    /// The value of the `waxwing-outcome` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
@@ -74,9 +75,9 @@
 }
 
 impl Outcome {
-    /// The outcome that a header's word means.
-    pub fn read(word: &str) -> Option<Self> {
-        [Self::Ran, Self::NotRun, Self::Unknown].into_iter().find(|known| known.as_str() == word)
+    /// Parses the value of the header.
+    pub fn read(value: &str) -> Option<Self> {
+        [Self::Ran, Self::NotRun, Self::Unknown].into_iter().find(|known| known.as_str() == value)
     }
 }
 
@@ -108,12 +109,12 @@
         Self::PeerFailed,
     ];
 
-    /// The reason that a header's word means.
-    pub fn read(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|known| known.as_str() == word)
+    /// Parses the value of the header.
+    pub fn read(value: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|known| known.as_str() == value)
     }
 
-    /// The word in the `waxwing-reason` header.
+    /// The value of the `waxwing-reason` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -142,7 +143,7 @@
         }
     }
 
-    /// What the caller may do, in a sentence for people.
+    /// What the caller can do, as human-readable text.
     fn remedy(self) -> &'static str {
         match self {
             Self::Answered => "the endpoint's answer follows",
@@ -205,36 +206,36 @@
 }
 
 impl Refusal {
-    /// The request did not run and won't.
+    /// A refusal of a request that did not run.
     pub fn not_run(reason: Reason) -> Self {
         Self { outcome: Outcome::NotRun, reason, retry_after: None }
     }
 
-    /// The request may have run.
+    /// A refusal of a request that may have run.
     pub fn unknown(reason: Reason) -> Self {
         Self { outcome: Outcome::Unknown, reason, retry_after: None }
     }
 
-    /// This refusal, with the time after which to come back.
+    /// Sets the time after which to retry.
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// The answer to the caller.
+    /// Builds the HTTP response.
     pub fn answer(&self, id: &RequestId) -> HttpResponse {
         let mut resp = HttpResponseBuilder::new(self.reason.status());
-        mark(&mut resp, id, self.outcome, self.reason);
+        add_outcome_headers(&mut resp, id, self.outcome, self.reason);
         if let Some(after) = self.retry_after {
-            resp.insert_header((header::RETRY_AFTER, whole_seconds(after).to_string()));
+            resp.insert_header((header::RETRY_AFTER, round_up_to_seconds(after).to_string()));
         }
         resp.content_type("text/plain");
         resp.body(format!("{}: {}\n", self.reason, self.reason.remedy()))
     }
 }
 
-/// Puts the outcome's headers on an answer.
-pub(super) fn mark(
+/// Adds the headers that state the outcome.
+pub(super) fn add_outcome_headers(
     resp: &mut HttpResponseBuilder,
     id: &RequestId,
     outcome: Outcome,
@@ -245,6 +246,6 @@
     resp.insert_header((headers::REASON, reason.as_str()));
 }
 
-fn whole_seconds(after: Duration) -> u64 {
+fn round_up_to_seconds(after: Duration) -> u64 {
     after.as_secs() + u64::from(after.subsec_nanos() > 0)
 }
