--- a/src/request.rs
+++ b/src/request.rs
@@ -1,24 +1,24 @@
-//! Callers' requests: from arrival to the whole answer.
+//! The request path: routes the requests of callers to endpoints and returns the answers.
 //!
-//! A request arrives at `/v1/requests/{class}/{path}`, is read whole, waits for a slot of an
-//! endpoint of its class's service, and is sent there. Its answer goes back once it is known to be
-//! the answer to this request and, where it is short enough to be held, to be complete. Every
-//! answer says what became of the request; see [`outcome`].
+//! A request to `/v1/requests/{class}/{path}` is received completely, waits for a slot of an
+//! endpoint of its class's service, and is sent there. The answer is returned once it is verified
+//! to belong to the request and, if it is short enough to be buffered, to be complete. Every answer
+//! states the outcome of the request; see [`outcome`].
 //!
-//! # Protocol towards endpoints
+//! # Protocol with endpoints
 //!
-//! * HTTP/1.1 with `waxwing-request-id`, `waxwing-deadline-ms` (time left) and, where the caller
-//!   gave one, `waxwing-team`. The endpoint echoes `waxwing-request-id` in its answer; an answer
-//!   with another id is never passed on.
+//! * HTTP/1.1 with `waxwing-request-id`, `waxwing-deadline-ms` (time left) and, if the caller gave
+//!   one, `waxwing-team`. The endpoint echoes `waxwing-request-id` in its answer; an answer with
+//!   another id is never returned to the caller.
 //! * An answer has a `content-length`, or is chunked on a connection that stays open. An answer
-//!   that ends by closing the connection can't be told from one that was cut.
+//!   that ends by closing the connection is rejected, as it may have been truncated.
 //! * An endpoint that did not run the request, and won't, answers 503 with
 //!   `waxwing-not-run: leaving` or `waxwing-not-run: full`.
-//! * `GET /health` takes no slot and answers 200 while the endpoint takes requests, or 503 with
-//!   `waxwing-not-run: leaving`. Where the probe names a request in `waxwing-request-id`, the
-//!   endpoint may say in `waxwing-request-state` whether it is `running`, `answered` or `unseen`;
-//!   that tells a silent connection from a slow request.
-//! * One request at a time on a connection, at most as many at once as the service has slots.
+//! * `GET /health` takes no slot and returns 200 while the endpoint accepts requests, or 503 with
+//!   `waxwing-not-run: leaving`. If the probe names a request in `waxwing-request-id`, the endpoint
+//!   may report in `waxwing-request-state` whether it is `running`, `answered` or `unseen`, which
+//!   distinguishes a silent connection from a slow request.
+//! * One request at a time per connection, and at most as many at once as the service has slots.
 
 pub mod admission;
 mod answer;
--- a/src/request/arrival.rs
+++ b/src/request/arrival.rs
@@ -1,4 +1,4 @@
-//! A request as it arrives: its id, class, deadline and team.
+//! Parses the head of a request: id, class, deadline and team.
 
 use crate::ids::{ClassName, RequestId, ServiceName, TeamName};
 use crate::model::{Config, Idempotency, RequestClass};
@@ -10,10 +10,10 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Longest id or team name taken from a caller.
-const LONGEST_NAME: usize = 128;
+/// Maximum length of a request id or team name from a caller.
+const MAX_NAME_LENGTH: usize = 128;
 
-/// A request, except for its body.
+/// A request without its body.
 #[derive(Clone, Debug)]
 pub(super) struct Arrival {
     pub id: RequestId,
@@ -21,35 +21,35 @@
     pub service: ServiceName,
     pub idempotency: Idempotency,
     pub team: Option<TeamName>,
-    /// Whether another daemon forwarded it here.
+    /// Whether another daemon forwarded the request.
     pub forwarded: bool,
-    /// When the whole answer is due.
+    /// Deadline for the whole answer.
     pub due: Duration,
     pub method: Method,
-    /// Path and query towards the endpoint.
+    /// Path and query to send to the endpoint.
     pub path: String,
     pub headers: Vec<(HeaderName, HeaderValue)>,
 }
 
-/// The caller's id, or a new one.
+/// Returns the id given by the caller, or a new one.
 pub(super) fn request_id(req: &HttpRequest) -> Result<RequestId, Refusal> {
     match req.headers().get(headers::REQUEST_ID) {
         None => Ok(new_id()),
-        Some(value) => match name(value) {
+        Some(value) => match parse_name(value) {
             Some(text) => Ok(RequestId::new(text)),
             None => Err(Refusal::not_run(Reason::BadRequestId)),
         },
     }
 }
 
-/// An id that no other request has.
+/// Generates a random id.
 pub(super) fn new_id() -> RequestId {
     let number: u128 = rand::rng().random();
     RequestId::new(&format!("{number:032x}"))
 }
 
 impl Arrival {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     pub fn read(
         req: &HttpRequest,
         id: RequestId,
@@ -61,7 +61,7 @@
         let team = match req.headers().get(headers::TEAM) {
             None => None,
             Some(value) => {
-                Some(TeamName::new(name(value).ok_or(Refusal::not_run(Reason::BadTeam))?))
+                Some(TeamName::new(parse_name(value).ok_or(Refusal::not_run(Reason::BadTeam))?))
             }
         };
         Ok(Self {
@@ -74,11 +74,11 @@
             due: now + time_allowed(req.headers(), class)?,
             method: req.method().clone(),
             path: endpoint_path(req),
-            headers: headers::passed_on(req.headers()),
+            headers: headers::forwarded_headers(req.headers()),
         })
     }
 
-    /// Time left at `now`.
+    /// Time from `now` to the deadline.
     pub fn left(&self, now: Duration) -> Duration {
         self.due.saturating_sub(now)
     }
@@ -103,8 +103,8 @@
     }
 }
 
-fn name(value: &HeaderValue) -> Option<&str> {
+fn parse_name(value: &HeaderValue) -> Option<&str> {
     let text = value.to_str().ok()?;
-    let fits = (1..=LONGEST_NAME).contains(&text.len());
-    (fits && text.bytes().all(|byte| byte.is_ascii_graphic())).then_some(text)
+    let valid_length = (1..=MAX_NAME_LENGTH).contains(&text.len());
+    (valid_length && text.bytes().all(|byte| byte.is_ascii_graphic())).then_some(text)
 }
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -157,7 +157,7 @@
         at: Duration,
     ) -> AttemptResult {
         let status = resp.status();
-        let headers = headers::passed_on(resp.headers());
+        let headers = headers::forwarded_headers(resp.headers());
         let left = match Framing::of(&self.arrival.method, &resp) {
             Framing::Length(length) => Some(length),
             Framing::Chunked => None,
--- a/src/request/body.rs
+++ b/src/request/body.rs
@@ -1,5 +1,5 @@
-//! Bodies: a caller's is read whole before anything is sent, an endpoint's is passed on as it
-//! comes, and each is checked for being whole.
+//! Reads request bodies: the whole body is received from the caller before anything is sent to an
+//! endpoint.
 
 use crate::request::outcome::{Reason, Refusal};
 use crate::request::settings::Limits;
@@ -9,33 +9,33 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes of callers' bodies held by this daemon.
+/// Total size of the request bodies held by this daemon.
 #[derive(Debug, Default)]
 pub(super) struct HeldBytes(Cell<usize>);
 
 impl HeldBytes {
-    /// Bytes held now.
+    /// The number of bytes currently held.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-/// A caller's body; its bytes count as held until it is dropped.
+/// A request body; its bytes count as held until it is dropped.
 #[derive(Debug)]
 pub(super) struct HeldBody {
     pub bytes: Bytes,
     held: Rc<HeldBytes>,
-    counted: usize,
+    counted_bytes: usize,
 }
 
 impl Drop for HeldBody {
     fn drop(&mut self) {
-        self.held.0.set(self.held.0.get() - self.counted);
+        self.held.0.set(self.held.0.get() - self.counted_bytes);
     }
 }
 
-/// Reads a caller's body whole. It holds no slot meanwhile, so that a caller who sends a byte at a
-/// time takes nothing from others.
+/// Reads a whole request body. The request holds no slot during this time, so that slow senders
+/// don't take capacity from other callers.
 pub(super) async fn read_whole(
     payload: Payload,
     held: &Rc<HeldBytes>,
@@ -51,7 +51,7 @@
     held: &Rc<HeldBytes>,
     limits: &Limits,
 ) -> Result<HeldBody, Refusal> {
-    let mut body = HeldBody { bytes: Bytes::new(), held: Rc::clone(held), counted: 0 };
+    let mut body = HeldBody { bytes: Bytes::new(), held: Rc::clone(held), counted_bytes: 0 };
     let mut buf = BytesMut::new();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|_| Refusal::not_run(Reason::BodyBroken))?;
@@ -62,7 +62,7 @@
             return Err(Refusal::not_run(Reason::QueueFull));
         }
         held.0.set(held.0.get() + chunk.len());
-        body.counted += chunk.len();
+        body.counted_bytes += chunk.len();
         buf.extend_from_slice(&chunk);
     }
     body.bytes = buf.freeze();
--- a/src/request/hop.rs
+++ b/src/request/hop.rs
@@ -156,7 +156,7 @@
             Framing::UntilClose => return Err(failed),
         };
         let status = resp.status();
-        let headers = headers::passed_on(resp.headers());
+        let headers = headers::forwarded_headers(resp.headers());
         let stream =
             AnswerStream::new(&self.fleet, arrival, resp, None, conn, left, Duration::ZERO);
         Ok(Answer { status, headers, body: AnswerBody::Stream(Box::new(stream)) })
--- a/src/request/settings.rs
+++ b/src/request/settings.rs
@@ -1,4 +1,4 @@
-//! Limits and names of one daemon's request path.
+//! Settings of the request path of a daemon.
 
 use crate::ids::{DaemonId, DomainId};
 use serde::{Deserialize, Serialize};
@@ -13,21 +13,21 @@
     pub limits: Limits,
 }
 
-/// What callers may take up, and how long things may take.
+/// Resource limits and timeouts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Limits {
-    /// Bytes of one request's body.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of all bodies held at once.
+    /// Maximum total size of the request bodies held at once, in bytes.
     pub held_bytes: usize,
-    /// Time for a whole body to arrive.
+    /// Timeout for receiving a whole request body.
     pub body_time: Duration,
-    /// Longest answer held back until it is known to be whole, in bytes.
+    /// Longest answer that is buffered until it is complete, in bytes; longer ones are streamed.
     pub whole_answer_bytes: usize,
-    /// Time to connect to an endpoint.
+    /// Timeout for connecting to an endpoint.
     pub connect_time: Duration,
-    /// Explanations kept.
+    /// Number of requests whose explanations are kept.
     pub explained: usize,
 }
 
@@ -45,12 +45,12 @@
 }
 
 impl DispatcherSettings {
-    /// The usual limits, for daemon `me` in `domain`.
+    /// Creates settings with the default limits for daemon `me` in `domain`.
     pub fn new(me: DaemonId, domain: DomainId) -> Self {
         Self { me, domain, limits: Limits::default() }
     }
 
-    /// These settings with other limits.
+    /// Sets the limits.
     pub fn with_limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
--- a/src/request/status.rs
+++ b/src/request/status.rs
@@ -1,4 +1,4 @@
-//! The request path as operators see it.
+//! Status of the request path, as shown to operators.
 
 use crate::ids::{ClassName, DomainId, ServiceName, VmId};
 use crate::request::endpoint::EndpointState;
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// What the request path is doing.
+/// Status of the request path.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RequestStatus {
@@ -15,14 +15,14 @@
     /// Requests between arrival and the end of their answer.
     pub in_flight: usize,
     pub held_bytes: usize,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: IndexMap<ClassName, usize>,
-    /// Answers given since the start that no endpoint gave.
+    /// Number of refusals since the start, by reason.
     pub refusals: IndexMap<Reason, u64>,
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// An endpoint as this daemon sees it.
+/// Status of an endpoint as seen by this daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct EndpointStatus {
@@ -31,11 +31,11 @@
     pub domain: DomainId,
     pub listed: EndpointState,
     pub standing: Standing,
-    /// Share of recent answers that were failures.
+    /// Fraction of recent answers that were failures.
     pub failed_share: f64,
-    /// Times the usual that requests took there lately.
+    /// Recent service time relative to the estimate of the requests' classes.
     pub slowness: f64,
-    /// Slots that this daemon may use.
+    /// Number of slots that this daemon may use.
     pub share: u32,
     pub in_flight: u32,
 }
--- a/src/request/tests/journal.rs
+++ b/src/request/tests/journal.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 #[test]
-fn the_oldest_request_is_forgotten_and_said_to_be() {
+fn the_oldest_request_is_dropped_and_reported_as_dropped() {
     let mut journal = Journal::new(2);
     for second in 1..=3 {
         let id = RequestId::new(&second.to_string());
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_repeated_id_takes_no_second_place() {
+fn a_repeated_id_replaces_the_earlier_entry() {
     let mut journal = Journal::new(2);
     let id = RequestId::new("same");
     for second in 1..=5 {
