--- a/src/front.rs
+++ b/src/front.rs
@@ -1,7 +1,7 @@
-//! The duty that answers callers, operators and the platform's balancer over HTTP.
+//! The HTTP front end for callers, operators and the platform's load balancer.
 //!
-//! Callers' requests go through the dispatcher. Operators' calls are answered from the other
-//! duties, or passed on to the daemon that knows.
+//! Requests of callers go through the dispatcher. API calls of operators are answered from the
+//! other parts of the daemon, or forwarded to the daemon that has the data.
 
 mod config;
 mod explain;
@@ -33,23 +33,23 @@
 use tokio::sync::watch;
 use view::{FrontView, Stage};
 
-/// Result of serving.
+/// Result of starting the server.
 pub type Result<T> = std::result::Result<T, io::Error>;
 
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// Largest body of an operator's call, in bytes.
+/// Maximum body size of an operator's API call, in bytes.
 const MAX_CALL_BYTES: usize = 2 << 20;
-/// Callers' connections waiting to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
-/// Callers' connections open at a time.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 12_000;
 
-/// What the front needs of the rest of the daemon.
+/// Handles to the other parts of the daemon.
 #[derive(Clone)]
 pub struct Links {
     pub me: DaemonId,
     pub domain: DomainId,
-    /// Time that control leases are granted for.
+    /// Duration of control leases.
     pub lease_ttl: Duration,
     pub partitions: Arc<[PartitionId]>,
     pub control: Addr<Control>,
@@ -57,34 +57,34 @@
     pub peers: Addr<Peers>,
     pub clock: Arc<dyn Clock>,
     pub view: watch::Receiver<FrontView>,
-    /// Callers' requests in flight, for the drain to wait on.
+    /// Number of requests in flight, which a drain waits on.
     pub in_flight: Arc<AtomicUsize>,
 }
 
-/// A front that listens.
+/// A running front end.
 pub struct Front {
     pub addr: SocketAddr,
     pub handle: ServerHandle,
 }
 
-/// State of the front's thread.
+/// State shared by the handlers of the front end's thread.
 struct State {
     links: Links,
     dispatcher: Dispatcher,
-    slots: Rc<Cell<Slots>>,
+    slot_wait: Rc<Cell<SlotWait>>,
 }
 
-/// Whether this daemon has slots of endpoints, or need not wait for any.
+/// Whether the daemon still waits for its first slots before it reports itself as ready.
 ///
-/// A daemon that is chosen by the balancer before it has slots answers its callers "not run",
-/// although the daemons beside it could serve them.
+/// A daemon that gets requests from the load balancer before it has slots would refuse them as not
+/// run, although other daemons could serve them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Slots {
-    Awaited,
-    Asked,
+enum SlotWait {
+    Waiting,
+    Done,
 }
 
-/// Listens on `addr` and serves until stopped; runs on the present actix system.
+/// Listens on `addr` and serves until stopped, on the current actix system.
 pub fn serve(addr: SocketAddr, links: Links, settings: DispatcherSettings) -> Result<Front> {
     let listener = TcpListener::bind(addr)?;
     let addr = listener.local_addr()?;
@@ -92,20 +92,20 @@
         let dispatcher = Dispatcher::new(settings.clone(), links.clock.clone());
         let dispatcher = dispatcher.with_shares(Shares::Granted);
         follow_view(&links, &dispatcher);
-        let slots = Rc::new(Cell::new(Slots::Awaited));
-        shares::follow(&links, &dispatcher, &slots);
-        let state = State { links: links.clone(), dispatcher: dispatcher.clone(), slots };
+        let slot_wait = Rc::new(Cell::new(SlotWait::Waiting));
+        shares::follow(&links, &dispatcher, &slot_wait);
+        let state = State { links: links.clone(), dispatcher: dispatcher.clone(), slot_wait };
         App::new()
             .app_data(web::Data::new(state))
-            .app_data(web::JsonConfig::default().limit(MAX_CALL_BYTES).error_handler(refuse_json))
+            .app_data(web::JsonConfig::default().limit(MAX_CALL_BYTES).error_handler(reject_json))
             .configure(move |app| dispatcher.configure_app(app))
-            .configure(mount)
+            .configure(register)
     })
     .workers(1)
     .backlog(BACKLOG)
     .max_connections(MAX_CONNECTIONS)
     .keep_alive(KEEP_ALIVE)
-    // Otherwise the request of a caller that has gone away keeps its slot until its end.
+    // Otherwise the request of a caller that disconnected would hold its slot until it ends.
     .h1_allow_half_closed(false)
     .disable_signals()
     .listen(listener)?
@@ -119,17 +119,17 @@
     Ok(Front { addr, handle })
 }
 
-fn mount(app: &mut web::ServiceConfig) {
+fn register(app: &mut web::ServiceConfig) {
     app.route("/health", web::get().to(health)).route("/ready", web::get().to(ready)).service(
         web::scope("/v1")
-            .configure(tasks::mount)
-            .configure(config::mount)
-            .configure(explain::mount)
-            .configure(status::mount),
+            .configure(tasks::register)
+            .configure(config::register)
+            .configure(explain::register)
+            .configure(status::register),
     );
 }
 
-/// Keeps a thread's dispatcher up to date.
+/// Updates the dispatcher whenever the view changes.
 fn follow_view(links: &Links, dispatcher: &Dispatcher) {
     let mut view = links.view.clone();
     let dispatcher = dispatcher.clone();
@@ -154,10 +154,10 @@
 }
 
 async fn report_in_flight(dispatcher: &Dispatcher, in_flight: &AtomicUsize) {
-    const LOOK: Duration = Duration::from_millis(20);
+    const INTERVAL: Duration = Duration::from_millis(20);
     loop {
         in_flight.store(dispatcher.in_flight(), Ordering::SeqCst);
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(INTERVAL).await;
     }
 }
 
@@ -167,7 +167,7 @@
 
 async fn ready(state: web::Data<State>) -> HttpResponse {
     match state.links.view.borrow().stage {
-        Stage::Serving if state.slots.get() == Slots::Awaited => {
+        Stage::Serving if state.slot_wait.get() == SlotWait::Waiting => {
             HttpResponse::ServiceUnavailable().body("waiting for slots\n")
         }
         Stage::Serving => HttpResponse::Ok().body("ready\n"),
@@ -176,7 +176,7 @@
     }
 }
 
-fn refuse_json(e: JsonPayloadError, _: &HttpRequest) -> actix_web::Error {
+fn reject_json(e: JsonPayloadError, _: &HttpRequest) -> actix_web::Error {
     let error = ApiError::new(
         ErrorKind::Usage,
         format!("the body can't be read: {e}"),
@@ -185,7 +185,7 @@
     InternalError::from_response(e, answer_error(&error)).into()
 }
 
-/// An HTTP answer for the result of an operator's call.
+/// Converts the result of an operator's API call to an HTTP response.
 fn answer<T: serde::Serialize>(result: crate::api::Result<T>) -> HttpResponse {
     match result {
         Ok(body) => HttpResponse::Ok().json(body),
--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -12,7 +12,7 @@
 use actix_web::{HttpResponse, web};
 use std::time::SystemTime;
 
-pub fn mount(scope: &mut web::ServiceConfig) {
+pub fn register(scope: &mut web::ServiceConfig) {
     scope
         .route("/config", web::get().to(show))
         .route("/config/apply", web::post().to(apply))
--- a/src/front/explain.rs
+++ b/src/front/explain.rs
@@ -10,7 +10,7 @@
 use crate::request::Explained;
 use actix_web::{HttpResponse, web};
 
-pub fn mount(scope: &mut web::ServiceConfig) {
+pub fn register(scope: &mut web::ServiceConfig) {
     scope
         .route("/explain/task/{id}", web::get().to(task))
         .route("/explain/vm/{id}", web::get().to(vm))
--- a/src/front/shares.rs
+++ b/src/front/shares.rs
@@ -1,8 +1,8 @@
-//! Asking the holders of the endpoints' VMs for slots.
+//! Requests slots from the holders of the endpoints' control leases.
 
 use super::forward::ask_daemon;
 use super::view::{ListRead, Stage};
-use super::{Links, Slots};
+use super::{Links, SlotWait};
 use crate::clock::Clock;
 use crate::control::{Control, Inspect};
 use crate::ids::{DaemonId, VmId};
@@ -15,20 +15,20 @@
 use std::time::Duration;
 
 const PERIOD: Duration = Duration::from_millis(500);
-/// Time after which a daemon is ready without slots; a failure domain may have no endpoint.
-const LONGEST_WAIT: Duration = Duration::from_secs(20);
+/// Time after which a daemon is ready without slots, since a failure domain may have no endpoint.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// Asks for slots, twice a second, until the front ends.
-pub fn follow(links: &Links, dispatcher: &Dispatcher, asked: &Rc<Cell<Slots>>) {
+/// Requests slots twice a second, and whenever the view changes, until the front end stops.
+pub fn follow(links: &Links, dispatcher: &Dispatcher, slot_wait: &Rc<Cell<SlotWait>>) {
     let (links, dispatcher) = (links.clone(), dispatcher.clone());
-    let slots = asked.clone();
-    let begun = links.clock.now();
+    let slot_wait = slot_wait.clone();
+    let start = links.clock.now();
     let mut view = links.view.clone();
     actix::spawn(async move {
         loop {
-            ask_all(&links, &dispatcher).await;
-            if slots.get() == Slots::Awaited && is_served(&links, &dispatcher, begun) {
-                slots.set(Slots::Asked);
+            request_slots(&links, &dispatcher).await;
+            if slot_wait.get() == SlotWait::Waiting && is_wait_over(&links, &dispatcher, start) {
+                slot_wait.set(SlotWait::Done);
             }
             tokio::select! {
                 () = tokio::time::sleep(PERIOD) => {}
@@ -38,21 +38,21 @@
     });
 }
 
-/// Whether there are slots, or nothing that could have any, or the wait has been too long.
-fn is_served(links: &Links, dispatcher: &Dispatcher, begun: Duration) -> bool {
-    let waited = links.clock.now().saturating_sub(begun);
+/// Whether the daemon has slots, or no endpoint can have any, or the maximum wait has passed.
+fn is_wait_over(links: &Links, dispatcher: &Dispatcher, start: Duration) -> bool {
+    let waited = links.clock.now().saturating_sub(start);
     let endpoints = dispatcher.status().endpoints;
     let known = {
         let view = links.view.borrow();
         view.stage != Stage::Starting && view.list == ListRead::Read
     };
-    let unserved = links.view.borrow().config.services.is_empty() || endpoints.is_empty();
-    (known && unserved)
-        || waited >= LONGEST_WAIT
+    let no_endpoints = links.view.borrow().config.services.is_empty() || endpoints.is_empty();
+    (known && no_endpoints)
+        || waited >= MAX_WAIT
         || endpoints.iter().any(|endpoint| endpoint.share > 0)
 }
 
-async fn ask_all(links: &Links, dispatcher: &Dispatcher) {
+async fn request_slots(links: &Links, dispatcher: &Dispatcher) {
     let asks = dispatcher.share_requests();
     let vms: Vec<VmId> = asks.iter().map(|ask| ask.vm.clone()).collect();
     let domain = links.domain.clone();
--- a/src/front/status.rs
+++ b/src/front/status.rs
@@ -16,7 +16,7 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-pub fn mount(scope: &mut web::ServiceConfig) {
+pub fn register(scope: &mut web::ServiceConfig) {
     scope
         .route("/status", web::get().to(status))
         .route("/vms", web::get().to(list))
--- a/src/front/tasks.rs
+++ b/src/front/tasks.rs
@@ -14,7 +14,7 @@
 use actix_web::{HttpResponse, web};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub fn mount(scope: &mut web::ServiceConfig) {
+pub fn register(scope: &mut web::ServiceConfig) {
     scope
         .route("/tasks", web::post().to(submit))
         .route("/tasks", web::get().to(list))
