--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -1,4 +1,4 @@
-//! Applying, confirming and showing the configuration, and reading the audit trail.
+//! API to apply, confirm and show the configuration, and to read the audit trail.
 
 use super::{Links, State, answer};
 use crate::api::{
@@ -36,8 +36,8 @@
         action,
         base: req.base,
     };
-    let applied = links.storage.send(Apply(change)).await.map_err(|e| gone(&e))?;
-    applied.map(|applied| reply(&applied)).map_err(refuse)
+    let applied = links.storage.send(Apply(change)).await.map_err(|e| storage_stopped(&e))?;
+    applied.map(|applied| reply(&applied)).map_err(apply_error)
 }
 
 async fn confirm(state: web::Data<State>, req: web::Json<ConfirmReq>) -> HttpResponse {
@@ -48,8 +48,8 @@
     let change = &req.change_id;
     let confirm =
         Confirm { change: ChangeId::new(change), operator: OperatorName::new(&req.operator) };
-    let confirmed = links.storage.send(confirm).await.map_err(|e| gone(&e))?;
-    match confirmed.map_err(refuse)? {
+    let confirmed = links.storage.send(confirm).await.map_err(|e| storage_stopped(&e))?;
+    match confirmed.map_err(apply_error)? {
         Confirmation::Applied(applied) => Ok(reply(&applied)),
         Confirmation::NotApplied { since } => Err(ApiError::new(
             ErrorKind::NotFound,
@@ -67,11 +67,11 @@
     }
 }
 
-fn gone(e: &actix::MailboxError) -> ApiError {
+fn storage_stopped(e: &actix::MailboxError) -> ApiError {
     ApiError::new(ErrorKind::Unknown, format!("the daemon stops ({e})"), "confirm the change")
 }
 
-fn refuse(e: Error) -> ApiError {
+fn apply_error(e: Error) -> ApiError {
     let message = e.to_string();
     match e {
         Error::Invalid(faults) => {
@@ -99,7 +99,7 @@
 }
 
 async fn show_files(links: &Links) -> Result<ConfigView> {
-    let standing = links.storage.send(GetStanding).await.map_err(|e| gone(&e))?;
+    let standing = links.storage.send(GetStanding).await.map_err(|e| storage_stopped(&e))?;
     let Some(snapshot) = standing.snapshot else {
         return Ok(ConfigView { revision: Revision(0), files: Vec::new() });
     };
@@ -118,8 +118,8 @@
     let limit = query.limit.unwrap_or(DEFAULT_PAGE).min(MAX_PAGE);
     let read =
         ReadAudit { before: query.before, limit: usize::try_from(limit).unwrap_or(usize::MAX) };
-    let page = links.storage.send(read).await.map_err(|e| gone(&e))?;
-    let missing = page.missing.as_ref().map(lack);
+    let page = links.storage.send(read).await.map_err(|e| storage_stopped(&e))?;
+    let missing = page.missing.as_ref().map(missing_text);
     Ok(AuditPage {
         entries: page.entries.iter().map(view).collect(),
         complete: missing.is_none(),
@@ -128,7 +128,7 @@
     })
 }
 
-fn lack(missing: &Missing) -> String {
+fn missing_text(missing: &Missing) -> String {
     match missing {
         Missing::All { reason } => format!("every entry, since the head can't be read: {reason}"),
         Missing::Before { number, reason } => {
--- a/src/front/explain.rs
+++ b/src/front/explain.rs
@@ -1,4 +1,4 @@
-//! Answers to "why?".
+//! API that explains decisions about tasks, VMs and requests.
 
 use super::forward::{ask_daemon, ask_writer, refusal};
 use super::tasks::read_id;
@@ -27,7 +27,7 @@
         Reply::Task(shown) => shown,
         reply => return Err(refusal(reply)),
     };
-    let mut explanation = everyone(links, Subject::Task(task)).await;
+    let mut explanation = collect_records(links, Subject::Task(task)).await;
     if let Some(waiting_for) = shown.waiting_for {
         explanation.missing =
             Some(join(explanation.missing.take(), &format!("now waiting {waiting_for}")));
@@ -37,12 +37,12 @@
 
 async fn vm(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
     let subject = Subject::Vm(VmId::new(&path));
-    answer(Ok(everyone(&state.links, subject).await))
+    answer(Ok(collect_records(&state.links, subject).await))
 }
 
-/// Gathers what every daemon that answers still knows: a task's placements are known to the
-/// writers it had, its throttles and evictions to the holders of its VMs.
-async fn everyone(links: &Links, subject: Subject) -> Explanation {
+/// Collects the records of all serving daemons: the placements of a task are recorded by the
+/// writers of its partition, its throttles and evictions by the holders of its VMs.
+async fn collect_records(links: &Links, subject: Subject) -> Explanation {
     let members: Vec<_> = links.view.borrow().serving().cloned().collect();
     let mut explanation = Explanation { complete: true, ..Explanation::default() };
     for member in members {
@@ -52,25 +52,31 @@
             Reply::Records { records, forgotten: false } => explanation.records.extend(records),
             Reply::Records { records, forgotten: true } => {
                 explanation.records.extend(records);
-                lack(&mut explanation, &format!("{member} has forgotten its oldest decisions"));
+                add_missing(
+                    &mut explanation,
+                    &format!("{member} has forgotten its oldest decisions"),
+                );
             }
-            _ => lack(&mut explanation, &format!("{member} did not answer")),
+            _ => add_missing(&mut explanation, &format!("{member} did not answer")),
         }
     }
     explanation.records.sort_by_key(|record| record.at);
     if explanation.records.is_empty() {
-        lack(&mut explanation, "no decision about it is remembered by the daemons that answer");
+        add_missing(
+            &mut explanation,
+            "no decision about it is remembered by the daemons that answer",
+        );
     }
     explanation
 }
 
-fn lack(explanation: &mut Explanation, what: &str) {
+fn add_missing(explanation: &mut Explanation, text: &str) {
     explanation.complete = false;
-    explanation.missing = Some(join(explanation.missing.take(), what));
+    explanation.missing = Some(join(explanation.missing.take(), text));
 }
 
-fn join(before: Option<String>, what: &str) -> String {
-    before.map_or_else(|| what.to_owned(), |before| format!("{before}; {what}"))
+fn join(previous: Option<String>, text: &str) -> String {
+    previous.map_or_else(|| text.to_owned(), |previous| format!("{previous}; {text}"))
 }
 
 async fn request(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
--- a/src/front/forward.rs
+++ b/src/front/forward.rs
@@ -1,4 +1,4 @@
-//! Finds the daemon that can answer a call about a task.
+//! Forwards API calls about tasks to the daemon that can answer them.
 
 use super::Links;
 use crate::api::{ApiError, CallOutcome, ErrorKind};
@@ -9,7 +9,7 @@
 use crate::storage::{FindKey, Storage};
 use actix::Addr;
 
-/// Asks the writer of a partition: this daemon, or another by one hop.
+/// Calls the writer of a partition: this daemon, or another one directly.
 pub async fn ask_writer(links: &Links, partition: PartitionId, call: Call) -> Reply {
     match ask_here(&links.control, &links.storage, call.clone()).await {
         Reply::NotWriter => {}
@@ -27,7 +27,7 @@
     }
 }
 
-/// Asks this daemon, as the writer of the partition.
+/// Calls this daemon as the writer of the partition.
 pub async fn ask_here(control: &Addr<Control>, storage: &Addr<Storage>, call: Call) -> Reply {
     if let Call::Submit { partition, key, .. } = &call {
         let find = FindKey { partition: *partition, key: key.clone() };
@@ -43,7 +43,7 @@
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
 }
 
-/// Asks one daemon, which may be this one.
+/// Calls a daemon, which may be this one.
 pub async fn ask_daemon(links: &Links, to: DaemonId, call: Call) -> Reply {
     if to == links.me {
         return ask_core(&links.control, call).await;
@@ -52,7 +52,7 @@
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
 }
 
-/// The error of a reply that is not what was asked for.
+/// Converts a reply of an unexpected kind to an error.
 pub fn refusal(reply: Reply) -> ApiError {
     match reply {
         Reply::Answer(Answer::NotRun { reason }) => {
--- a/src/front/status.rs
+++ b/src/front/status.rs
@@ -1,4 +1,4 @@
-//! How the daemon is doing, and the VMs it knows of.
+//! API for the status of the daemon and its VMs.
 
 use super::forward::ask_daemon;
 use super::view::Stage;
@@ -23,7 +23,7 @@
         .route("/vms/{id}", web::get().to(show));
 }
 
-/// What the status needs of the core.
+/// The part of the status that is read from the core.
 struct Core {
     vms_held: u32,
     leases_near_lapse: u32,
@@ -84,7 +84,7 @@
     })
 }
 
-/// `near` is the time left below which a lease is near its end.
+/// Leases with less than `near` left are counted as close to expiry.
 fn read_core(control: &Control, partitions: &[PartitionId], near: Duration) -> Core {
     let core = control.core();
     let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
@@ -130,7 +130,7 @@
     }))
 }
 
-/// The VMs held by every daemon that answers, by name.
+/// The VMs held by all daemons that answer, sorted by name.
 async fn all_vms(links: &Links) -> Vec<VmDetail> {
     let members: Vec<_> = links.view.borrow().serving().cloned().collect();
     let mut vms = Vec::new();
--- a/src/front/tasks.rs
+++ b/src/front/tasks.rs
@@ -1,4 +1,4 @@
-//! Submitting, showing and cancelling tasks.
+//! API to submit, show, list and cancel tasks.
 
 use super::forward::{ask_daemon, ask_writer, refusal};
 use super::{Links, State, answer};
@@ -28,7 +28,7 @@
 
 async fn submit_task(links: &Links, req: SubmitReq) -> Result<SubmitReply> {
     let config = links.view.borrow().config.clone();
-    let spec = spec_of(&config, &req)?;
+    let spec = build_spec(&config, &req)?;
     let partition = partition_of(&links.partitions, &req.key)?;
     let call = Call::Submit { partition, key: req.key, spec };
     match ask_writer(links, partition, call).await {
@@ -37,7 +37,7 @@
     }
 }
 
-fn spec_of(config: &Config, req: &SubmitReq) -> Result<TaskSpec> {
+fn build_spec(config: &Config, req: &SubmitReq) -> Result<TaskSpec> {
     let Some(class) = config.batch.get(&req.class) else {
         return Err(unknown_class(config, &req.class));
     };
@@ -76,7 +76,7 @@
     )
 }
 
-/// The partition of a key, the same on every daemon.
+/// Returns the partition of a key, which is the same on every daemon.
 fn partition_of(partitions: &[PartitionId], key: &IdempotencyKey) -> Result<PartitionId> {
     let count = u64::try_from(partitions.len()).unwrap_or(u64::MAX);
     let index = xxh3_64(key.as_str().as_bytes()).checked_rem(count);
@@ -92,7 +92,7 @@
 async fn show_task(links: &Links, id: &str) -> Result<TaskView> {
     let task = read_id(id)?;
     match ask_writer(links, task.partition, Call::Show { task }).await {
-        Reply::Task(shown) => Ok(view_of(*shown)),
+        Reply::Task(shown) => Ok(to_view(*shown)),
         reply => Err(refusal(reply)),
     }
 }
@@ -103,7 +103,7 @@
     })
 }
 
-fn view_of(shown: Shown) -> TaskView {
+fn to_view(shown: Shown) -> TaskView {
     TaskView { task: shown.task, waiting_for: shown.waiting_for }
 }
 
@@ -123,7 +123,7 @@
     answer(Ok(list_tasks(&state.links, &query).await))
 }
 
-/// Asks every daemon that answers for the tasks of the partitions it writes.
+/// Collects the tasks of each serving daemon, which lists those of the partitions it writes.
 async fn list_tasks(links: &Links, query: &TaskQuery) -> TaskList {
     let limit = query.limit.unwrap_or(DEFAULT_PAGE).min(MAX_PAGE);
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
@@ -134,7 +134,7 @@
         let reply = ask_daemon(links, member.clone(), Call::List).await;
         match reply {
             Reply::Tasks(shown) => {
-                tasks.extend(shown.into_iter().filter(|s| selected(s, query)).map(view_of));
+                tasks.extend(shown.into_iter().filter(|s| matches_query(s, query)).map(to_view));
             }
             _ => missing.push(format!("{member} did not answer")),
         }
@@ -151,7 +151,7 @@
     TaskList { tasks, complete, missing }
 }
 
-fn selected(shown: &Shown, query: &TaskQuery) -> bool {
+fn matches_query(shown: &Shown, query: &TaskQuery) -> bool {
     let phase = match shown.task.phase {
         Phase::Waiting => TaskPhase::Waiting,
         Phase::Bound { .. } => TaskPhase::Bound,
--- a/src/front/view.rs
+++ b/src/front/view.rs
@@ -1,4 +1,4 @@
-//! What the front's thread needs to know of the rest, replaced as a whole.
+//! State of the daemon that the front end's thread needs; published as a whole on each change.
 
 use crate::ids::DaemonId;
 use crate::listing::{EntryState, Listing};
@@ -7,20 +7,21 @@
 use crate::request::{EndpointInfo, EndpointState, PeerFront};
 use std::sync::Arc;
 
-/// Where the daemon is in its life.
+/// Lifecycle stage of the daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// No configuration is in force yet.
+    /// No configuration has been applied yet.
     #[default]
     Starting,
     Serving,
-    /// Out of the balancer's choice soon; still serves.
+    /// Reports itself as not ready to the load balancer, but still serves.
     Unready,
-    /// Takes nothing new.
+    /// Accepts no new requests.
     Draining,
 }
 
-/// Whether the platform's list was ever read; before that, having no endpoints means nothing.
+/// Whether the platform's list has been read; before that, an empty list of endpoints has no
+/// meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListRead {
     #[default]
@@ -28,27 +29,27 @@
     Read,
 }
 
-/// The front's view of the rest.
+/// State of the daemon as seen by the front end.
 #[derive(Clone, Debug, Default)]
 pub struct FrontView {
     pub stage: Stage,
     pub config: Arc<Config>,
     pub endpoints: Vec<EndpointInfo>,
     pub list: ListRead,
-    /// Callers' ports of the daemons that answer.
+    /// HTTP addresses of the serving daemons.
     pub peers: Vec<PeerFront>,
-    fronts: Vec<Front>,
+    fronts: Vec<FrontAddrs>,
     members: Vec<Member>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Front {
+struct FrontAddrs {
     peer_addr: String,
     front_addr: String,
 }
 
 impl FrontView {
-    /// Puts a configuration in force; the first one makes the daemon ready.
+    /// Applies a configuration; the first one starts serving.
     pub fn configured(&mut self, config: Arc<Config>) {
         self.config = config;
         if self.stage == Stage::Starting {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes over a list; false if nothing changed.
+    /// Applies a list; returns false if nothing changed.
     pub fn listed(&mut self, listing: &Listing) -> bool {
         let endpoints: Vec<_> = listing
             .endpoints
@@ -75,7 +76,7 @@
         let fronts: Vec<_> = listing
             .daemons
             .iter()
-            .map(|entry| Front {
+            .map(|entry| FrontAddrs {
                 peer_addr: entry.peer_addr.clone(),
                 front_addr: entry.front_addr.clone(),
             })
@@ -89,13 +90,13 @@
         changed
     }
 
-    /// Takes over the daemons that answer.
+    /// Replaces the daemons that answer.
     pub fn set_members(&mut self, members: &[Member]) {
         self.members = members.to_vec();
         self.join_peers();
     }
 
-    /// The daemons that answer and take on work.
+    /// The daemons that answer and accept work.
     pub fn serving(&self) -> impl Iterator<Item = &DaemonId> {
         self.members.iter().filter(|m| m.state == MemberState::Serving).map(|m| &m.id)
     }
