--- a/benches/requests/loopback.rs
+++ b/benches/requests/loopback.rs
@@ -173,7 +173,7 @@
             Some(stream)
         })
         .collect();
-    crate::support::until("all callers have arrived", || {
+    crate::support::wait_until("all callers have arrived", || {
         front.with(|dispatcher| dispatcher.in_flight()) == callers.len()
     });
     let after = resident_kib();
--- a/tests/request_faults.rs
+++ b/tests/request_faults.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when an endpoint misbehaves, from the tables in `tests/tables/request`.
+//! The answer to a caller when an endpoint fails, from the tables in `tests/tables/request`.
 
 mod request_support;
 
@@ -7,7 +7,7 @@
 use std::path::Path;
 use waxwingstall_standin::endpoint::{Endpoint, EndpointSettings, Fault, answer_body};
 
-/// One table: a story, and the cases that it tells of.
+/// A table: a scenario and its cases.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Table {
@@ -23,13 +23,13 @@
     class: String,
     #[serde(default)]
     query: String,
-    /// Answers got before the faults are switched on, so that there are idle connections.
+    /// Number of requests before the faults are switched on, which leave idle connections.
     #[serde(default)]
     warm_up: usize,
-    /// Faults of the requests before.
+    /// Faults of those requests.
     #[serde(default)]
     warm_up_faults: Vec<Fault>,
-    /// Whether probes are told what became of the request.
+    /// Whether the endpoint reports the state of the request to probes.
     #[serde(default)]
     states: States,
     /// Faults of the next requests, in order.
@@ -44,7 +44,7 @@
     runs: Vec<usize>,
 }
 
-/// Whether the endpoint answers probes that ask after a request.
+/// Whether the endpoint reports the state of a request to probes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum States {
@@ -56,7 +56,7 @@
 fn run_table(path: &Path) -> datatest_stable::Result<()> {
     let table: Table = toml::from_str(&std::fs::read_to_string(path)?)?;
     assert!(!table.story.trim().is_empty());
-    // Cases wait on silent connections most of the time, so they run side by side.
+    // Cases spend most of their time waiting on silent connections, so they run in parallel.
     std::thread::scope(|scope| {
         for case in &table.case {
             scope.spawn(|| run_case(case));
@@ -80,15 +80,19 @@
     let got = call(front.addr, &case.class, &format!("page?{}", case.query), "request-1");
     let name = &case.name;
     if case.reason == "cut-in-transit" {
-        assert!(!got.whole, "{name}: a cut answer passed for whole: {got:?}");
+        assert!(!got.whole, "{name}: a truncated answer looked complete: {got:?}");
     } else {
         assert_eq!(got.outcome(), case.outcome, "{name}: {got:?}");
         assert_eq!(got.reason(), case.reason, "{name}: {got:?}");
         assert_eq!(got.header("waxwing-request-id"), "request-1", "{name}");
-        assert!(got.whole, "{name}: the answer was cut: {got:?}");
+        assert!(got.whole, "{name}: the answer was truncated: {got:?}");
     }
     if got.outcome() == "ran" && got.whole && got.status == 200 {
-        assert_eq!(got.body, answer_body("request-1", got.body.len()), "{name}: not its own");
+        assert_eq!(
+            got.body,
+            answer_body("request-1", got.body.len()),
+            "{name}: the answer of another request"
+        );
     }
     let runs = endpoint.runs_of("request-1");
     assert!(case.runs.contains(&runs), "{name}: ran {runs} times, not {:?}", case.runs);
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -1,8 +1,10 @@
-//! Requests through a daemon's front, over real sockets, where more than one request matters.
+//! Tests of the request path over real sockets that involve several requests.
 
 mod request_support;
 
-use request_support::{Front, Got, call, config, listed, listed_in, read_answer, send, until};
+use request_support::{
+    Front, Response, call, config, listed, listed_in, read_answer, send, wait_until,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -34,23 +36,23 @@
     front.with(|dispatcher| dispatcher.status().queued.values().sum())
 }
 
-fn assert_ran(got: &Got, id: &str) {
+fn assert_ran(got: &Response, id: &str) {
     assert_eq!(got.outcome(), "ran", "{id}: {got:?}");
     assert!(got.whole, "{id} was cut");
     assert_eq!(got.body, answer_body(id, got.body.len()), "{id} got another's answer");
 }
 
-/// A daemon is told to stop while one request runs, one waits and one more arrives.
-/// The running one is answered whole, the waiting one is told that it did not run, and so is the
-/// new one. Nothing is cut, and nothing that was refused ever runs.
+/// A drain starts while one request runs and one is queued, and another arrives afterwards. The
+/// running one is answered completely; the queued and the new one are refused as not run, and never
+/// run.
 #[test]
 fn a_drain_finishes_what_runs_and_refuses_the_rest_as_not_run() {
     let endpoint = one_slot(OnClose::Stops);
     let front = Front::start(config(1), &[listed("vm-1", &endpoint)]);
     let mut running = start(front.addr, "plan", "x?ms=700&bytes=300000", "running");
-    until("the first runs", || endpoint.running() == 1);
+    wait_until("the first runs", || endpoint.running() == 1);
     let mut waiting = start(front.addr, "plan", "x", "waiting");
-    until("the second waits", || queued(&front) == 1);
+    wait_until("the second waits", || queued(&front) == 1);
     front.with(|dispatcher| dispatcher.drain());
     let waiting = read_answer(&mut waiting);
     let new = call(front.addr, "plan", "x", "new");
@@ -59,55 +61,55 @@
         assert_eq!(got.header("retry-after"), "1");
     }
     assert_ran(&read_answer(&mut running), "running");
-    until("nothing is in flight", || front.with(|dispatcher| dispatcher.in_flight()) == 0);
+    wait_until("nothing is in flight", || front.with(|dispatcher| dispatcher.in_flight()) == 0);
     assert_eq!((endpoint.runs_of("waiting"), endpoint.runs_of("new")), (0, 0));
 }
 
-/// A daemon is told to stop in the middle of a streamed answer; the caller gets the rest of it,
-/// and only then is nothing in flight.
+/// A drain starts during a streamed answer. The caller gets the rest of it, and the request counts
+/// as in flight until then.
 #[test]
 fn a_drain_waits_for_streams() {
     let endpoint = one_slot(OnClose::Stops);
     let front = Front::start(config(1), &[listed("vm-1", &endpoint)]);
     let mut stream = start(front.addr, "plan", "x?bytes=400000&chunked=1&gap_ms=60", "stream");
-    until("the stream runs", || endpoint.running() == 1);
+    wait_until("the stream runs", || endpoint.running() == 1);
     front.with(|dispatcher| dispatcher.drain());
     assert_eq!(front.with(|dispatcher| dispatcher.in_flight()), 1);
     let got = read_answer(&mut stream);
     assert_ran(&got, "stream");
     assert_eq!(got.body.len(), 400_000);
-    until("nothing is in flight", || front.with(|dispatcher| dispatcher.in_flight()) == 0);
+    wait_until("nothing is in flight", || front.with(|dispatcher| dispatcher.in_flight()) == 0);
 }
 
-/// A caller goes away while its request runs on the only slot. The connection to the endpoint is
-/// closed, the endpoint stops, and the next caller gets the slot long before the first would have
-/// ended.
+/// A caller disconnects while its request runs on the only slot. The connection to the endpoint is
+/// closed, the endpoint stops, and the next caller gets the slot long before the first request
+/// would have ended.
 #[test]
 fn a_caller_that_goes_away_frees_its_slot() {
     let endpoint = one_slot(OnClose::Stops);
     let front = Front::start(config(1), &[listed("vm-1", &endpoint)]);
     let gone = start(front.addr, "plan", "x?ms=1000000", "gone");
-    until("the first runs", || endpoint.running() == 1);
+    wait_until("the first runs", || endpoint.running() == 1);
     drop(gone);
     assert_ran(&call(front.addr, "plan", "x", "next"), "next");
     assert_eq!(endpoint.slot_violations(), 0);
 }
 
-/// The same at an endpoint that does not notice closed connections: the next request waits until
-/// the first has really ended, or there would be two on one slot.
+/// The endpoint does not notice closed connections: the next request must wait until the first has
+/// ended, or two would run on one slot.
 #[test]
 fn a_slot_is_not_given_away_while_its_request_still_runs() {
     let endpoint = one_slot(OnClose::RunsOn);
     let front = Front::start(config(1), &[listed("vm-1", &endpoint)]);
     let gone = start(front.addr, "plan", "x?ms=800", "gone");
-    until("the first runs", || endpoint.running() == 1);
+    wait_until("the first runs", || endpoint.running() == 1);
     drop(gone);
     assert_ran(&call(front.addr, "plan", "x", "next"), "next");
     assert_eq!((endpoint.max_concurrent(), endpoint.slot_violations()), (1, 0));
 }
 
-/// A request's deadline passes while it runs at such an endpoint. Its caller is told at once that
-/// the outcome is unknown; the next request still waits for the slot.
+/// The deadline of a request passes while it runs at an endpoint that does not notice closed
+/// connections. The caller gets `unknown` at once; the next request still waits for the slot.
 #[test]
 fn a_passed_deadline_is_told_at_once_and_gives_no_slot_away() {
     let endpoint = one_slot(OnClose::RunsOn);
@@ -121,24 +123,24 @@
     assert_eq!((endpoint.max_concurrent(), endpoint.slot_violations()), (1, 0));
 }
 
-/// The caller of a print build goes away while it runs. Cutting it off in the middle could leave
-/// half of it done, so it runs on, and its end can be asked for.
+/// The caller of a non-idempotent request disconnects while it runs. Cancelling it could leave it
+/// half done, so it runs to its end, and the result can be queried.
 #[test]
 fn a_run_that_cannot_be_repeated_is_not_cut_when_its_caller_goes_away() {
     let endpoint = one_slot(OnClose::Stops);
     let front = Front::start(config(1), &[listed("vm-1", &endpoint)]);
     let gone = start(front.addr, "build", "x?ms=400", "build-1");
-    until("the build runs", || endpoint.running() == 1);
+    wait_until("the build runs", || endpoint.running() == 1);
     drop(gone);
-    until("the build ends", || match front.explain("build-1") {
+    wait_until("the build ends", || match front.explain("build-1") {
         Explained::Known(entry) => entry.end.is_some_and(|end| end.outcome == Outcome::Ran),
         Explained::Forgotten { .. } => false,
     });
     assert_eq!((endpoint.completed(), endpoint.runs_of("build-1")), (1, 1));
 }
 
-/// Callers send a byte and then nothing. They hold no slot: others are answered meanwhile. When
-/// their time is over they are told that nothing ran.
+/// Callers send one byte of the body and then nothing. They hold no slot, so others are answered
+/// meanwhile. After the body timeout they are refused as not run.
 #[test]
 fn slow_senders_hold_no_slot_and_are_told_so() {
     let endpoint = one_slot(OnClose::Stops);
@@ -154,7 +156,7 @@
             stream
         })
         .collect();
-    until("they have arrived", || front.with(|dispatcher| dispatcher.in_flight()) == 20);
+    wait_until("they have arrived", || front.with(|dispatcher| dispatcher.in_flight()) == 20);
     assert_ran(&call(front.addr, "plan", "x", "quick"), "quick");
     for stream in &mut slow {
         let got = read_answer(stream);
@@ -164,7 +166,7 @@
     assert_eq!(endpoint.runs(), 1);
 }
 
-/// What a caller sent can't be taken; it is told why, and that nothing ran.
+/// Invalid requests are refused as not run, with the reason.
 #[test]
 fn malformed_input_is_refused_with_the_reason() {
     let endpoint = one_slot(OnClose::Stops);
@@ -185,7 +187,7 @@
     for (path, headers, length, status, reason) in cases {
         let got = send(front.addr, "POST", path, headers, &vec![b'x'; length]);
         if reason == "bad-team" && got.outcome().is_empty() {
-            // The server refuses control characters before the request gets here.
+            // The HTTP server rejects control characters before the dispatcher sees the request.
             assert_eq!(got.status, 400, "{got:?}");
             continue;
         }
@@ -195,40 +197,40 @@
     assert_eq!(endpoint.runs(), 0);
 }
 
-/// An endpoint says that it leaves, refuses connections, or the list says that it leaves. Callers
-/// notice nothing, and the endpoint gets nothing new but probes.
+/// An endpoint reports that it is leaving, refuses connections, or is listed as leaving. No request
+/// fails, and the endpoint gets no new requests except probes.
 #[test]
 fn a_leaving_endpoint_gets_no_new_work() {
     type Leave = fn(&Front, &Endpoint, &Endpoint);
-    let by_word: Leave = |_, going, _| going.faults().leaving(true);
-    let by_refusal: Leave = |_, going, _| going.faults().refuse_connections(true);
-    let by_list: Leave = |front, going, staying| {
-        let mut info = listed("going", going);
+    let by_word: Leave = |_, leaving, _| leaving.faults().leaving(true);
+    let by_refusal: Leave = |_, leaving, _| leaving.faults().refuse_connections(true);
+    let by_list: Leave = |front, leaving, remaining| {
+        let mut info = listed("leaving", leaving);
         info.state = EndpointState::Leaving;
-        let endpoints = [info, listed("staying", staying)];
+        let endpoints = [info, listed("remaining", remaining)];
         front.with(move |dispatcher| dispatcher.endpoints(&endpoints));
     };
     for (name, leave) in [("word", by_word), ("refusal", by_refusal), ("list", by_list)] {
-        let going = Endpoint::start(EndpointSettings::default());
-        let staying = Endpoint::start(EndpointSettings::default());
-        let endpoints = [listed("going", &going), listed("staying", &staying)];
+        let leaving = Endpoint::start(EndpointSettings::default());
+        let remaining = Endpoint::start(EndpointSettings::default());
+        let endpoints = [listed("leaving", &leaving), listed("remaining", &remaining)];
         let front = Front::start(config(8), &endpoints);
         for at in 0..20 {
             assert_eq!(call(front.addr, "build", "x", &format!("before-{at}")).outcome(), "ran");
         }
-        leave(&front, &going, &staying);
-        let (runs, arrived) = (going.runs(), going.requests());
+        leave(&front, &leaving, &remaining);
+        let (runs, arrived) = (leaving.runs(), leaving.requests());
         for at in 0..60 {
             let got = call(front.addr, "build", "x", &format!("after-{at}"));
             assert_eq!(got.outcome(), "ran", "{name}: {got:?}");
         }
-        assert_eq!(going.runs(), runs, "{name}: new work after it left");
-        let asked = going.requests() - arrived;
+        assert_eq!(leaving.runs(), runs, "{name}: new requests after it left");
+        let asked = leaving.requests() - arrived;
         assert!(asked <= 2, "{name}: still sent {asked} requests, which it refused");
     }
 }
 
-/// An endpoint that left by its own word and is well again gets work again, after a probe.
+/// An endpoint that reported that it was leaving gets requests again after a successful probe.
 #[test]
 fn an_endpoint_that_is_well_again_returns() {
     let endpoint = Endpoint::start(EndpointSettings::default());
@@ -237,12 +239,12 @@
     let refused = call(front.addr, "build", "x", "refused");
     assert_eq!(refused.outcome(), "not-run", "{refused:?}");
     endpoint.faults().leaving(false);
-    until("it is back", || call(front.addr, "build", "x", "again").outcome() == "ran");
+    wait_until("it is back", || call(front.addr, "build", "x", "again").outcome() == "ran");
     assert_eq!(endpoint.runs_of("refused"), 0);
 }
 
-/// One of four endpoints answers every request with an error at once. Being quick must not make it
-/// look good: nearly all requests go to the others, and the callers see no error.
+/// One of four endpoints answers every request with an error at once. Its short response time must
+/// not attract requests: nearly all go to the others, and the callers see no error.
 #[test]
 fn an_endpoint_that_fails_quickly_attracts_nothing() {
     let endpoints: Vec<Endpoint> =
@@ -263,9 +265,9 @@
     assert!(tries <= 330, "{tries} tries of 300 requests");
 }
 
-/// Every endpoint fails every request. Retries must not multiply the load on them. The class has
-/// patience, since a slot is held until its request is known to be over, and that takes longer
-/// than a preview waits when the machine is busy.
+/// Every endpoint fails every request. Retries must not multiply the load on them. The class used
+/// has a long wait limit, since a slot is held until its request is known to have ended, which takes
+/// longer than the wait limit of `preview` on a busy machine.
 #[test]
 fn when_everything_fails_there_are_few_retries() {
     let endpoints: Vec<Endpoint> =
@@ -287,8 +289,8 @@
     Front::start_with(settings, config(8), &[])
 }
 
-/// A daemon of the same domain; only its id matters.
-fn unreached(id: &str) -> PeerFront {
+/// A daemon of the same domain that is never contacted; only its id is used.
+fn domain_peer(id: &str) -> PeerFront {
     PeerFront { id: id.into(), domain: "home".into(), addr: "127.0.0.1:1".to_owned() }
 }
 
@@ -296,29 +298,29 @@
     PeerFront { id: id.into(), domain: domain.into(), addr: front.addr.to_string() }
 }
 
-/// An answer of 200 MB, and a caller that reads nothing. The endpoint can send only what fits into
-/// the sockets' buffers between; what is held here stays small. At the deadline its slot is taken
-/// back, so that the next caller is served, and the answer ends cut.
+/// A caller doesn't read its answer of 200 MB. The endpoint can send only what fits into the socket
+/// buffers, and the daemon buffers little. At the deadline the slot is released, so that the next
+/// caller is served, and the answer ends truncated.
 #[test]
 fn a_caller_that_does_not_read_holds_little_memory_and_its_slot_only_until_the_deadline() {
     const LENGTH: usize = 200_000_000;
     let endpoint = one_slot(OnClose::Stops);
     let front = Front::start(config(1), &[listed("vm-1", &endpoint)]);
-    let mut lazy = TcpStream::connect(front.addr).unwrap();
+    let mut slow_reader = TcpStream::connect(front.addr).unwrap();
     let head = format!(
         "POST /v1/requests/plan/x?bytes={LENGTH} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
          waxwing-deadline-ms: 2000\r\ncontent-length: 0\r\n\r\n"
     );
-    lazy.write_all(head.as_bytes()).unwrap();
-    until("it runs", || endpoint.running() == 1);
+    slow_reader.write_all(head.as_bytes()).unwrap();
+    wait_until("it runs", || endpoint.running() == 1);
     assert_ran(&call(front.addr, "plan", "x", "next"), "next");
     assert!(endpoint.body_bytes_sent() < LENGTH / 2, "{} bytes", endpoint.body_bytes_sent());
-    let got = read_answer(&mut lazy);
+    let got = read_answer(&mut slow_reader);
     assert_eq!((got.status, got.whole), (200, false));
 }
 
-/// There is no endpoint at home. The request is answered by another domain's, over one hop, and
-/// streams and cut answers pass over the hop as they are.
+/// There is no endpoint in the domain. The request is forwarded to a daemon of another domain, and
+/// streamed and truncated answers are forwarded as such.
 #[test]
 fn another_domain_is_asked_when_there_is_no_endpoint_at_home() {
     let (home, away) = (front_of("d1", "home"), front_of("d2", "away"));
@@ -334,12 +336,12 @@
     }
     endpoint.faults().next(Fault::CutBody);
     let cut = call(home.addr, "build", "x?bytes=500000&chunked=1", "cut");
-    assert!(!cut.whole, "a cut answer passed for whole over the hop");
+    assert!(!cut.whole, "a truncated answer looked complete after forwarding");
     assert_eq!(endpoint.repeated(), Vec::<String>::new());
 }
 
-/// Two domains without endpoints each know the other. A request goes over once and comes back as
-/// not run; it must not go round.
+/// Two domains without endpoints each know the other. A request is forwarded once and refused as
+/// not run; it must not loop.
 #[test]
 fn a_request_is_forwarded_once_at_most() {
     let (one, other) = (front_of("d1", "home"), front_of("d2", "away"));
@@ -353,7 +355,7 @@
     assert_eq!(entry.tries.len(), 1, "{entry:?}");
 }
 
-/// The only other domain can't be reached: the refusal at home stands.
+/// The only other domain can't be reached: the caller gets the local refusal.
 #[test]
 fn an_unreachable_domain_changes_nothing() {
     let home = front_of("d1", "home");
@@ -364,8 +366,8 @@
     assert_eq!((got.outcome(), got.reason()), ("not-run", "no-endpoint"), "{got:?}");
 }
 
-/// Three daemons share an endpoint's eight slots, each with more callers than slots, some of whom
-/// go away. The endpoint never has more requests than slots.
+/// Three daemons share an endpoint's eight slots, each with more callers than slots, some of which
+/// disconnect. The endpoint never has more requests than slots.
 #[test]
 fn daemons_that_share_an_endpoint_never_overfill_it() {
     let settings = EndpointSettings {
@@ -380,8 +382,8 @@
         .map(|id| {
             let settings = DispatcherSettings::new(id.clone(), "home".into());
             let front = Front::start_with(settings, config(8), &[listed("vm-1", &endpoint)]);
-            assert_eq!(share(&front), 8, "alone it has them all");
-            let others: Vec<PeerFront> = ids.iter().map(|id| unreached(id.as_str())).collect();
+            assert_eq!(share(&front), 8, "a single daemon has all slots");
+            let others: Vec<PeerFront> = ids.iter().map(|id| domain_peer(id.as_str())).collect();
             front.with(move |dispatcher| dispatcher.peers(&others));
             front
         })
@@ -408,9 +410,8 @@
     assert_eq!(endpoint.repeated(), Vec::<String>::new());
 }
 
-/// Two daemons hold slots by grants that a giver answers, asked over and over while callers call.
-/// The giver changes in the middle. The endpoint never has more requests than slots, and the slots
-/// go to the daemon whose callers want them.
+/// Two daemons get slots from an allocator, which is replaced while requests run. The endpoint
+/// never has more requests than slots, and the slots move to the daemon that has callers.
 #[test]
 fn granted_slots_move_to_demand_and_never_overfill() {
     let settings = EndpointSettings {
@@ -428,33 +429,33 @@
     let fronts = [start("d1"), start("d2")];
     let refused = call(fronts[0].addr, "plan", "x", "early");
     assert_eq!(refused.outcome(), "not-run", "nothing was granted yet: {refused:?}");
-    let mut givers = SlotAllocators::new();
-    let keeping = AllocatorSettings {
+    let mut allocators = SlotAllocators::new();
+    let settings = AllocatorSettings {
         slots: 8,
         ttl: Duration::from_secs(1),
         max_run_time: Duration::from_millis(100),
     };
     let mut token = 1;
-    let round = |givers: &mut SlotAllocators, token: u64| {
+    let round = |allocators: &mut SlotAllocators, token: u64| {
         let now = SystemClock.now();
-        givers.hold(
+        allocators.hold(
             &"vm-1".into(),
             Token(token),
-            now + keeping.ttl,
-            keeping,
+            now + settings.ttl,
+            settings,
             PriorGrants::Unknown,
             now,
         );
         for front in &fronts {
             let sent = SystemClock.now();
             for ask in front.with(|dispatcher| dispatcher.share_requests()) {
-                let Some(grant) = givers.allocate(&ask, SystemClock.now()) else { continue };
+                let Some(grant) = allocators.allocate(&ask, SystemClock.now()) else { continue };
                 front.with(move |dispatcher| dispatcher.share_granted(&grant, sent));
             }
         }
     };
-    until("the first giver's wait is over", || {
-        round(&mut givers, token);
+    wait_until("the first allocator grants slots", || {
+        round(&mut allocators, token);
         share(&fronts[0]) + share(&fronts[1]) > 0
     });
     std::thread::scope(|scope| {
@@ -470,13 +471,13 @@
                 })
             })
             .collect();
-        until("the slots are where the callers are", || {
-            round(&mut givers, token);
+        wait_until("the slots have moved to the daemon with callers", || {
+            round(&mut allocators, token);
             share(&fronts[0]) >= 7
         });
         token += 1;
         while callers.iter().any(|caller| !caller.is_finished()) {
-            round(&mut givers, token);
+            round(&mut allocators, token);
         }
     });
     assert_eq!(endpoint.slot_violations(), 0);
@@ -487,7 +488,7 @@
     front.with(|dispatcher| dispatcher.status().endpoints[0].share)
 }
 
-/// What was done with a request can be asked; one that never came is not made up.
+/// A request can be explained afterwards; for an unknown id there is no explanation.
 #[test]
 fn a_request_can_be_explained() {
     let endpoint = Endpoint::start(EndpointSettings::default());
--- a/tests/request_support/mod.rs
+++ b/tests/request_support/mod.rs
@@ -1,4 +1,4 @@
-//! A daemon's front on loopback and a caller that trusts nothing it reads.
+//! A dispatcher behind an HTTP server on loopback, and a client that checks answers strictly.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -14,12 +14,12 @@
 use waxwingstall::units::Resources;
 use waxwingstall_standin::endpoint::Endpoint;
 
-/// Longest wait for an answer; reaching it is a failure.
-const HANG: Duration = Duration::from_secs(30);
+/// Timeout for answers and conditions; reaching it fails the test.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 type Call = Box<dyn FnOnce(&Dispatcher) + Send>;
 
-/// A dispatcher behind a real server, on threads of its own.
+/// A dispatcher behind an HTTP server, on its own threads.
 pub struct Front {
     pub addr: SocketAddr,
     calls: tokio::sync::mpsc::UnboundedSender<Call>,
@@ -28,12 +28,12 @@
 }
 
 impl Front {
-    /// Starts a front with the usual limits.
+    /// Starts a front end with the default limits.
     pub fn start(cfg: Config, endpoints: &[EndpointInfo]) -> Self {
         Self::start_with(DispatcherSettings::new("d1".into(), "home".into()), cfg, endpoints)
     }
 
-    /// Starts a front with these settings.
+    /// Starts a front end with these settings.
     pub fn start_with(
         settings: DispatcherSettings,
         cfg: Config,
@@ -76,17 +76,17 @@
         front
     }
 
-    /// Calls the dispatcher on its own thread.
+    /// Runs a function on the dispatcher's thread and returns its result.
     pub fn with<T: Send + 'static>(&self, f: impl FnOnce(&Dispatcher) -> T + Send + 'static) -> T {
         let (tx, rx) = mpsc::channel();
         let call = Box::new(move |dispatcher: &Dispatcher| {
             let _ = tx.send(f(dispatcher));
         });
         assert!(self.calls.send(call).is_ok(), "the front's worker is gone");
-        rx.recv_timeout(HANG).expect("the front's worker answers")
+        rx.recv_timeout(TIMEOUT).expect("the front's worker answers")
     }
 
-    /// What the front says of a request.
+    /// The explanation of a request.
     pub fn explain(&self, id: &str) -> Explained {
         let id = RequestId::new(id);
         self.with(move |dispatcher| dispatcher.explain(&id))
@@ -103,12 +103,12 @@
     }
 }
 
-/// An endpoint as the platform's list has it.
+/// The list entry of a live endpoint in domain `home`.
 pub fn listed(vm: &str, endpoint: &Endpoint) -> EndpointInfo {
     listed_in("home", vm, endpoint)
 }
 
-/// An endpoint of a domain as the platform's list has it.
+/// The list entry of a live endpoint in a domain.
 pub fn listed_in(domain: &str, vm: &str, endpoint: &Endpoint) -> EndpointInfo {
     EndpointInfo {
         vm: VmId::new(vm),
@@ -119,8 +119,8 @@
     }
 }
 
-/// The classes `preview` (idempotent), `build` (not) and `plan` (idempotent, with patience) of the
-/// service `shop`.
+/// The classes `preview` (idempotent), `build` (not idempotent) and `plan` (idempotent, with a long
+/// wait limit) of the service `shop`.
 pub fn config(slots: u32) -> Config {
     let mut cfg = Config { revision: Revision(1), ..Config::default() };
     let service = Service { slots, connections: 64, resources: Resources::ZERO };
@@ -144,18 +144,18 @@
     }
 }
 
-/// What a caller got.
+/// An answer as received by the client.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the body came to the end that the head promised.
+    /// Whether the body is complete according to the head.
     pub whole: bool,
 }
 
-impl Got {
-    /// A header's value, or nothing.
+impl Response {
+    /// The value of a header, or an empty string.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(key, _)| key == name);
         found.map_or("", |(_, value)| value)
@@ -170,16 +170,16 @@
     }
 }
 
-/// Sends a request with this id and reads the answer to its end.
-pub fn call(addr: SocketAddr, class: &str, tail: &str, id: &str) -> Got {
+/// Sends a request with an id and reads the whole answer.
+pub fn call(addr: SocketAddr, class: &str, tail: &str, id: &str) -> Response {
     let head = format!("waxwing-request-id: {id}\r\n");
     send(addr, "POST", &format!("/v1/requests/{class}/{tail}"), &head, b"hello")
 }
 
-/// Sends any request and reads the answer to its end.
-pub fn send(addr: SocketAddr, method: &str, path: &str, headers: &str, body: &[u8]) -> Got {
+/// Sends a request and reads the whole answer.
+pub fn send(addr: SocketAddr, method: &str, path: &str, headers: &str, body: &[u8]) -> Response {
     let mut stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}content-length: {}\r\n\r\n",
         body.len()
@@ -189,9 +189,9 @@
     read_answer(&mut stream)
 }
 
-/// Waits until something is seen; a hang is a failure.
-pub fn until(what: &str, mut seen: impl FnMut() -> bool) {
-    for _ in 0..HANG.as_millis() {
+/// Waits until a condition holds; a timeout fails the test.
+pub fn wait_until(what: &str, mut seen: impl FnMut() -> bool) {
+    for _ in 0..TIMEOUT.as_millis() {
         if seen() {
             return;
         }
@@ -200,19 +200,19 @@
     panic!("never seen: {what}");
 }
 
-/// Reads an answer up to the connection's end.
-pub fn read_answer(stream: &mut TcpStream) -> Got {
+/// Reads an answer until the connection is closed.
+pub fn read_answer(stream: &mut TcpStream) -> Response {
     let mut raw = Vec::new();
     let ended = stream.read_to_end(&mut raw);
     if let Err(e) = &ended {
-        assert!(e.kind() != std::io::ErrorKind::WouldBlock, "no end of the answer in {HANG:?}");
+        assert!(e.kind() != std::io::ErrorKind::WouldBlock, "no end of the answer in {TIMEOUT:?}");
     }
     parse(&raw)
 }
 
-fn parse(raw: &[u8]) -> Got {
+fn parse(raw: &[u8]) -> Response {
     let Some(at) = raw.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
-        return Got::default();
+        return Response::default();
     };
     let head = String::from_utf8_lossy(&raw[..at]).into_owned();
     let rest = &raw[at + 4..];
@@ -223,7 +223,7 @@
         .filter_map(|line| line.split_once(": "))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()))
         .collect();
-    let mut got = Got { status, headers, body: Vec::new(), whole: false };
+    let mut got = Response { status, headers, body: Vec::new(), whole: false };
     if got.header("transfer-encoding").contains("chunked") {
         (got.body, got.whole) = dechunk(rest);
     } else {
