--- a/benches/requests/live.rs
+++ b/benches/requests/live.rs
@@ -1,5 +1,5 @@
-//! Overload over real sockets: previews alone, and then previews and builds at once and twice what
-//! the slots can carry, at a fixed rate whatever becomes of earlier requests.
+//! Overload over real sockets: previews alone, then previews and builds at 0.8, 1.6 and 4 times the
+//! capacity of the slots. Arrivals are open loop: the rate doesn't depend on earlier requests.
 
 use crate::support::{Front, config, listed};
 use crate::virtual_time::{exponential, histogram, log_normal, millis, record};
@@ -21,15 +21,15 @@
 const BUILD: Duration = Duration::from_millis(600);
 const SIGMA: f64 = 0.5;
 
-/// One request to come.
+/// A scheduled request.
 struct Arrival {
     class: &'static str,
     at: Duration,
     takes: Duration,
 }
 
-/// What became of one class.
-struct Got {
+/// Results of a class.
+struct ClassResult {
     times: Histogram<u64>,
     ran: u64,
     not_run: u64,
@@ -52,7 +52,7 @@
     }
 }
 
-fn report(load: &str, [preview, build]: &[Got; 2], unloaded: f64) {
+fn report(load: &str, [preview, build]: &[ClassResult; 2], unloaded: f64) {
     let p99 = millis(&preview.times, 0.99);
     println!(
         "{load:<12} {p99:>14.1} {:>11.2} {:>4} {:>8} {:>6} | {:>9} {:>8} {:>6}",
@@ -66,7 +66,7 @@
     );
 }
 
-/// Arrivals of both classes, each asking for a part of the slots.
+/// Arrivals of both classes, each using the given fraction of the slots.
 fn arrivals(previews: f64, builds: f64) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let slots = (ENDPOINTS as u32 * SLOTS) as f64;
@@ -82,7 +82,7 @@
     all
 }
 
-fn measure(arrivals: &[Arrival], target: Duration) -> [Got; 2] {
+fn measure(arrivals: &[Arrival], target: Duration) -> [ClassResult; 2] {
     let settings = EndpointSettings {
         slots: SLOTS as usize,
         on_close: OnClose::RunsOn,
@@ -107,7 +107,7 @@
     got
 }
 
-async fn offer(arrivals: &[Arrival], front: &Front) -> [Got; 2] {
+async fn offer(arrivals: &[Arrival], front: &Front) -> [ClassResult; 2] {
     let client = Client::builder().connector(Connector::new().limit(0x4000)).finish();
     let start = SystemClock.now();
     let calls = arrivals.iter().enumerate().map(|(number, arrival)| {
@@ -123,8 +123,12 @@
             (class, outcome, SystemClock.now() - sent)
         }
     });
-    let mut got =
-        ["preview", "build"].map(|_| Got { times: histogram(), ran: 0, not_run: 0, other: 0 });
+    let mut got = ["preview", "build"].map(|_| ClassResult {
+        times: histogram(),
+        ran: 0,
+        not_run: 0,
+        other: 0,
+    });
     for (class, outcome, took) in join_all(calls).await {
         let got = &mut got[usize::from(class == "build")];
         match outcome.as_str() {
--- a/benches/requests/loopback.rs
+++ b/benches/requests/loopback.rs
@@ -1,4 +1,4 @@
-//! What the request path costs on loopback, against calling the stand-in endpoint directly.
+//! Overhead of the request path on loopback, compared with direct calls to the stand-in endpoint.
 
 use crate::support::{Front, config, listed};
 use crate::virtual_time::{histogram, millis, record};
@@ -16,7 +16,7 @@
 const REQUESTS: usize = 4000;
 const CALLERS: usize = 64;
 const TURNS: usize = 300;
-/// Both ends of each caller's connection are in this process, which may open 20,000 files.
+/// Both ends of each connection are in this process, which may open 20,000 files.
 const OPEN_CALLERS: usize = 9500;
 
 pub fn run() {
@@ -104,8 +104,8 @@
     );
 }
 
-/// Time until a request gets its answer although its connection went silent, with a deadline of
-/// 20 s.
+/// Measures the time until a request is answered after its first connection went silent, with a
+/// deadline of 20 s.
 fn silence() {
     const ROUNDS: usize = 8;
     let endpoint = Endpoint::start(EndpointSettings::default());
@@ -129,7 +129,7 @@
     );
 }
 
-/// Processor time of the thread that this is called on.
+/// CPU time of the calling thread.
 fn cpu_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or(0))
--- a/benches/requests/main.rs
+++ b/benches/requests/main.rs
@@ -1,6 +1,6 @@
-//! The request path, measured: routing and overload in virtual time on one arrival trace, and the
-//! cost of the real thing on loopback. Run with `cargo bench --bench requests [part]`, where the
-//! part is `routing`, `overload`, `live` or `loopback`.
+//! Benchmarks of the request path: routing and overload simulated in virtual time on a fixed
+//! arrival trace, and overload and overhead over real sockets on loopback. Run with `cargo bench
+//! --bench requests [part]`, where the part is `routing`, `overload`, `live` or `loopback`.
 
 mod live;
 mod loopback;
--- a/benches/requests/overload.rs
+++ b/benches/requests/overload.rs
@@ -1,7 +1,7 @@
-//! More requests than slots: previews and builds through the queue with patience and weights, and
-//! through a naive one that takes everything and serves it in order.
+//! Simulates more requests than slots: previews and builds through the admission queue with wait
+//! limits and weights, compared with an unbounded FIFO queue.
 
-use crate::virtual_time::{Agenda, exponential, histogram, log_normal, millis, record};
+use crate::virtual_time::{EventQueue, exponential, histogram, log_normal, millis, record};
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -16,10 +16,18 @@
 const RUN: Duration = Duration::from_secs(300);
 const TICK: Duration = Duration::from_millis(20);
 
-/// The classes: name, mean, spread, deadline, weight, and share of the slots at load 1.
+/// Classes with mean service time and deadline in ms, log-normal sigma, weight, and the fraction of
+/// the slots used at load 1.
 const CLASSES: [Class; 2] = [
-    Class { name: "preview", mean: 40, sigma: 0.6, deadline: 2_000, weight: 4, part: 0.4 },
-    Class { name: "build", mean: 2_000, sigma: 0.4, deadline: 30_000, weight: 1, part: 0.4 },
+    Class { name: "preview", mean: 40, sigma: 0.6, deadline: 2_000, weight: 4, slot_fraction: 0.4 },
+    Class {
+        name: "build",
+        mean: 2_000,
+        sigma: 0.4,
+        deadline: 30_000,
+        weight: 1,
+        slot_fraction: 0.4,
+    },
 ];
 
 struct Class {
@@ -28,7 +36,7 @@
     sigma: f64,
     deadline: u64,
     weight: u32,
-    part: f64,
+    slot_fraction: f64,
 }
 
 #[derive(Clone, Copy)]
@@ -44,17 +52,17 @@
     Tick,
 }
 
-/// Whether previews arrive evenly, or half as many and three times that in turns.
+/// Whether previews arrive at a constant rate, or alternately at 0.5 and 1.5 times that rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Arrivals {
     Even,
     Bursts,
 }
 
-/// Time of each turn.
-const TURN: Duration = Duration::from_secs(10);
+/// Duration of each phase of [`Arrivals::Bursts`].
+const PHASE: Duration = Duration::from_secs(10);
 
-/// Who goes next.
+/// The queue under test.
 trait Queue {
     fn offer(&mut self, job: Job, now: Duration);
     fn next(&mut self, now: Duration) -> Option<Job>;
@@ -62,7 +70,7 @@
     fn tick(&mut self, now: Duration);
 }
 
-/// Takes everything and serves it in order.
+/// An unbounded FIFO queue.
 #[derive(Default)]
 struct Fifo {
     waiting: VecDeque<Job>,
@@ -74,10 +82,10 @@
     running: u32,
 }
 
-/// What came of one run.
+/// Results of a run.
 struct Outcome {
     previews: Histogram<u64>,
-    /// Slot time of answers in time, as a share of all slot time.
+    /// Slot time of requests answered in time, as a fraction of the total slot time.
     useful: f64,
     in_time: [u64; 2],
     offered: [u64; 2],
@@ -136,7 +144,7 @@
     );
 }
 
-/// The 99th percentile of each class's service time alone.
+/// The 99th percentile of the service time of each class, without queueing.
 fn unloaded_p99() -> [Duration; 2] {
     CLASSES.each_ref().map(|class| {
         let mut rng = SmallRng::seed_from_u64(SEED);
@@ -148,15 +156,15 @@
 }
 
 fn simulate(loads: [f64; 2], arrivals: Arrivals, queue: &mut dyn Queue) -> Outcome {
-    let mut agenda = Agenda::new();
+    let mut events = EventQueue::new();
     for (at, class) in CLASSES.iter().enumerate() {
         let mut rng = SmallRng::seed_from_u64(SEED + at as u64);
         let mean = Duration::from_millis(class.mean);
-        let gap = mean.div_f64(class.part * loads[at] * f64::from(SLOTS));
+        let gap = mean.div_f64(class.slot_fraction * loads[at] * f64::from(SLOTS));
         let mut arrived = Duration::ZERO;
         while arrived < RUN {
             let bursts = arrivals == Arrivals::Bursts && at == 0;
-            let busy = !(arrived.as_secs() / TURN.as_secs()).is_multiple_of(2);
+            let busy = !(arrived.as_secs() / PHASE.as_secs()).is_multiple_of(2);
             let rate = if !bursts {
                 1.0
             } else if busy {
@@ -166,14 +174,14 @@
             };
             arrived += exponential(&mut rng, gap.div_f64(rate));
             let took = log_normal(&mut rng, mean, class.sigma);
-            agenda.add(arrived, Event::Arrival(Job { class: at, arrived, took }));
+            events.add(arrived, Event::Arrival(Job { class: at, arrived, took }));
         }
     }
     let ticks = (RUN.as_millis() / TICK.as_millis()) as u32;
-    (0..ticks).for_each(|tick| agenda.add(TICK * tick, Event::Tick));
+    (0..ticks).for_each(|tick| events.add(TICK * tick, Event::Tick));
     let mut outcome =
         Outcome { previews: histogram(), useful: 0.0, in_time: [0; 2], offered: [0; 2] };
-    while let Some((now, event)) = agenda.next() {
+    while let Some((now, event)) = events.next() {
         if now > RUN {
             break;
         }
@@ -189,7 +197,7 @@
             }
         }
         while let Some(job) = queue.next(now) {
-            agenda.add(now + job.took, Event::End(job));
+            events.add(now + job.took, Event::End(job));
         }
     }
     outcome.useful /= RUN.as_secs_f64() * f64::from(SLOTS);
--- a/benches/requests/routing.rs
+++ b/benches/requests/routing.rs
@@ -1,7 +1,7 @@
-//! Ways to choose an endpoint, on the same arrivals: daemons that see only their own requests,
-//! endpoints whose service times differ, and noise that moves from one set of them to another.
+//! Compares routing policies on the same arrivals. Each daemon sees only its own requests,
+//! endpoints differ in service time, and a changing set of them is temporarily slowed down.
 
-use crate::virtual_time::{Agenda, exponential, histogram, log_normal, millis, record};
+use crate::virtual_time::{EventQueue, exponential, histogram, log_normal, millis, record};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
 const SERVICE: Duration = Duration::from_millis(50);
 const RUN: Duration = Duration::from_secs(60);
 const WAVE: Duration = Duration::from_secs(7);
-/// Slowness of an endpoint that is hit by a wave, and the share of those.
+/// Slowdown of an endpoint that is affected by a wave, and the fraction of affected endpoints.
 const NOISE: f64 = 4.0;
 const NOISY: f64 = 0.2;
 const LOADS: [f64; 2] = [0.25, 0.4];
@@ -29,7 +29,7 @@
     Wave,
 }
 
-/// Whether daemons hold parts of the slots, or each believes that all are its own.
+/// Whether the slots are split among the daemons, or each uses all of them.
 #[derive(Clone, Copy, PartialEq)]
 enum Split {
     Even,
@@ -54,7 +54,7 @@
     rng: SmallRng,
     endpoints: Vec<Endpoint>,
     daemons: Vec<Daemon>,
-    agenda: Agenda<Event>,
+    events: EventQueue<Event>,
     policy: Policy,
     times: Histogram<u64>,
     violations: u64,
@@ -106,25 +106,25 @@
                 waiting: VecDeque::new(),
             })
             .collect();
-        let mut agenda = Agenda::new();
+        let mut events = EventQueue::new();
         let gap = SERVICE.div_f64(load * (ENDPOINTS as u32 * SLOTS) as f64);
         let mut at = Duration::ZERO;
         while at < RUN {
             at += exponential(&mut trace, gap);
             let base = log_normal(&mut trace, SERVICE, 0.5);
-            agenda.add(at, Event::Arrival { daemon: trace.random_range(0..DAEMONS), base });
+            events.add(at, Event::Arrival { daemon: trace.random_range(0..DAEMONS), base });
         }
         let waves = (RUN.as_secs() / WAVE.as_secs()) as u32;
-        (0..waves).for_each(|wave| agenda.add(WAVE * wave, Event::Wave));
+        (0..waves).for_each(|wave| events.add(WAVE * wave, Event::Wave));
         let rng = SmallRng::seed_from_u64(SEED + 1);
         let times = histogram();
-        Self { rng, endpoints, daemons, agenda, policy, times, violations: 0 }
+        Self { rng, endpoints, daemons, events, policy, times, violations: 0 }
     }
 
     fn run(mut self) -> Self {
-        // The noise is drawn apart from the choices, so that every way meets the same.
+        // The noise has its own random generator, so that it is the same for every policy.
         let mut noise = SmallRng::seed_from_u64(SEED + 2);
-        while let Some((now, event)) = self.agenda.next() {
+        while let Some((now, event)) = self.events.next() {
             match event {
                 Event::Wave => {
                     for endpoint in &mut self.endpoints {
@@ -150,12 +150,12 @@
         if daemon.waiting.is_empty() {
             return;
         }
-        let rooms: Vec<usize> = (0..ENDPOINTS)
+        let free: Vec<usize> = (0..ENDPOINTS)
             .filter(|vm| (daemon.in_flight[*vm].len() as u32) < daemon.shares[*vm])
             .collect();
-        let candidates: Vec<Candidate> = rooms.iter().map(|vm| daemon.see(*vm, now)).collect();
+        let candidates: Vec<Candidate> = free.iter().map(|vm| daemon.candidate(*vm, now)).collect();
         let Some(chosen) = choose(self.policy, &candidates, &mut self.rng) else { return };
-        let vm = rooms[chosen];
+        let vm = free[chosen];
         let Some((arrived, base)) = daemon.waiting.pop_front() else { return };
         daemon.in_flight[vm].push(now);
         let endpoint = &mut self.endpoints[vm];
@@ -164,7 +164,7 @@
         let crowding = 1.0 + 0.5 * f64::from(endpoint.running) / f64::from(SLOTS);
         let took = base.mul_f64(endpoint.factor * endpoint.noise * crowding);
         let end = Event::End { daemon: at, endpoint: vm, started: now, arrived };
-        self.agenda.add(now + took, end);
+        self.events.add(now + took, end);
     }
 
     fn end(&mut self, at: usize, vm: usize, started: Duration, now: Duration) {
@@ -179,7 +179,7 @@
 }
 
 impl Daemon {
-    fn see(&self, vm: usize, now: Duration) -> Candidate {
+    fn candidate(&self, vm: usize, now: Duration) -> Candidate {
         let oldest = self.in_flight[vm].iter().min();
         let overdue = oldest.map_or(0.0, |start| self.estimate.ratio(now - *start));
         Candidate {
--- a/benches/requests/virtual_time.rs
+++ b/benches/requests/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Events in order of virtual time, and the random draws that the measurements share.
+//! A discrete event queue in virtual time, and random distributions used by the benchmarks.
 
 use hdrhistogram::Histogram;
 use rand::Rng;
@@ -7,14 +7,14 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Events due, earliest first; those due at once in the order they were added.
-pub struct Agenda<E> {
+/// A queue of events ordered by time; events with the same time are in insertion order.
+pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(Duration, u64)>>,
     events: indexmap::IndexMap<u64, E>,
     last: u64,
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     pub fn new() -> Self {
         Self { heap: BinaryHeap::new(), events: indexmap::IndexMap::new(), last: 0 }
     }
@@ -31,20 +31,20 @@
     }
 }
 
-/// A draw from an exponential distribution.
+/// Draws from an exponential distribution.
 pub fn exponential(rng: &mut SmallRng, mean: Duration) -> Duration {
     let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
     mean.mul_f64(-uniform.ln())
 }
 
-/// A draw from a log-normal distribution with this mean.
+/// Draws from a log-normal distribution with this mean.
 pub fn log_normal(rng: &mut SmallRng, mean: Duration, sigma: f64) -> Duration {
     let (one, other): (f64, f64) = (rng.random_range(f64::EPSILON..1.0), rng.random());
     let normal = (-2.0 * one.ln()).sqrt() * (std::f64::consts::TAU * other).cos();
     mean.mul_f64((sigma * normal - sigma * sigma / 2.0).exp())
 }
 
-/// Times in microseconds, up to a day.
+/// A histogram of times in microseconds, up to a day.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 86_400_000_000, 3).expect("the bounds are in order")
 }
