--- a/src/request/admission.rs
+++ b/src/request/admission.rs
@@ -239,8 +239,8 @@
         self.running > 0 || !self.teams.is_empty()
     }
 
-    /// Predicted wait of another request of `team` if the class has `share` slots. Teams take turns,
-    /// so that it waits for the requests of its own team and as many of each other team.
+    /// Predicted wait of another request of `team` if the class has `share` slots. Teams take
+    /// turns, so that it waits for the requests of its own team and as many of each other team.
     fn predicted_wait(&self, team: &Option<TeamName>, share: f64) -> Duration {
         let own = self.teams.get(team).map_or(0, VecDeque::len);
         let ahead: usize = self.teams.values().map(|waiting| waiting.len().min(own + 1)).sum();
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -91,7 +91,8 @@
         let mut conn = match self.usable_conn(endpoint).await {
             Ok(conn) => conn,
             Err(why) => {
-                // A silent idle connection doesn't count against the endpoint; new ones that fail do.
+                // A silent idle connection is not evidence against the endpoint; new ones that fail
+                // are.
                 slot.record(Evidence::Bad);
                 return Err(AttemptResult::NotRun(why));
             }
