--- a/src/front.rs
+++ b/src/front.rs
@@ -139,9 +139,9 @@
         loop {
             let seen = view.borrow_and_update().clone();
             dispatcher.configure(seen.config.clone());
-            dispatcher.endpoints(&seen.endpoints);
+            dispatcher.set_endpoints(&seen.endpoints);
             let peers: Vec<_> = seen.peers.iter().filter(|p| p.id != me).cloned().collect();
-            dispatcher.peers(&peers);
+            dispatcher.set_peers(&peers);
             if seen.stage == Stage::Draining {
                 dispatcher.drain();
                 report_in_flight(&dispatcher, &in_flight).await;
--- a/src/front/explain.rs
+++ b/src/front/explain.rs
@@ -1,6 +1,6 @@
 //! API that explains decisions about tasks, VMs and requests.
 
-use super::forward::{ask_daemon, ask_writer, refusal};
+use super::forward::{call_daemon, call_writer, refusal};
 use super::tasks::read_id;
 use super::{Links, State, answer};
 use crate::api::{ApiError, ErrorKind, Explanation, Result};
@@ -23,7 +23,7 @@
 
 async fn explain_task(links: &Links, id: &str) -> Result<Explanation> {
     let task = read_id(id)?;
-    let shown = match ask_writer(links, task.partition, Call::Show { task }).await {
+    let shown = match call_writer(links, task.partition, Call::Show { task }).await {
         Reply::Task(shown) => shown,
         reply => return Err(refusal(reply)),
     };
@@ -47,7 +47,7 @@
     let mut explanation = Explanation { complete: true, ..Explanation::default() };
     for member in members {
         let call = Call::Explain { subject: subject.clone() };
-        let reply = ask_daemon(links, member.clone(), call).await;
+        let reply = call_daemon(links, member.clone(), call).await;
         match reply {
             Reply::Records { records, forgotten: false } => explanation.records.extend(records),
             Reply::Records { records, forgotten: true } => {
--- a/src/front/forward.rs
+++ b/src/front/forward.rs
@@ -10,8 +10,8 @@
 use actix::Addr;
 
 /// Calls the writer of a partition: this daemon, or another one directly.
-pub async fn ask_writer(links: &Links, partition: PartitionId, call: Call) -> Reply {
-    match ask_here(&links.control, &links.storage, call.clone()).await {
+pub async fn call_writer(links: &Links, partition: PartitionId, call: Call) -> Reply {
+    match call_local_writer(&links.control, &links.storage, call.clone()).await {
         Reply::NotWriter => {}
         reply => return reply,
     }
@@ -22,31 +22,35 @@
         .ok()
         .flatten();
     match writer {
-        Some(writer) if writer != links.me => ask_daemon(links, writer, call).await,
+        Some(writer) if writer != links.me => call_daemon(links, writer, call).await,
         _ => Reply::NotSent { reason: format!("partition {partition} has no writer yet") },
     }
 }
 
 /// Calls this daemon as the writer of the partition.
-pub async fn ask_here(control: &Addr<Control>, storage: &Addr<Storage>, call: Call) -> Reply {
+pub async fn call_local_writer(
+    control: &Addr<Control>,
+    storage: &Addr<Storage>,
+    call: Call,
+) -> Reply {
     if let Call::Submit { partition, key, .. } = &call {
         let find = FindKey { partition: *partition, key: key.clone() };
         if let Ok(Some(task)) = storage.send(find).await {
             return Reply::Answer(Answer::Accepted { task, repeated: true });
         }
     }
-    ask_core(control, call).await
+    call_core(control, call).await
 }
 
-async fn ask_core(control: &Addr<Control>, call: Call) -> Reply {
+async fn call_core(control: &Addr<Control>, call: Call) -> Reply {
     let reply = control.send(Ask(call)).await;
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
 }
 
 /// Calls a daemon, which may be this one.
-pub async fn ask_daemon(links: &Links, to: DaemonId, call: Call) -> Reply {
+pub async fn call_daemon(links: &Links, to: DaemonId, call: Call) -> Reply {
     if to == links.me {
-        return ask_core(&links.control, call).await;
+        return call_core(&links.control, call).await;
     }
     let reply = links.peers.send(Forward { to, call }).await;
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
--- a/src/front/shares.rs
+++ b/src/front/shares.rs
@@ -1,6 +1,6 @@
 //! Requests slots from the holders of the endpoints' control leases.
 
-use super::forward::ask_daemon;
+use super::forward::call_daemon;
 use super::view::{ListRead, Stage};
 use super::{Links, SlotWait};
 use crate::clock::Clock;
@@ -69,7 +69,7 @@
     }
     let sent = links.clock.now();
     let batches =
-        batches.into_iter().map(|(holder, asks)| ask_daemon(links, holder, Call::Slots { asks }));
+        batches.into_iter().map(|(holder, asks)| call_daemon(links, holder, Call::Slots { asks }));
     for reply in futures::future::join_all(batches).await {
         if let Reply::Slots(grants) = reply {
             grants.iter().for_each(|grant| dispatcher.share_granted(grant, sent));
--- a/src/front/status.rs
+++ b/src/front/status.rs
@@ -1,6 +1,6 @@
 //! API for the status of the daemon and its VMs.
 
-use super::forward::ask_daemon;
+use super::forward::call_daemon;
 use super::view::Stage;
 use super::{Links, State, answer};
 use crate::api::{
@@ -135,7 +135,7 @@
     let members: Vec<_> = links.view.borrow().serving().cloned().collect();
     let mut vms = Vec::new();
     for member in members {
-        let reply = ask_daemon(links, member, Call::Vms).await;
+        let reply = call_daemon(links, member, Call::Vms).await;
         if let Reply::Vms(held) = reply {
             vms.extend(held);
         }
--- a/src/front/tasks.rs
+++ b/src/front/tasks.rs
@@ -1,6 +1,6 @@
 //! API to submit, show, list and cancel tasks.
 
-use super::forward::{ask_daemon, ask_writer, refusal};
+use super::forward::{call_daemon, call_writer, refusal};
 use super::{Links, State, answer};
 use crate::api::{
     ApiError, CancelReply, DEFAULT_PAGE, ErrorKind, MAX_PAGE, Result, SubmitPriority, SubmitReply,
@@ -31,7 +31,7 @@
     let spec = build_spec(&config, &req)?;
     let partition = partition_of(&links.partitions, &req.key)?;
     let call = Call::Submit { partition, key: req.key, spec };
-    match ask_writer(links, partition, call).await {
+    match call_writer(links, partition, call).await {
         Reply::Answer(Answer::Accepted { task, repeated }) => Ok(SubmitReply { task, repeated }),
         reply => Err(refusal(reply)),
     }
@@ -91,7 +91,7 @@
 
 async fn show_task(links: &Links, id: &str) -> Result<TaskView> {
     let task = read_id(id)?;
-    match ask_writer(links, task.partition, Call::Show { task }).await {
+    match call_writer(links, task.partition, Call::Show { task }).await {
         Reply::Task(shown) => Ok(to_view(*shown)),
         reply => Err(refusal(reply)),
     }
@@ -113,7 +113,7 @@
 
 async fn cancel_task(links: &Links, id: &str) -> Result<CancelReply> {
     let task = read_id(id)?;
-    match ask_writer(links, task.partition, Call::Cancel { task }).await {
+    match call_writer(links, task.partition, Call::Cancel { task }).await {
         Reply::Answer(Answer::Cancelling { task }) => Ok(CancelReply { task }),
         reply => Err(refusal(reply)),
     }
@@ -131,7 +131,7 @@
     let mut tasks = Vec::new();
     let mut missing = Vec::new();
     for member in members {
-        let reply = ask_daemon(links, member.clone(), Call::List).await;
+        let reply = call_daemon(links, member.clone(), Call::List).await;
         match reply {
             Reply::Tasks(shown) => {
                 tasks.extend(shown.into_iter().filter(|s| matches_query(s, query)).map(to_view));
--- a/src/peers/server.rs
+++ b/src/peers/server.rs
@@ -3,7 +3,7 @@
 use super::{Call, Incoming, MAX_FRAME_BYTES, PeerRpc, Peers, Reply};
 use crate::config::follow::Known;
 use crate::control::Control;
-use crate::front::forward::ask_here;
+use crate::front::forward::call_local_writer;
 use crate::ids::Revision;
 use crate::peer::{Member, PeerMsg};
 use crate::storage::{GetSnapshot, HearRevision, Storage};
@@ -74,7 +74,7 @@
     }
 
     async fn forward(self, _: Context, call: Call) -> Reply {
-        ask_here(&self.control, &self.storage, call).await
+        call_local_writer(&self.control, &self.storage, call).await
     }
 }
 
--- a/src/request/dispatch.rs
+++ b/src/request/dispatch.rs
@@ -123,13 +123,13 @@
 
     /// Replaces the list of endpoints. Those that are leaving or no longer listed finish their
     /// requests and get no new ones.
-    pub fn endpoints(&self, listed: &[EndpointInfo]) {
+    pub fn set_endpoints(&self, listed: &[EndpointInfo]) {
         self.0.fleet.set_endpoints(listed);
     }
 
     /// Replaces the list of other daemons. Those of this domain share its endpoints' slots;
     /// requests may be forwarded to those of other domains.
-    pub fn peers(&self, fronts: &[PeerFront]) {
+    pub fn set_peers(&self, fronts: &[PeerFront]) {
         let home = fronts.iter().filter(|front| front.domain == self.0.settings.domain);
         self.0.fleet.set_domain_daemons(home.map(|front| front.id.clone()).collect());
         let mut peers = self.0.peers.borrow_mut();
--- a/src/request/health.rs
+++ b/src/request/health.rs
@@ -41,7 +41,7 @@
 /// Health state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum HealthState {
     Open,
     /// Gets no requests; probed from `until` on.
     Ejected {
@@ -93,13 +93,13 @@
     }
 
     /// The current state.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> HealthState {
         match self.state {
-            State::Open => Standing::Open,
-            State::Ejected => Standing::Ejected { until: self.at },
-            State::Returning => Standing::Returning { since: self.at },
-            State::Leaving => Standing::Leaving { until: self.at },
-            State::Gone => Standing::Gone,
+            State::Open => HealthState::Open,
+            State::Ejected => HealthState::Ejected { until: self.at },
+            State::Returning => HealthState::Returning { since: self.at },
+            State::Leaving => HealthState::Leaving { until: self.at },
+            State::Gone => HealthState::Gone,
         }
     }
 
--- a/src/request/status.rs
+++ b/src/request/status.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{ClassName, DomainId, ServiceName, VmId};
 use crate::request::endpoint::EndpointState;
-use crate::request::health::Standing;
+use crate::request::health::HealthState;
 use crate::request::outcome::Reason;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
     pub service: ServiceName,
     pub domain: DomainId,
     pub listed: EndpointState,
-    pub standing: Standing,
+    pub standing: HealthState,
     /// Fraction of recent answers that were failures.
     pub failed_share: f64,
     /// Recent service time relative to the estimate of the requests' classes.
--- a/src/request/tests/health.rs
+++ b/src/request/tests/health.rs
@@ -1,4 +1,4 @@
-use crate::request::health::{Health, Standing, life, may_eject};
+use crate::request::health::{Health, HealthState, life, may_eject};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -15,7 +15,7 @@
         health.failed(SECOND, true);
         (0..4).for_each(|_| health.succeeded(SECOND));
     }
-    assert_eq!(health.standing(), Standing::Open);
+    assert_eq!(health.standing(), HealthState::Open);
 }
 
 #[test]
@@ -32,7 +32,7 @@
 fn no_endpoint_is_ejected_beyond_the_limit() {
     let mut health = Health::new();
     (0..100).for_each(|_| health.failed(SECOND, false));
-    assert_eq!(health.standing(), Standing::Open);
+    assert_eq!(health.standing(), HealthState::Open);
     let allowed: Vec<bool> = (0..4).map(|ejected| may_eject(ejected, 4)).collect();
     assert_eq!(allowed, [true, true, false, false]);
     assert!(!may_eject(0, 1), "the only endpoint is never ejected");
@@ -56,9 +56,9 @@
     eject(&mut health, SECOND);
     health.probed(true, SECOND * 2);
     health.failed(SECOND * 3, true);
-    assert_eq!(health.standing(), Standing::Ejected { until: SECOND * 5 });
+    assert_eq!(health.standing(), HealthState::Ejected { until: SECOND * 5 });
     health.probed(false, SECOND * 5);
-    assert_eq!(health.standing(), Standing::Ejected { until: SECOND * 9 });
+    assert_eq!(health.standing(), HealthState::Ejected { until: SECOND * 9 });
 }
 
 #[test]
@@ -84,6 +84,6 @@
     let mut health = Health::new();
     health.delisted();
     health.probed(true, SECOND);
-    assert_eq!(health.standing(), Standing::Gone);
+    assert_eq!(health.standing(), HealthState::Gone);
     assert_eq!((health.usable(8, SECOND * 100), health.wants_probe(SECOND * 100)), (0, false));
 }
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -208,7 +208,7 @@
         let mut info = listed("leaving", leaving);
         info.state = EndpointState::Leaving;
         let endpoints = [info, listed("remaining", remaining)];
-        front.with(move |dispatcher| dispatcher.endpoints(&endpoints));
+        front.with(move |dispatcher| dispatcher.set_endpoints(&endpoints));
     };
     for (name, leave) in [("word", by_word), ("refusal", by_refusal), ("list", by_list)] {
         let leaving = Endpoint::start(EndpointSettings::default());
@@ -327,10 +327,10 @@
     let endpoint = Endpoint::start(EndpointSettings::default());
     let info = listed_in("away", "vm-1", &endpoint);
     let infos = [info.clone()];
-    away.with(move |dispatcher| dispatcher.endpoints(&infos));
-    home.with(move |dispatcher| dispatcher.endpoints(&[info]));
+    away.with(move |dispatcher| dispatcher.set_endpoints(&infos));
+    home.with(move |dispatcher| dispatcher.set_endpoints(&[info]));
     let fronts = [peer("d2", "away", &away)];
-    home.with(move |dispatcher| dispatcher.peers(&fronts));
+    home.with(move |dispatcher| dispatcher.set_peers(&fronts));
     for (id, tail) in [("a", "x"), ("b", "x?bytes=500000"), ("c", "x?bytes=500000&chunked=1")] {
         assert_ran(&call(home.addr, "build", tail, id), id);
     }
@@ -347,8 +347,8 @@
     let (one, other) = (front_of("d1", "home"), front_of("d2", "away"));
     let to_other = [peer("d2", "away", &other)];
     let to_one = [peer("d1", "home", &one)];
-    one.with(move |dispatcher| dispatcher.peers(&to_other));
-    other.with(move |dispatcher| dispatcher.peers(&to_one));
+    one.with(move |dispatcher| dispatcher.set_peers(&to_other));
+    other.with(move |dispatcher| dispatcher.set_peers(&to_one));
     let got = call(one.addr, "build", "x", "lost");
     assert_eq!((got.outcome(), got.reason()), ("not-run", "no-endpoint"), "{got:?}");
     let Explained::Known(entry) = one.explain("lost") else { panic!("forgotten") };
@@ -361,7 +361,7 @@
     let home = front_of("d1", "home");
     let nowhere =
         [PeerFront { id: "d2".into(), domain: "away".into(), addr: "127.0.0.1:1".to_owned() }];
-    home.with(move |dispatcher| dispatcher.peers(&nowhere));
+    home.with(move |dispatcher| dispatcher.set_peers(&nowhere));
     let got = call(home.addr, "build", "x", "r");
     assert_eq!((got.outcome(), got.reason()), ("not-run", "no-endpoint"), "{got:?}");
 }
@@ -384,7 +384,7 @@
             let front = Front::start_with(settings, config(8), &[listed("vm-1", &endpoint)]);
             assert_eq!(share(&front), 8, "a single daemon has all slots");
             let others: Vec<PeerFront> = ids.iter().map(|id| domain_peer(id.as_str())).collect();
-            front.with(move |dispatcher| dispatcher.peers(&others));
+            front.with(move |dispatcher| dispatcher.set_peers(&others));
             front
         })
         .collect();
--- a/tests/request_support/mod.rs
+++ b/tests/request_support/mod.rs
@@ -71,7 +71,7 @@
         let endpoints = endpoints.to_vec();
         front.with(move |dispatcher| {
             dispatcher.configure(Arc::new(cfg));
-            dispatcher.endpoints(&endpoints);
+            dispatcher.set_endpoints(&endpoints);
         });
         front
     }
