--- a/src/daemon/start.rs
+++ b/src/daemon/start.rs
@@ -5,7 +5,7 @@
 use crate::control::{Connect, Control, Rings};
 use crate::core::{Core, CoreSettings, PartitionHome};
 use crate::front::view::FrontView;
-use crate::front::{self, Links};
+use crate::front::{self, DaemonHandles};
 use crate::ids::{DaemonId, PartitionId, Revision};
 use crate::membership::MembershipSettings;
 use crate::metrics::Metrics;
@@ -75,7 +75,7 @@
             peers: Ring::new(peers.clone(), WhenFull::Wait { limit: WAITING_ACTIONS }),
         }));
         let in_flight = Arc::new(AtomicUsize::new(0));
-        let links = Links {
+        let handles = DaemonHandles {
             me: self.me.clone(),
             domain: self.settings.domain.clone(),
             lease_ttl: self.settings.leases.ttl,
@@ -94,8 +94,8 @@
         };
         let dispatch = DispatcherSettings::new(self.me.clone(), self.settings.domain.clone());
         let addr = self.settings.listen.front;
-        let front =
-            front::serve(addr, links, dispatch).map_err(|source| Error::Listen { addr, source })?;
+        let front = front::serve(addr, handles, dispatch)
+            .map_err(|source| Error::Listen { addr, source })?;
         let peer_addr = member.peer_addr.parse().unwrap_or(self.settings.listen.peer);
         let started = Started { front_addr: front.addr, peer_addr };
         let drain = self.settings.timing.drain;
--- a/src/front.rs
+++ b/src/front.rs
@@ -46,7 +46,7 @@
 
 /// Handles to the other parts of the daemon.
 #[derive(Clone)]
-pub struct Links {
+pub struct DaemonHandles {
     pub me: DaemonId,
     pub domain: DomainId,
     /// Duration of control leases.
@@ -69,7 +69,7 @@
 
 /// State shared by the handlers of the front end's thread.
 struct State {
-    links: Links,
+    handles: DaemonHandles,
     dispatcher: Dispatcher,
     slot_wait: Rc<Cell<SlotWait>>,
 }
@@ -85,16 +85,20 @@
 }
 
 /// Listens on `addr` and serves until stopped, on the current actix system.
-pub fn serve(addr: SocketAddr, links: Links, settings: DispatcherSettings) -> Result<Front> {
+pub fn serve(
+    addr: SocketAddr,
+    handles: DaemonHandles,
+    settings: DispatcherSettings,
+) -> Result<Front> {
     let listener = TcpListener::bind(addr)?;
     let addr = listener.local_addr()?;
     let server = HttpServer::new(move || {
-        let dispatcher = Dispatcher::new(settings.clone(), links.clock.clone());
+        let dispatcher = Dispatcher::new(settings.clone(), handles.clock.clone());
         let dispatcher = dispatcher.with_shares(Shares::Granted);
-        follow_view(&links, &dispatcher);
+        follow_view(&handles, &dispatcher);
         let slot_wait = Rc::new(Cell::new(SlotWait::Waiting));
-        shares::follow(&links, &dispatcher, &slot_wait);
-        let state = State { links: links.clone(), dispatcher: dispatcher.clone(), slot_wait };
+        shares::follow(&handles, &dispatcher, &slot_wait);
+        let state = State { handles: handles.clone(), dispatcher: dispatcher.clone(), slot_wait };
         App::new()
             .app_data(web::Data::new(state))
             .app_data(web::JsonConfig::default().limit(MAX_CALL_BYTES).error_handler(reject_json))
@@ -130,11 +134,11 @@
 }
 
 /// Updates the dispatcher whenever the view changes.
-fn follow_view(links: &Links, dispatcher: &Dispatcher) {
-    let mut view = links.view.clone();
+fn follow_view(handles: &DaemonHandles, dispatcher: &Dispatcher) {
+    let mut view = handles.view.clone();
     let dispatcher = dispatcher.clone();
-    let in_flight = links.in_flight.clone();
-    let me = links.me.clone();
+    let in_flight = handles.in_flight.clone();
+    let me = handles.me.clone();
     actix::spawn(async move {
         loop {
             let seen = view.borrow_and_update().clone();
@@ -166,7 +170,7 @@
 }
 
 async fn ready(state: web::Data<State>) -> HttpResponse {
-    match state.links.view.borrow().stage {
+    match state.handles.view.borrow().stage {
         Stage::Serving if state.slot_wait.get() == SlotWait::Waiting => {
             HttpResponse::ServiceUnavailable().body("waiting for slots\n")
         }
--- a/src/front/config.rs
+++ b/src/front/config.rs
@@ -1,6 +1,6 @@
 //! API to apply, confirm and show the configuration, and to read the audit trail.
 
-use super::{Links, State, answer};
+use super::{DaemonHandles, State, answer};
 use crate::api::{
     ApiError, ApplyReply, ApplyReq, AuditPage, AuditQuery, AuditView, CallOutcome, ConfigView,
     ConfirmReq, DEFAULT_PAGE, ErrorKind, FileView, MAX_PAGE, Result,
@@ -21,10 +21,10 @@
 }
 
 async fn apply(state: web::Data<State>, req: web::Json<ApplyReq>) -> HttpResponse {
-    answer(apply_file(&state.links, req.into_inner()).await)
+    answer(apply_file(&state.handles, req.into_inner()).await)
 }
 
-async fn apply_file(links: &Links, req: ApplyReq) -> Result<ApplyReply> {
+async fn apply_file(handles: &DaemonHandles, req: ApplyReq) -> Result<ApplyReply> {
     let action = match req.text {
         Some(text) => Action::Replace { text },
         None => Action::Remove,
@@ -36,19 +36,19 @@
         action,
         base: req.base,
     };
-    let applied = links.storage.send(Apply(change)).await.map_err(|e| storage_stopped(&e))?;
+    let applied = handles.storage.send(Apply(change)).await.map_err(|e| storage_stopped(&e))?;
     applied.map(|applied| reply(&applied)).map_err(apply_error)
 }
 
 async fn confirm(state: web::Data<State>, req: web::Json<ConfirmReq>) -> HttpResponse {
-    answer(confirm_change(&state.links, &req).await)
+    answer(confirm_change(&state.handles, &req).await)
 }
 
-async fn confirm_change(links: &Links, req: &ConfirmReq) -> Result<ApplyReply> {
+async fn confirm_change(handles: &DaemonHandles, req: &ConfirmReq) -> Result<ApplyReply> {
     let change = &req.change_id;
     let confirm =
         Confirm { change: ChangeId::new(change), operator: OperatorName::new(&req.operator) };
-    let confirmed = links.storage.send(confirm).await.map_err(|e| storage_stopped(&e))?;
+    let confirmed = handles.storage.send(confirm).await.map_err(|e| storage_stopped(&e))?;
     match confirmed.map_err(apply_error)? {
         Confirmation::Applied(applied) => Ok(reply(&applied)),
         Confirmation::NotApplied { since } => Err(ApiError::new(
@@ -95,11 +95,11 @@
 }
 
 async fn show(state: web::Data<State>) -> HttpResponse {
-    answer(show_files(&state.links).await)
+    answer(show_files(&state.handles).await)
 }
 
-async fn show_files(links: &Links) -> Result<ConfigView> {
-    let standing = links.storage.send(GetStanding).await.map_err(|e| storage_stopped(&e))?;
+async fn show_files(handles: &DaemonHandles) -> Result<ConfigView> {
+    let standing = handles.storage.send(GetStanding).await.map_err(|e| storage_stopped(&e))?;
     let Some(snapshot) = standing.snapshot else {
         return Ok(ConfigView { revision: Revision(0), files: Vec::new() });
     };
@@ -111,14 +111,14 @@
 }
 
 async fn audit(state: web::Data<State>, query: web::Query<AuditQuery>) -> HttpResponse {
-    answer(read_audit(&state.links, &query).await)
+    answer(read_audit(&state.handles, &query).await)
 }
 
-async fn read_audit(links: &Links, query: &AuditQuery) -> Result<AuditPage> {
+async fn read_audit(handles: &DaemonHandles, query: &AuditQuery) -> Result<AuditPage> {
     let limit = query.limit.unwrap_or(DEFAULT_PAGE).min(MAX_PAGE);
     let read =
         ReadAudit { before: query.before, limit: usize::try_from(limit).unwrap_or(usize::MAX) };
-    let page = links.storage.send(read).await.map_err(|e| storage_stopped(&e))?;
+    let page = handles.storage.send(read).await.map_err(|e| storage_stopped(&e))?;
     let missing = page.missing.as_ref().map(missing_text);
     Ok(AuditPage {
         entries: page.entries.iter().map(view).collect(),
--- a/src/front/explain.rs
+++ b/src/front/explain.rs
@@ -2,7 +2,7 @@
 
 use super::forward::{call_daemon, call_writer, refusal};
 use super::tasks::read_id;
-use super::{Links, State, answer};
+use super::{DaemonHandles, State, answer};
 use crate::api::{ApiError, ErrorKind, Explanation, Result};
 use crate::core::policy::Subject;
 use crate::ids::{RequestId, VmId};
@@ -18,16 +18,16 @@
 }
 
 async fn task(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
-    answer(explain_task(&state.links, &path).await)
+    answer(explain_task(&state.handles, &path).await)
 }
 
-async fn explain_task(links: &Links, id: &str) -> Result<Explanation> {
+async fn explain_task(handles: &DaemonHandles, id: &str) -> Result<Explanation> {
     let task = read_id(id)?;
-    let shown = match call_writer(links, task.partition, Call::Show { task }).await {
+    let shown = match call_writer(handles, task.partition, Call::Show { task }).await {
         Reply::Task(shown) => shown,
         reply => return Err(refusal(reply)),
     };
-    let mut explanation = collect_records(links, Subject::Task(task)).await;
+    let mut explanation = collect_records(handles, Subject::Task(task)).await;
     if let Some(waiting_for) = shown.waiting_for {
         explanation.missing =
             Some(join(explanation.missing.take(), &format!("now waiting {waiting_for}")));
@@ -37,17 +37,17 @@
 
 async fn vm(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
     let subject = Subject::Vm(VmId::new(&path));
-    answer(Ok(collect_records(&state.links, subject).await))
+    answer(Ok(collect_records(&state.handles, subject).await))
 }
 
 /// Collects the records of all serving daemons: the placements of a task are recorded by the
 /// writers of its partition, its throttles and evictions by the holders of its VMs.
-async fn collect_records(links: &Links, subject: Subject) -> Explanation {
-    let members: Vec<_> = links.view.borrow().serving().cloned().collect();
+async fn collect_records(handles: &DaemonHandles, subject: Subject) -> Explanation {
+    let members: Vec<_> = handles.view.borrow().serving().cloned().collect();
     let mut explanation = Explanation { complete: true, ..Explanation::default() };
     for member in members {
         let call = Call::Explain { subject: subject.clone() };
-        let reply = call_daemon(links, member.clone(), call).await;
+        let reply = call_daemon(handles, member.clone(), call).await;
         match reply {
             Reply::Records { records, forgotten: false } => explanation.records.extend(records),
             Reply::Records { records, forgotten: true } => {
@@ -94,12 +94,12 @@
         Explained::Forgotten { until } => Err(ApiError::new(
             ErrorKind::NotFound,
             match until {
-                None => format!("request `{id}` never came to {}", state.links.me),
+                None => format!("request `{id}` never came to {}", state.handles.me),
                 Some(until) => format!(
                     "{} does not know request `{id}`; it has forgotten those that came more than \
                      {} s ago",
-                    state.links.me,
-                    state.links.clock.now().saturating_sub(until).as_secs()
+                    state.handles.me,
+                    state.handles.clock.now().saturating_sub(until).as_secs()
                 ),
             },
             "ask the daemon that answered the request; each remembers its own latest requests",
--- a/src/front/forward.rs
+++ b/src/front/forward.rs
@@ -1,6 +1,6 @@
 //! Forwards API calls about tasks to the daemon that can answer them.
 
-use super::Links;
+use super::DaemonHandles;
 use crate::api::{ApiError, CallOutcome, ErrorKind};
 use crate::control::{Ask, Control, Inspect};
 use crate::core::event::Answer;
@@ -10,19 +10,19 @@
 use actix::Addr;
 
 /// Calls the writer of a partition: this daemon, or another one directly.
-pub async fn call_writer(links: &Links, partition: PartitionId, call: Call) -> Reply {
-    match call_local_writer(&links.control, &links.storage, call.clone()).await {
+pub async fn call_writer(handles: &DaemonHandles, partition: PartitionId, call: Call) -> Reply {
+    match call_local_writer(&handles.control, &handles.storage, call.clone()).await {
         Reply::NotWriter => {}
         reply => return reply,
     }
-    let writer = links
+    let writer = handles
         .control
         .send(Inspect(move |control: &Control| control.core().writer_of(partition)))
         .await
         .ok()
         .flatten();
     match writer {
-        Some(writer) if writer != links.me => call_daemon(links, writer, call).await,
+        Some(writer) if writer != handles.me => call_daemon(handles, writer, call).await,
         _ => Reply::NotSent { reason: format!("partition {partition} has no writer yet") },
     }
 }
@@ -48,11 +48,11 @@
 }
 
 /// Calls a daemon, which may be this one.
-pub async fn call_daemon(links: &Links, to: DaemonId, call: Call) -> Reply {
-    if to == links.me {
-        return call_core(&links.control, call).await;
+pub async fn call_daemon(handles: &DaemonHandles, to: DaemonId, call: Call) -> Reply {
+    if to == handles.me {
+        return call_core(&handles.control, call).await;
     }
-    let reply = links.peers.send(Forward { to, call }).await;
+    let reply = handles.peers.send(Forward { to, call }).await;
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
 }
 
--- a/src/front/shares.rs
+++ b/src/front/shares.rs
@@ -2,7 +2,7 @@
 
 use super::forward::call_daemon;
 use super::view::{ListRead, Stage};
-use super::{Links, SlotWait};
+use super::{DaemonHandles, SlotWait};
 use crate::clock::Clock;
 use crate::control::{Control, Inspect};
 use crate::ids::{DaemonId, VmId};
@@ -19,15 +19,15 @@
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// Requests slots twice a second, and whenever the view changes, until the front end stops.
-pub fn follow(links: &Links, dispatcher: &Dispatcher, slot_wait: &Rc<Cell<SlotWait>>) {
-    let (links, dispatcher) = (links.clone(), dispatcher.clone());
+pub fn follow(handles: &DaemonHandles, dispatcher: &Dispatcher, slot_wait: &Rc<Cell<SlotWait>>) {
+    let (handles, dispatcher) = (handles.clone(), dispatcher.clone());
     let slot_wait = slot_wait.clone();
-    let start = links.clock.now();
-    let mut view = links.view.clone();
+    let start = handles.clock.now();
+    let mut view = handles.view.clone();
     actix::spawn(async move {
         loop {
-            request_slots(&links, &dispatcher).await;
-            if slot_wait.get() == SlotWait::Waiting && is_wait_over(&links, &dispatcher, start) {
+            request_slots(&handles, &dispatcher).await;
+            if slot_wait.get() == SlotWait::Waiting && is_wait_over(&handles, &dispatcher, start) {
                 slot_wait.set(SlotWait::Done);
             }
             tokio::select! {
@@ -39,24 +39,24 @@
 }
 
 /// Whether the daemon has slots, or no endpoint can have any, or the maximum wait has passed.
-fn is_wait_over(links: &Links, dispatcher: &Dispatcher, start: Duration) -> bool {
-    let waited = links.clock.now().saturating_sub(start);
+fn is_wait_over(handles: &DaemonHandles, dispatcher: &Dispatcher, start: Duration) -> bool {
+    let waited = handles.clock.now().saturating_sub(start);
     let endpoints = dispatcher.status().endpoints;
     let known = {
-        let view = links.view.borrow();
+        let view = handles.view.borrow();
         view.stage != Stage::Starting && view.list == ListRead::Read
     };
-    let no_endpoints = links.view.borrow().config.services.is_empty() || endpoints.is_empty();
+    let no_endpoints = handles.view.borrow().config.services.is_empty() || endpoints.is_empty();
     (known && no_endpoints)
         || waited >= MAX_WAIT
         || endpoints.iter().any(|endpoint| endpoint.share > 0)
 }
 
-async fn request_slots(links: &Links, dispatcher: &Dispatcher) {
+async fn request_slots(handles: &DaemonHandles, dispatcher: &Dispatcher) {
     let asks = dispatcher.share_requests();
     let vms: Vec<VmId> = asks.iter().map(|ask| ask.vm.clone()).collect();
-    let domain = links.domain.clone();
-    let holders = links.control.send(Inspect(move |control: &Control| {
+    let domain = handles.domain.clone();
+    let holders = handles.control.send(Inspect(move |control: &Control| {
         let core = control.core();
         vms.iter().map(|vm| core.holder_of(vm, &domain)).collect::<Vec<_>>()
     }));
@@ -67,9 +67,10 @@
             batches.entry(holder).or_default().push(ask);
         }
     }
-    let sent = links.clock.now();
-    let batches =
-        batches.into_iter().map(|(holder, asks)| call_daemon(links, holder, Call::Slots { asks }));
+    let sent = handles.clock.now();
+    let batches = batches
+        .into_iter()
+        .map(|(holder, asks)| call_daemon(handles, holder, Call::Slots { asks }));
     for reply in futures::future::join_all(batches).await {
         if let Reply::Slots(grants) = reply {
             grants.iter().for_each(|grant| dispatcher.share_granted(grant, sent));
--- a/src/front/status.rs
+++ b/src/front/status.rs
@@ -2,7 +2,7 @@
 
 use super::forward::call_daemon;
 use super::view::Stage;
-use super::{Links, State, answer};
+use super::{DaemonHandles, State, answer};
 use crate::api::{
     ApiError, DaemonState, ErrorKind, MemberStatus, PartitionStatus, Result, Status, StoreStatus,
     VmDetail, VmSummary, millis,
@@ -33,27 +33,27 @@
 }
 
 async fn status(state: web::Data<State>) -> HttpResponse {
-    answer(read_status(&state.links, state.dispatcher.status()).await)
+    answer(read_status(&state.handles, state.dispatcher.status()).await)
 }
 
-async fn read_status(links: &Links, requests: RequestStatus) -> Result<Status> {
-    let partitions = links.partitions.clone();
-    let near = links.lease_ttl / 3;
+async fn read_status(handles: &DaemonHandles, requests: RequestStatus) -> Result<Status> {
+    let partitions = handles.partitions.clone();
+    let near = handles.lease_ttl / 3;
     let read = move |control: &Control| read_core(control, &partitions, near);
-    let core = links.control.send(Inspect(read));
+    let core = handles.control.send(Inspect(read));
     let mut core = core.await.map_err(|e| stopping(&e))?;
-    let reach = links.storage.send(GetStanding).await.map_err(|e| stopping(&e))?.reach;
-    let since = links.clock.now().saturating_sub(reach.since);
+    let reach = handles.storage.send(GetStanding).await.map_err(|e| stopping(&e))?.reach;
+    let since = handles.clock.now().saturating_sub(reach.since);
     for (class, count) in requests.queued {
         core.queued.insert(class, u32::try_from(count).unwrap_or(u32::MAX));
     }
     for (reason, count) in requests.refusals {
         core.refusals.insert(reason.as_str().to_owned(), count);
     }
-    let view = links.view.borrow();
+    let view = handles.view.borrow();
     Ok(Status {
-        daemon: links.me.clone(),
-        domain: links.domain.clone(),
+        daemon: handles.me.clone(),
+        domain: handles.domain.clone(),
         state: match view.stage {
             Stage::Starting => DaemonState::Starting,
             Stage::Serving => DaemonState::Serving,
@@ -113,14 +113,14 @@
 }
 
 async fn list(state: web::Data<State>) -> HttpResponse {
-    let vms = all_vms(&state.links).await;
+    let vms = all_vms(&state.handles).await;
     let summaries: Vec<VmSummary> = vms.into_iter().map(|vm| vm.summary).collect();
     answer(Ok(summaries))
 }
 
 async fn show(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
     let vm = VmId::new(&path);
-    let found = all_vms(&state.links).await.into_iter().find(|detail| detail.summary.vm == vm);
+    let found = all_vms(&state.handles).await.into_iter().find(|detail| detail.summary.vm == vm);
     answer(found.ok_or_else(|| {
         ApiError::new(
             ErrorKind::NotFound,
@@ -131,11 +131,11 @@
 }
 
 /// The VMs held by all daemons that answer, sorted by name.
-async fn all_vms(links: &Links) -> Vec<VmDetail> {
-    let members: Vec<_> = links.view.borrow().serving().cloned().collect();
+async fn all_vms(handles: &DaemonHandles) -> Vec<VmDetail> {
+    let members: Vec<_> = handles.view.borrow().serving().cloned().collect();
     let mut vms = Vec::new();
     for member in members {
-        let reply = call_daemon(links, member, Call::Vms).await;
+        let reply = call_daemon(handles, member, Call::Vms).await;
         if let Reply::Vms(held) = reply {
             vms.extend(held);
         }
--- a/src/front/tasks.rs
+++ b/src/front/tasks.rs
@@ -1,7 +1,7 @@
 //! API to submit, show, list and cancel tasks.
 
 use super::forward::{call_daemon, call_writer, refusal};
-use super::{Links, State, answer};
+use super::{DaemonHandles, State, answer};
 use crate::api::{
     ApiError, CancelReply, DEFAULT_PAGE, ErrorKind, MAX_PAGE, Result, SubmitPriority, SubmitReply,
     SubmitReq, TaskList, TaskPhase, TaskQuery, TaskView,
@@ -23,15 +23,15 @@
 }
 
 async fn submit(state: web::Data<State>, req: web::Json<SubmitReq>) -> HttpResponse {
-    answer(submit_task(&state.links, req.into_inner()).await)
+    answer(submit_task(&state.handles, req.into_inner()).await)
 }
 
-async fn submit_task(links: &Links, req: SubmitReq) -> Result<SubmitReply> {
-    let config = links.view.borrow().config.clone();
+async fn submit_task(handles: &DaemonHandles, req: SubmitReq) -> Result<SubmitReply> {
+    let config = handles.view.borrow().config.clone();
     let spec = build_spec(&config, &req)?;
-    let partition = partition_of(&links.partitions, &req.key)?;
+    let partition = partition_of(&handles.partitions, &req.key)?;
     let call = Call::Submit { partition, key: req.key, spec };
-    match call_writer(links, partition, call).await {
+    match call_writer(handles, partition, call).await {
         Reply::Answer(Answer::Accepted { task, repeated }) => Ok(SubmitReply { task, repeated }),
         reply => Err(refusal(reply)),
     }
@@ -86,12 +86,12 @@
 }
 
 async fn show(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
-    answer(show_task(&state.links, &path).await)
+    answer(show_task(&state.handles, &path).await)
 }
 
-async fn show_task(links: &Links, id: &str) -> Result<TaskView> {
+async fn show_task(handles: &DaemonHandles, id: &str) -> Result<TaskView> {
     let task = read_id(id)?;
-    match call_writer(links, task.partition, Call::Show { task }).await {
+    match call_writer(handles, task.partition, Call::Show { task }).await {
         Reply::Task(shown) => Ok(to_view(*shown)),
         reply => Err(refusal(reply)),
     }
@@ -108,30 +108,30 @@
 }
 
 async fn cancel(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
-    answer(cancel_task(&state.links, &path).await)
+    answer(cancel_task(&state.handles, &path).await)
 }
 
-async fn cancel_task(links: &Links, id: &str) -> Result<CancelReply> {
+async fn cancel_task(handles: &DaemonHandles, id: &str) -> Result<CancelReply> {
     let task = read_id(id)?;
-    match call_writer(links, task.partition, Call::Cancel { task }).await {
+    match call_writer(handles, task.partition, Call::Cancel { task }).await {
         Reply::Answer(Answer::Cancelling { task }) => Ok(CancelReply { task }),
         reply => Err(refusal(reply)),
     }
 }
 
 async fn list(state: web::Data<State>, query: web::Query<TaskQuery>) -> HttpResponse {
-    answer(Ok(list_tasks(&state.links, &query).await))
+    answer(Ok(list_tasks(&state.handles, &query).await))
 }
 
 /// Collects the tasks of each serving daemon, which lists those of the partitions it writes.
-async fn list_tasks(links: &Links, query: &TaskQuery) -> TaskList {
+async fn list_tasks(handles: &DaemonHandles, query: &TaskQuery) -> TaskList {
     let limit = query.limit.unwrap_or(DEFAULT_PAGE).min(MAX_PAGE);
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
-    let members: Vec<_> = links.view.borrow().serving().cloned().collect();
+    let members: Vec<_> = handles.view.borrow().serving().cloned().collect();
     let mut tasks = Vec::new();
     let mut missing = Vec::new();
     for member in members {
-        let reply = call_daemon(links, member.clone(), Call::List).await;
+        let reply = call_daemon(handles, member.clone(), Call::List).await;
         match reply {
             Reply::Tasks(shown) => {
                 tasks.extend(shown.into_iter().filter(|s| matches_query(s, query)).map(to_view));
