--- a/src/request/admission.rs
+++ b/src/request/admission.rs
@@ -33,7 +33,7 @@
 /// would take random peaks for demand and keep slots idle.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Minimum wait limit; a shorter one is below timer resolution.
+/// Minimum wait limit; a shorter one is indistinguishable from timer noise.
 const MIN_WAIT_LIMIT: Duration = Duration::from_millis(2);
 
 /// A queued request.
--- a/src/request/hop.rs
+++ b/src/request/hop.rs
@@ -39,7 +39,7 @@
 }
 
 impl Inner {
-    /// Forwards a request that got no local slot, or returns none if forwarding is not possible.
+    /// Forwards a request that got no local slot; returns none if that is not possible or useless.
     pub(super) async fn forward(
         self: &Rc<Self>,
         arrival: &Arrival,
