--- a/src/front/forward.rs
+++ b/src/front/forward.rs
@@ -1,6 +1,6 @@
-//! Finds the daemon that can answer a call about a task.
+//! Forwards API calls about tasks to the daemon that can answer them.
 
-use super::Links;
+use super::DaemonHandles;
 use crate::api::{ApiError, CallOutcome, ErrorKind};
 use crate::control::{Ask, Control, Inspect};
 use crate::core::event::Answer;
@@ -9,50 +9,54 @@
 use crate::storage::{FindKey, Storage};
 use actix::Addr;
 
-/// Asks the writer of a partition: this daemon, or another by one hop.
-pub async fn ask_writer(links: &Links, partition: PartitionId, call: Call) -> Reply {
-    match ask_here(&links.control, &links.storage, call.clone()).await {
+/// Calls the writer of a partition: this daemon, or another one directly.
+pub async fn call_writer(handles: &DaemonHandles, partition: PartitionId, call: Call) -> Reply {
+    match call_local_writer(&handles.control, &handles.storage, call.clone()).await {
         Reply::NotWriter => {}
         reply => return reply,
     }
-    let writer = links
+    let writer = handles
         .control
         .send(Inspect(move |control: &Control| control.core().writer_of(partition)))
         .await
         .ok()
         .flatten();
     match writer {
-        Some(writer) if writer != links.me => ask_daemon(links, writer, call).await,
+        Some(writer) if writer != handles.me => call_daemon(handles, writer, call).await,
         _ => Reply::NotSent { reason: format!("partition {partition} has no writer yet") },
     }
 }
 
-/// Asks this daemon, as the writer of the partition.
-pub async fn ask_here(control: &Addr<Control>, storage: &Addr<Storage>, call: Call) -> Reply {
+/// Calls this daemon as the writer of the partition.
+pub async fn call_local_writer(
+    control: &Addr<Control>,
+    storage: &Addr<Storage>,
+    call: Call,
+) -> Reply {
     if let Call::Submit { partition, key, .. } = &call {
         let find = FindKey { partition: *partition, key: key.clone() };
         if let Ok(Some(task)) = storage.send(find).await {
             return Reply::Answer(Answer::Accepted { task, repeated: true });
         }
     }
-    ask_core(control, call).await
+    call_core(control, call).await
 }
 
-async fn ask_core(control: &Addr<Control>, call: Call) -> Reply {
+async fn call_core(control: &Addr<Control>, call: Call) -> Reply {
     let reply = control.send(Ask(call)).await;
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
 }
 
-/// Asks one daemon, which may be this one.
-pub async fn ask_daemon(links: &Links, to: DaemonId, call: Call) -> Reply {
-    if to == links.me {
-        return ask_core(&links.control, call).await;
+/// Calls a daemon, which may be this one.
+pub async fn call_daemon(handles: &DaemonHandles, to: DaemonId, call: Call) -> Reply {
+    if to == handles.me {
+        return call_core(&handles.control, call).await;
     }
-    let reply = links.peers.send(Forward { to, call }).await;
+    let reply = handles.peers.send(Forward { to, call }).await;
     reply.unwrap_or_else(|e| Reply::NotSent { reason: e.to_string() })
 }
 
-/// The error of a reply that is not what was asked for.
+/// Converts a reply of an unexpected kind to an error.
 pub fn refusal(reply: Reply) -> ApiError {
     match reply {
         Reply::Answer(Answer::NotRun { reason }) => {
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,15 +1,15 @@
-//! One try of a request at one endpoint, up to an answer that is known to be its own.
+//! One attempt of a request on one endpoint, up to an answer verified to belong to the request.
 
 use crate::model::Idempotency;
-use crate::request::answer::{Answer, AnswerBody, AnswerStream, Cut, Framing};
+use crate::request::answer::{Answer, AnswerBody, AnswerStream, Framing, Truncated};
 use crate::request::arrival::Arrival;
 use crate::request::conn::{Conn, Outgoing, SendError, Stage};
 use crate::request::endpoint::Endpoint;
 use crate::request::fleet::Fleet;
 use crate::request::headers;
 use crate::request::outcome::Reason;
-use crate::request::silence::{Part, Quiet, Watch};
-use crate::request::slot::{Slot, Verdict};
+use crate::request::silence::{AnswerPart, Silence, SilenceDetector};
+use crate::request::slot::{Evidence, Slot};
 use actix_web::http::StatusCode;
 use actix_web::http::header::{HeaderName, HeaderValue};
 use awc::ClientResponse;
@@ -17,34 +17,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An idle connection that showed no life for this long is probed before it is used.
-const PROVE_AFTER: Duration = Duration::from_secs(1);
+/// An idle connection without traffic for this long is probed before it is reused.
+const PROBE_IDLE_AFTER: Duration = Duration::from_secs(1);
 
-/// New connections tried before a non-idempotent request is given up as not sent.
-const NEW_CONNS: u32 = 2;
+/// New connections to open before a non-idempotent request is reported as not sent.
+const MAX_NEW_CONNS: u32 = 2;
 
-/// How a try went.
-pub(super) enum Tried {
+/// Result of an attempt.
+pub(super) enum AttemptResult {
     Answered(Answer),
-    /// The endpoint did not run it and won't.
+    /// The endpoint did not run the request and won't.
     NotRun(NotRun),
-    /// It may have run.
+    /// The endpoint may have run the request.
     Unknown(Reason),
 }
 
-/// Why an endpoint surely did not run a request.
+/// Why an endpoint is known not to have run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotRun {
     /// No connection could be opened.
     Unreachable,
-    /// No connection was proved alive.
+    /// Connections were opened, but none answered a probe.
     Unproved,
     Leaving,
     Full,
 }
 
 impl NotRun {
-    /// The reason that the caller is told.
+    /// The reason reported to the caller.
     pub fn reason(self) -> Reason {
         match self {
             Self::Unreachable | Self::Unproved => Reason::ConnectFailed,
@@ -53,18 +53,18 @@
     }
 }
 
-/// What a try needs.
+/// Inputs of an attempt.
 pub(super) struct Attempt<'a> {
     pub fleet: &'a Rc<Fleet>,
     pub arrival: &'a Arrival,
     pub body: &'a Bytes,
-    /// Longest answer that is held back until it is whole.
-    pub whole_bytes: usize,
+    /// Longest answer that is buffered until it is complete.
+    pub max_buffered_bytes: usize,
 }
 
 impl Attempt<'_> {
-    /// Sends the request on a slot and reads the answer's head, and its body if it is short.
-    pub async fn run(&self, slot: Slot, endpoint: &Rc<Endpoint>) -> Tried {
+    /// Sends the request and reads the head of the answer, and the body too if it is short.
+    pub async fn run(&self, slot: Slot, endpoint: &Rc<Endpoint>) -> AttemptResult {
         let at = self.fleet.now();
         let (resp, conn) = match self.head(&slot, endpoint).await {
             Ok(got) => got,
@@ -73,12 +73,12 @@
         if resp.headers().get(headers::REQUEST_ID).map(HeaderValue::as_bytes)
             != Some(self.arrival.id.as_str().as_bytes())
         {
-            slot.judge(Verdict::Bad);
-            return Tried::Unknown(Reason::AnswerMismatch);
+            slot.record(Evidence::Bad);
+            return AttemptResult::Unknown(Reason::AnswerMismatch);
         }
-        if let Some(why) = said_not_run(&resp) {
-            slot.settled();
-            return Tried::NotRun(why);
+        if let Some(why) = reported_not_run(&resp) {
+            slot.mark_ended();
+            return AttemptResult::NotRun(why);
         }
         self.answer(resp, slot, conn, at).await
     }
@@ -87,96 +87,108 @@
         &self,
         slot: &Slot,
         endpoint: &Rc<Endpoint>,
-    ) -> Result<(ClientResponse, Conn), Tried> {
-        let mut conn = match self.ready_conn(endpoint).await {
+    ) -> Result<(ClientResponse, Conn), AttemptResult> {
+        let mut conn = match self.usable_conn(endpoint).await {
             Ok(conn) => conn,
             Err(why) => {
-                // One silent connection is not the endpoint's fault; several new ones are.
-                slot.judge(Verdict::Bad);
-                return Err(Tried::NotRun(why));
+                // A silent idle connection is not evidence against the endpoint; new ones that fail
+                // are.
+                slot.record(Evidence::Bad);
+                return Err(AttemptResult::NotRun(why));
             }
         };
         loop {
             let reused = conn.stage() == Stage::Opened;
-            slot.sending(&self.arrival.id);
-            let watch = self.watch(endpoint, Part::Head);
-            match watch.wait(conn.send(self.outgoing())).await {
+            slot.mark_sent(&self.arrival.id);
+            let detector = self.silence_detector(endpoint, AnswerPart::Head);
+            match detector.wait(conn.send(self.outgoing())).await {
                 Ok(Ok(resp)) => return Ok((resp, conn)),
                 Ok(Err(SendError::NotSent)) => {
-                    slot.settled();
+                    slot.mark_ended();
                     if !reused {
-                        return Err(Tried::NotRun(NotRun::Unreachable));
+                        return Err(AttemptResult::NotRun(NotRun::Unreachable));
                     }
-                    // The idle connection was closed meanwhile, which says nothing about the
-                    // endpoint.
+                    // The endpoint closed the idle connection, which is not evidence against it.
                     conn = endpoint.new_conn(self.fleet.now());
                 }
                 Ok(Err(SendError::Lost)) => {
-                    slot.judge(Verdict::Bad);
-                    return Err(Tried::Unknown(Reason::ConnectionLost));
+                    slot.record(Evidence::Bad);
+                    return Err(AttemptResult::Unknown(Reason::ConnectionLost));
+                }
+                Err(silence) => {
+                    return Err(AttemptResult::Unknown(record_silence(silence, slot, endpoint)));
                 }
-                Err(quiet) => return Err(Tried::Unknown(judge_quiet(quiet, slot, endpoint))),
             }
         }
     }
 
-    /// A connection to send over. One that has been idle, or that a non-idempotent request is to
-    /// go over, is proved alive first: found silent now, it costs a probe; found silent after the
-    /// request was sent, nobody could say whether the request ran.
-    async fn ready_conn(&self, endpoint: &Rc<Endpoint>) -> Result<Conn, NotRun> {
-        let careful = self.arrival.idempotency == Idempotency::NonIdempotent;
+    /// Returns a connection to send on. It is probed first if it has been idle or if the request is
+    /// not idempotent: a silent connection found by a probe costs only that probe, while one found
+    /// after the request was sent leaves the outcome unknown.
+    async fn usable_conn(&self, endpoint: &Rc<Endpoint>) -> Result<Conn, NotRun> {
+        let must_probe = self.arrival.idempotency == Idempotency::NonIdempotent;
         let now = self.fleet.now();
         if let Some(mut conn) = endpoint.idle_conn(now) {
-            let fresh = now.saturating_sub(conn.proved) < PROVE_AFTER;
-            if (fresh && !careful) || conn.probe(None).await.is_ok() {
+            let recently_active = now.saturating_sub(conn.last_active) < PROBE_IDLE_AFTER;
+            if (recently_active && !must_probe) || conn.probe(None).await.is_ok() {
                 return Ok(conn);
             }
             endpoint.close_idle();
         }
-        if !careful {
+        if !must_probe {
             return Ok(endpoint.new_conn(now));
         }
-        let mut failed = NotRun::Unproved;
-        for _ in 0..NEW_CONNS {
+        let mut last_failure = NotRun::Unproved;
+        for _ in 0..MAX_NEW_CONNS {
             let mut conn = endpoint.new_conn(self.fleet.now());
             match conn.probe(None).await {
                 Ok(_) => return Ok(conn),
-                Err(SendError::NotSent) => failed = NotRun::Unreachable,
-                Err(SendError::Lost) => failed = NotRun::Unproved,
+                Err(SendError::NotSent) => last_failure = NotRun::Unreachable,
+                Err(SendError::Lost) => last_failure = NotRun::Unproved,
             }
         }
-        Err(failed)
+        Err(last_failure)
     }
 
-    async fn answer(&self, resp: ClientResponse, slot: Slot, conn: Conn, at: Duration) -> Tried {
+    async fn answer(
+        &self,
+        resp: ClientResponse,
+        slot: Slot,
+        conn: Conn,
+        at: Duration,
+    ) -> AttemptResult {
         let status = resp.status();
-        let headers = headers::passed_on(resp.headers());
+        let headers = headers::forwarded_headers(resp.headers());
         let left = match Framing::of(&self.arrival.method, &resp) {
             Framing::Length(length) => Some(length),
             Framing::Chunked => None,
             Framing::UntilClose => {
-                slot.judge(Verdict::Bad);
-                return Tried::Unknown(Reason::AnswerUnbounded);
+                slot.record(Evidence::Bad);
+                return AttemptResult::Unknown(Reason::AnswerUnbounded);
             }
         };
-        let short = left.is_some_and(|length| length <= self.whole_bytes as u64);
+        let short = left.is_some_and(|length| length <= self.max_buffered_bytes as u64);
         let took = self.fleet.now().saturating_sub(at);
         let stream =
             AnswerStream::new(self.fleet, self.arrival, resp, Some(slot), conn, left, took);
         let body = if short {
             match stream.read_whole().await {
                 Ok(bytes) => AnswerBody::Whole(bytes),
-                Err(Cut(reason)) => return Tried::Unknown(reason),
+                Err(Truncated(reason)) => return AttemptResult::Unknown(reason),
             }
         } else {
             AnswerBody::Stream(Box::new(stream))
         };
-        Tried::Answered(Answer { status, headers, body })
+        AttemptResult::Answered(Answer { status, headers, body })
     }
 
-    fn watch<'w>(&'w self, endpoint: &'w Endpoint, part: Part) -> Watch<'w> {
+    fn silence_detector<'w>(
+        &'w self,
+        endpoint: &'w Endpoint,
+        part: AnswerPart,
+    ) -> SilenceDetector<'w> {
         let tail = self.fleet.tail(&self.arrival.service, &self.arrival.class);
-        Watch { fleet: self.fleet, endpoint, id: &self.arrival.id, part, tail }
+        SilenceDetector { fleet: self.fleet, endpoint, id: &self.arrival.id, part, tail }
     }
 
     fn outgoing(&self) -> Outgoing {
@@ -197,15 +209,16 @@
     }
 }
 
-/// What a quiet connection means for the request, the endpoint and its other connections.
-pub(super) fn judge_quiet(quiet: Quiet, slot: &Slot, endpoint: &Endpoint) -> Reason {
-    match quiet {
-        Quiet::Connection => {
+/// Records why a connection went silent, closing suspect idle connections, and returns the reason
+/// for the request.
+pub(super) fn record_silence(silence: Silence, slot: &Slot, endpoint: &Endpoint) -> Reason {
+    match silence {
+        Silence::Connection => {
             endpoint.close_idle();
             Reason::ConnectionSilent
         }
-        Quiet::Endpoint => {
-            slot.judge(Verdict::Bad);
+        Silence::Endpoint => {
+            slot.record(Evidence::Bad);
             Reason::ConnectionLost
         }
     }
@@ -217,7 +230,7 @@
     }
 }
 
-fn said_not_run(resp: &ClientResponse) -> Option<NotRun> {
+fn reported_not_run(resp: &ClientResponse) -> Option<NotRun> {
     if resp.status() != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
