--- a/benches/requests/routing.rs
+++ b/benches/requests/routing.rs
@@ -1,14 +1,14 @@
-//! Ways to choose an endpoint, on the same arrivals: daemons that see only their own requests,
-//! endpoints whose service times differ, and noise that moves from one set of them to another.
+//! Compares routing policies on the same arrivals. Each daemon sees only its own requests,
+//! endpoints differ in service time, and a changing set of them is temporarily slowed down.
 
-use crate::virtual_time::{Agenda, exponential, histogram, log_normal, millis, record};
+use crate::virtual_time::{EventQueue, exponential, histogram, log_normal, millis, record};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 use std::time::Duration;
 use waxwingstall::ids::{DaemonId, VmId};
-use waxwingstall::request::route::{Candidate, Choosing, Pace, Usual, choose};
+use waxwingstall::request::route::{Candidate, Policy, ServiceTimeEstimate, Slowdown, choose};
 use waxwingstall::request::share::even_split;
 
 const SEED: u64 = 11;
@@ -18,7 +18,7 @@
 const SERVICE: Duration = Duration::from_millis(50);
 const RUN: Duration = Duration::from_secs(60);
 const WAVE: Duration = Duration::from_secs(7);
-/// Slowness of an endpoint that is hit by a wave, and the share of those.
+/// Slowdown of an endpoint that is affected by a wave, and the fraction of affected endpoints.
 const NOISE: f64 = 4.0;
 const NOISY: f64 = 0.2;
 const LOADS: [f64; 2] = [0.25, 0.4];
@@ -29,7 +29,7 @@
     Wave,
 }
 
-/// Whether daemons hold parts of the slots, or each believes that all are its own.
+/// Whether the slots are split among the daemons, or each uses all of them.
 #[derive(Clone, Copy, PartialEq)]
 enum Split {
     Even,
@@ -44,8 +44,8 @@
 
 struct Daemon {
     in_flight: Vec<Vec<Duration>>,
-    paces: Vec<Pace>,
-    usual: Usual,
+    slowdowns: Vec<Slowdown>,
+    estimate: ServiceTimeEstimate,
     shares: Vec<u32>,
     waiting: VecDeque<(Duration, Duration)>,
 }
@@ -54,8 +54,8 @@
     rng: SmallRng,
     endpoints: Vec<Endpoint>,
     daemons: Vec<Daemon>,
-    agenda: Agenda<Event>,
-    choosing: Choosing,
+    events: EventQueue<Event>,
+    policy: Policy,
     times: Histogram<u64>,
     violations: u64,
 }
@@ -66,14 +66,14 @@
     println!("load  way                      p50 ms   p99 ms  p99.9 ms  slot violations");
     for load in LOADS {
         let ways = [
-            (Choosing::Random, Split::Even, "random"),
-            (Choosing::TwoChoices, Split::Even, "two choices"),
-            (Choosing::LeastInFlight, Split::Even, "least in flight"),
-            (Choosing::LeastPredictedFinish, Split::Even, "least predicted finish"),
-            (Choosing::LeastPredictedFinish, Split::None, "the same without shares"),
+            (Policy::Random, Split::Even, "random"),
+            (Policy::TwoChoices, Split::Even, "two choices"),
+            (Policy::LeastInFlight, Split::Even, "least in flight"),
+            (Policy::LeastPredictedFinish, Split::Even, "least predicted finish"),
+            (Policy::LeastPredictedFinish, Split::None, "the same without shares"),
         ];
-        for (choosing, split, name) in ways {
-            let world = World::new(choosing, split, load).run();
+        for (policy, split, name) in ways {
+            let world = World::new(policy, split, load).run();
             println!(
                 "{load:<5} {name:<23} {:>7.1} {:>8.1} {:>9.1} {:>10}",
                 millis(&world.times, 0.5),
@@ -86,7 +86,7 @@
 }
 
 impl World {
-    fn new(choosing: Choosing, split: Split, load: f64) -> Self {
+    fn new(policy: Policy, split: Split, load: f64) -> Self {
         let mut trace = SmallRng::seed_from_u64(SEED);
         let endpoints = (0..ENDPOINTS)
             .map(|_| Endpoint { factor: trace.random_range(0.7..1.5), noise: 1.0, running: 0 })
@@ -100,31 +100,31 @@
             .iter()
             .map(|me| Daemon {
                 in_flight: vec![Vec::new(); ENDPOINTS],
-                paces: vec![Pace::default(); ENDPOINTS],
-                usual: Usual::new(SERVICE),
+                slowdowns: vec![Slowdown::default(); ENDPOINTS],
+                estimate: ServiceTimeEstimate::new(SERVICE),
                 shares: (0..ENDPOINTS).map(|vm| share(vm, me)).collect(),
                 waiting: VecDeque::new(),
             })
             .collect();
-        let mut agenda = Agenda::new();
+        let mut events = EventQueue::new();
         let gap = SERVICE.div_f64(load * (ENDPOINTS as u32 * SLOTS) as f64);
         let mut at = Duration::ZERO;
         while at < RUN {
             at += exponential(&mut trace, gap);
             let base = log_normal(&mut trace, SERVICE, 0.5);
-            agenda.add(at, Event::Arrival { daemon: trace.random_range(0..DAEMONS), base });
+            events.add(at, Event::Arrival { daemon: trace.random_range(0..DAEMONS), base });
         }
         let waves = (RUN.as_secs() / WAVE.as_secs()) as u32;
-        (0..waves).for_each(|wave| agenda.add(WAVE * wave, Event::Wave));
+        (0..waves).for_each(|wave| events.add(WAVE * wave, Event::Wave));
         let rng = SmallRng::seed_from_u64(SEED + 1);
         let times = histogram();
-        Self { rng, endpoints, daemons, agenda, choosing, times, violations: 0 }
+        Self { rng, endpoints, daemons, events, policy, times, violations: 0 }
     }
 
     fn run(mut self) -> Self {
-        // The noise is drawn apart from the choices, so that every way meets the same.
+        // The noise has its own random generator, so that it is the same for every policy.
         let mut noise = SmallRng::seed_from_u64(SEED + 2);
-        while let Some((now, event)) = self.agenda.next() {
+        while let Some((now, event)) = self.events.next() {
             match event {
                 Event::Wave => {
                     for endpoint in &mut self.endpoints {
@@ -150,12 +150,12 @@
         if daemon.waiting.is_empty() {
             return;
         }
-        let rooms: Vec<usize> = (0..ENDPOINTS)
+        let free: Vec<usize> = (0..ENDPOINTS)
             .filter(|vm| (daemon.in_flight[*vm].len() as u32) < daemon.shares[*vm])
             .collect();
-        let candidates: Vec<Candidate> = rooms.iter().map(|vm| daemon.see(*vm, now)).collect();
-        let Some(chosen) = choose(self.choosing, &candidates, &mut self.rng) else { return };
-        let vm = rooms[chosen];
+        let candidates: Vec<Candidate> = free.iter().map(|vm| daemon.candidate(*vm, now)).collect();
+        let Some(chosen) = choose(self.policy, &candidates, &mut self.rng) else { return };
+        let vm = free[chosen];
         let Some((arrived, base)) = daemon.waiting.pop_front() else { return };
         daemon.in_flight[vm].push(now);
         let endpoint = &mut self.endpoints[vm];
@@ -164,7 +164,7 @@
         let crowding = 1.0 + 0.5 * f64::from(endpoint.running) / f64::from(SLOTS);
         let took = base.mul_f64(endpoint.factor * endpoint.noise * crowding);
         let end = Event::End { daemon: at, endpoint: vm, started: now, arrived };
-        self.agenda.add(now + took, end);
+        self.events.add(now + took, end);
     }
 
     fn end(&mut self, at: usize, vm: usize, started: Duration, now: Duration) {
@@ -172,20 +172,20 @@
         let daemon = &mut self.daemons[at];
         let position = daemon.in_flight[vm].iter().position(|start| *start == started);
         daemon.in_flight[vm].swap_remove(position.expect("it was started"));
-        let ratio = daemon.usual.ratio(now - started);
-        daemon.paces[vm].learn(ratio, now);
-        daemon.usual.learn(now - started);
+        let ratio = daemon.estimate.ratio(now - started);
+        daemon.slowdowns[vm].update(ratio, now);
+        daemon.estimate.update(now - started);
     }
 }
 
 impl Daemon {
-    fn see(&self, vm: usize, now: Duration) -> Candidate {
+    fn candidate(&self, vm: usize, now: Duration) -> Candidate {
         let oldest = self.in_flight[vm].iter().min();
-        let overdue = oldest.map_or(0.0, |start| self.usual.ratio(now - *start));
+        let overdue = oldest.map_or(0.0, |start| self.estimate.ratio(now - *start));
         Candidate {
             in_flight: self.in_flight[vm].len() as u32,
             usable: self.shares[vm],
-            slowness: self.paces[vm].slowness(now, overdue),
+            slowness: self.slowdowns[vm].factor(now, overdue),
             failed_share: 0.0,
         }
     }
--- a/src/front/status.rs
+++ b/src/front/status.rs
@@ -1,8 +1,8 @@
-//! How the daemon is doing, and the VMs it knows of.
+//! API for the status of the daemon and its VMs.
 
-use super::forward::ask_daemon;
+use super::forward::call_daemon;
 use super::view::Stage;
-use super::{Links, State, answer};
+use super::{DaemonHandles, State, answer};
 use crate::api::{
     ApiError, DaemonState, ErrorKind, MemberStatus, PartitionStatus, Result, Status, StoreStatus,
     VmDetail, VmSummary, millis,
@@ -16,14 +16,14 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-pub fn mount(scope: &mut web::ServiceConfig) {
+pub fn register(scope: &mut web::ServiceConfig) {
     scope
         .route("/status", web::get().to(status))
         .route("/vms", web::get().to(list))
         .route("/vms/{id}", web::get().to(show));
 }
 
-/// What the status needs of the core.
+/// The part of the status that is read from the core.
 struct Core {
     vms_held: u32,
     leases_near_lapse: u32,
@@ -33,27 +33,27 @@
 }
 
 async fn status(state: web::Data<State>) -> HttpResponse {
-    answer(read_status(&state.links, state.dispatcher.status()).await)
+    answer(read_status(&state.handles, state.dispatcher.status()).await)
 }
 
-async fn read_status(links: &Links, requests: RequestStatus) -> Result<Status> {
-    let partitions = links.partitions.clone();
-    let near = links.lease_ttl / 3;
+async fn read_status(handles: &DaemonHandles, requests: RequestStatus) -> Result<Status> {
+    let partitions = handles.partitions.clone();
+    let near = handles.lease_ttl / 3;
     let read = move |control: &Control| read_core(control, &partitions, near);
-    let core = links.control.send(Inspect(read));
+    let core = handles.control.send(Inspect(read));
     let mut core = core.await.map_err(|e| stopping(&e))?;
-    let reach = links.storage.send(GetStanding).await.map_err(|e| stopping(&e))?.reach;
-    let since = links.clock.now().saturating_sub(reach.since);
+    let reach = handles.storage.send(GetStanding).await.map_err(|e| stopping(&e))?.reach;
+    let since = handles.clock.now().saturating_sub(reach.since);
     for (class, count) in requests.queued {
         core.queued.insert(class, u32::try_from(count).unwrap_or(u32::MAX));
     }
     for (reason, count) in requests.refusals {
         core.refusals.insert(reason.as_str().to_owned(), count);
     }
-    let view = links.view.borrow();
+    let view = handles.view.borrow();
     Ok(Status {
-        daemon: links.me.clone(),
-        domain: links.domain.clone(),
+        daemon: handles.me.clone(),
+        domain: handles.domain.clone(),
         state: match view.stage {
             Stage::Starting => DaemonState::Starting,
             Stage::Serving => DaemonState::Serving,
@@ -84,7 +84,7 @@
     })
 }
 
-/// `near` is the time left below which a lease is near its end.
+/// Leases with less than `near` left are counted as close to expiry.
 fn read_core(control: &Control, partitions: &[PartitionId], near: Duration) -> Core {
     let core = control.core();
     let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
@@ -113,14 +113,14 @@
 }
 
 async fn list(state: web::Data<State>) -> HttpResponse {
-    let vms = all_vms(&state.links).await;
+    let vms = all_vms(&state.handles).await;
     let summaries: Vec<VmSummary> = vms.into_iter().map(|vm| vm.summary).collect();
     answer(Ok(summaries))
 }
 
 async fn show(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
     let vm = VmId::new(&path);
-    let found = all_vms(&state.links).await.into_iter().find(|detail| detail.summary.vm == vm);
+    let found = all_vms(&state.handles).await.into_iter().find(|detail| detail.summary.vm == vm);
     answer(found.ok_or_else(|| {
         ApiError::new(
             ErrorKind::NotFound,
@@ -130,12 +130,12 @@
     }))
 }
 
-/// The VMs held by every daemon that answers, by name.
-async fn all_vms(links: &Links) -> Vec<VmDetail> {
-    let members: Vec<_> = links.view.borrow().serving().cloned().collect();
+/// The VMs held by all daemons that answer, sorted by name.
+async fn all_vms(handles: &DaemonHandles) -> Vec<VmDetail> {
+    let members: Vec<_> = handles.view.borrow().serving().cloned().collect();
     let mut vms = Vec::new();
     for member in members {
-        let reply = ask_daemon(links, member, Call::Vms).await;
+        let reply = call_daemon(handles, member, Call::Vms).await;
         if let Reply::Vms(held) = reply {
             vms.extend(held);
         }
--- a/src/front/tasks.rs
+++ b/src/front/tasks.rs
@@ -1,7 +1,7 @@
-//! Submitting, showing and cancelling tasks.
+//! API to submit, show, list and cancel tasks.
 
-use super::forward::{ask_daemon, ask_writer, refusal};
-use super::{Links, State, answer};
+use super::forward::{call_daemon, call_writer, refusal};
+use super::{DaemonHandles, State, answer};
 use crate::api::{
     ApiError, CancelReply, DEFAULT_PAGE, ErrorKind, MAX_PAGE, Result, SubmitPriority, SubmitReply,
     SubmitReq, TaskList, TaskPhase, TaskQuery, TaskView,
@@ -14,7 +14,7 @@
 use actix_web::{HttpResponse, web};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub fn mount(scope: &mut web::ServiceConfig) {
+pub fn register(scope: &mut web::ServiceConfig) {
     scope
         .route("/tasks", web::post().to(submit))
         .route("/tasks", web::get().to(list))
@@ -23,21 +23,21 @@
 }
 
 async fn submit(state: web::Data<State>, req: web::Json<SubmitReq>) -> HttpResponse {
-    answer(submit_task(&state.links, req.into_inner()).await)
+    answer(submit_task(&state.handles, req.into_inner()).await)
 }
 
-async fn submit_task(links: &Links, req: SubmitReq) -> Result<SubmitReply> {
-    let config = links.view.borrow().config.clone();
-    let spec = spec_of(&config, &req)?;
-    let partition = partition_of(&links.partitions, &req.key)?;
+async fn submit_task(handles: &DaemonHandles, req: SubmitReq) -> Result<SubmitReply> {
+    let config = handles.view.borrow().config.clone();
+    let spec = build_spec(&config, &req)?;
+    let partition = partition_of(&handles.partitions, &req.key)?;
     let call = Call::Submit { partition, key: req.key, spec };
-    match ask_writer(links, partition, call).await {
+    match call_writer(handles, partition, call).await {
         Reply::Answer(Answer::Accepted { task, repeated }) => Ok(SubmitReply { task, repeated }),
         reply => Err(refusal(reply)),
     }
 }
 
-fn spec_of(config: &Config, req: &SubmitReq) -> Result<TaskSpec> {
+fn build_spec(config: &Config, req: &SubmitReq) -> Result<TaskSpec> {
     let Some(class) = config.batch.get(&req.class) else {
         return Err(unknown_class(config, &req.class));
     };
@@ -76,7 +76,7 @@
     )
 }
 
-/// The partition of a key, the same on every daemon.
+/// Returns the partition of a key, which is the same on every daemon.
 fn partition_of(partitions: &[PartitionId], key: &IdempotencyKey) -> Result<PartitionId> {
     let count = u64::try_from(partitions.len()).unwrap_or(u64::MAX);
     let index = xxh3_64(key.as_str().as_bytes()).checked_rem(count);
@@ -86,13 +86,13 @@
 }
 
 async fn show(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
-    answer(show_task(&state.links, &path).await)
+    answer(show_task(&state.handles, &path).await)
 }
 
-async fn show_task(links: &Links, id: &str) -> Result<TaskView> {
+async fn show_task(handles: &DaemonHandles, id: &str) -> Result<TaskView> {
     let task = read_id(id)?;
-    match ask_writer(links, task.partition, Call::Show { task }).await {
-        Reply::Task(shown) => Ok(view_of(*shown)),
+    match call_writer(handles, task.partition, Call::Show { task }).await {
+        Reply::Task(shown) => Ok(to_view(*shown)),
         reply => Err(refusal(reply)),
     }
 }
@@ -103,38 +103,38 @@
     })
 }
 
-fn view_of(shown: Shown) -> TaskView {
+fn to_view(shown: Shown) -> TaskView {
     TaskView { task: shown.task, waiting_for: shown.waiting_for }
 }
 
 async fn cancel(state: web::Data<State>, path: web::Path<String>) -> HttpResponse {
-    answer(cancel_task(&state.links, &path).await)
+    answer(cancel_task(&state.handles, &path).await)
 }
 
-async fn cancel_task(links: &Links, id: &str) -> Result<CancelReply> {
+async fn cancel_task(handles: &DaemonHandles, id: &str) -> Result<CancelReply> {
     let task = read_id(id)?;
-    match ask_writer(links, task.partition, Call::Cancel { task }).await {
+    match call_writer(handles, task.partition, Call::Cancel { task }).await {
         Reply::Answer(Answer::Cancelling { task }) => Ok(CancelReply { task }),
         reply => Err(refusal(reply)),
     }
 }
 
 async fn list(state: web::Data<State>, query: web::Query<TaskQuery>) -> HttpResponse {
-    answer(Ok(list_tasks(&state.links, &query).await))
+    answer(Ok(list_tasks(&state.handles, &query).await))
 }
 
-/// Asks every daemon that answers for the tasks of the partitions it writes.
-async fn list_tasks(links: &Links, query: &TaskQuery) -> TaskList {
+/// Collects the tasks of each serving daemon, which lists those of the partitions it writes.
+async fn list_tasks(handles: &DaemonHandles, query: &TaskQuery) -> TaskList {
     let limit = query.limit.unwrap_or(DEFAULT_PAGE).min(MAX_PAGE);
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
-    let members: Vec<_> = links.view.borrow().serving().cloned().collect();
+    let members: Vec<_> = handles.view.borrow().serving().cloned().collect();
     let mut tasks = Vec::new();
     let mut missing = Vec::new();
     for member in members {
-        let reply = ask_daemon(links, member.clone(), Call::List).await;
+        let reply = call_daemon(handles, member.clone(), Call::List).await;
         match reply {
             Reply::Tasks(shown) => {
-                tasks.extend(shown.into_iter().filter(|s| selected(s, query)).map(view_of));
+                tasks.extend(shown.into_iter().filter(|s| matches_query(s, query)).map(to_view));
             }
             _ => missing.push(format!("{member} did not answer")),
         }
@@ -151,7 +151,7 @@
     TaskList { tasks, complete, missing }
 }
 
-fn selected(shown: &Shown, query: &TaskQuery) -> bool {
+fn matches_query(shown: &Shown, query: &TaskQuery) -> bool {
     let phase = match shown.task.phase {
         Phase::Waiting => TaskPhase::Waiting,
         Phase::Bound { .. } => TaskPhase::Bound,
--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -7,13 +7,13 @@
 mod tests;
 
 use super::control::{Control, HandleCall};
-use super::links::{self, ForwardCall, Links};
-use super::records::{FindJob, Found};
-use super::view::{Directory, Owner, ShardView, View};
+use super::links::{self, ForwardCall, PeerLinks};
+use super::records::{FindJob, JobLocation};
+use super::view::{JobDirectory, Owner, ShardView, View};
 use crate::clock::Clock;
 use crate::job::check::{self, Fault};
 use crate::job::{Image, Job, JobId, Life, QueueName, Share, ShownState};
-use crate::shard::{Answer, Summary, Urge};
+use crate::shard::{AdmissionMode, Answer, Summary};
 use actix::prelude::*;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 /// A request that the owner of a shard answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
-    Submit(Box<Job>, Urge),
+    Submit(Box<Job>, AdmissionMode),
     Cancel(JobId),
     Show(JobId),
 }
@@ -63,11 +63,11 @@
 
 /// Client for jobs in any shard.
 #[derive(Clone)]
-pub struct Calls {
+pub struct JobClient {
     view: watch::Receiver<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     control: Addr<Control>,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     finder: Recipient<FindJob>,
     clock: Arc<dyn Clock>,
     unreported: Arc<Mutex<IndexMap<String, UnreportedLoad>>>,
@@ -93,13 +93,13 @@
     Uncertain(String),
 }
 
-impl Calls {
+impl JobClient {
     /// Creates a client that sends its calls through these actors.
     pub fn new(
         view: watch::Receiver<Arc<View>>,
-        directory: Arc<Mutex<Directory>>,
+        directory: Arc<Mutex<JobDirectory>>,
         control: Addr<Control>,
-        links: Addr<Links>,
+        links: Addr<PeerLinks>,
         finder: Recipient<FindJob>,
         clock: Arc<dyn Clock>,
     ) -> Self {
@@ -109,7 +109,7 @@
 
     /// Makes every call return before `at`, so that no open call is cut off when the daemon exits.
     /// Applies to all clones; only the first value counts.
-    pub fn end_by(&self, at: Duration) {
+    pub fn set_shutdown_deadline(&self, at: Duration) {
         self.shutdown_deadline.get_or_init(|| at);
     }
 
@@ -129,22 +129,22 @@
 
     /// Submits a job.
     pub async fn submit(&self, job: Job, budget: Duration) -> Answer {
-        if let Err(fault) = check::possible(&job, &self.view().shapes) {
+        if let Err(fault) = check::possible(&job, &self.view().vm_shapes) {
             return impossible_answer(&fault);
         }
         let deadline = self.clock.now() + budget;
         let mut refusals = Refusals::default();
-        let mut last = not_run("no shard has an owner at the moment", RETRY_AFTER_NO_OWNER);
+        let mut last = not_run("no shard has an owner just now", RETRY_AFTER_NO_OWNER);
         loop {
-            let cached = self.cached_shard(job.id).map(|shard| (shard, Urge::Always));
+            let cached = self.cached_shard(job.id).map(|shard| (shard, AdmissionMode::Always));
             let is_cached = cached.is_some();
-            let Some((shard, urge)) = cached.or_else(|| self.choose(&job, &refusals)) else {
+            let Some((shard, mode)) = cached.or_else(|| self.choose(&job, &refusals)) else {
                 if refusals.unconditional.is_empty() && self.wait_to_retry(deadline).await {
                     continue;
                 }
                 return last;
             };
-            match self.attempt(&shard, Call::Submit(Box::new(job.clone()), urge), deadline).await {
+            match self.attempt(&shard, Call::Submit(Box::new(job.clone()), mode), deadline).await {
                 Attempt::Answered(Answer::Accepted) => {
                     self.remember_shard(job.id, &shard);
                     return Answer::Accepted;
@@ -156,7 +156,7 @@
                     if is_cached && !self.wait_to_retry(deadline).await {
                         return last;
                     }
-                    refusals.add(shard, urge);
+                    refusals.add(shard, mode);
                 }
                 Attempt::Answered(answer) => return answer,
                 Attempt::Uncertain(reason) => return Answer::Unknown { reason },
@@ -180,12 +180,12 @@
     }
 
     /// Number of a queue's jobs without any started task; `None` if a shard's count is out of date.
-    pub fn queued(&self, queue: &QueueName) -> Option<u32> {
+    pub fn queued_jobs(&self, queue: &QueueName) -> Option<u32> {
         let view = self.view();
         let now = self.clock.now();
         let mut sum = 0;
         for shard in view.shards.values() {
-            if now.saturating_sub(shard.at) > MAX_COUNT_AGE {
+            if now.saturating_sub(shard.summary_at) > MAX_COUNT_AGE {
                 return None;
             }
             let queued = shard.summary.queued.iter().find(|(name, _)| name == queue);
@@ -200,7 +200,7 @@
         loop {
             let shard = match self.locate(id, deadline).await {
                 JobLocation::Shard(shard) => shard,
-                JobLocation::Nowhere => return Answer::NotHere,
+                JobLocation::NotFound => return Answer::NotHere,
                 JobLocation::Unknown(reason) => {
                     if self.wait_to_retry(deadline).await {
                         continue;
@@ -213,7 +213,7 @@
                     match self.find_in_store(id, deadline).await {
                         JobLocation::Shard(other) if other != shard => {}
                         // A finished job that its owner has deleted is deleted from the store, too.
-                        JobLocation::Shard(_) | JobLocation::Nowhere => return Answer::NotHere,
+                        JobLocation::Shard(_) | JobLocation::NotFound => return Answer::NotHere,
                         JobLocation::Unknown(reason) => return Answer::Unknown { reason },
                     }
                 }
@@ -226,7 +226,7 @@
                 }
                 Attempt::NotRun => {
                     if !self.wait_to_retry(deadline).await {
-                        let reason = "the job's shard has no owner at the moment".to_owned();
+                        let reason = "the job's shard has no owner just now".to_owned();
                         return Answer::Unknown { reason };
                     }
                 }
@@ -247,16 +247,14 @@
         let found =
             tokio::time::timeout(self.time_left(deadline), self.finder.send(FindJob(id))).await;
         match found {
-            Ok(Ok(Found::Shard(shard))) => {
-                self.remember_shard(id, &shard);
-                JobLocation::Shard(shard)
+            Ok(Ok(location)) => {
+                if let JobLocation::Shard(shard) = &location {
+                    self.remember_shard(id, shard);
+                }
+                location
             }
-            Ok(Ok(Found::Nowhere)) => JobLocation::Nowhere,
-            Ok(Ok(Found::Unknown(reason))) => JobLocation::Unknown(reason),
             Ok(Err(e)) => JobLocation::Unknown(e.to_string()),
-            Err(_) => JobLocation::Unknown(
-                "the store did not answer the lookup of the job's shard in time".to_owned(),
-            ),
+            Err(_) => JobLocation::Unknown("the store has not said where the job is".to_owned()),
         }
     }
 
@@ -270,8 +268,8 @@
         let timeout = left.min(ATTEMPT_TIMEOUT);
         match owner {
             None => Attempt::NotRun,
-            Some(Owner::Here) => self.attempt_locally(shard, call, timeout).await,
-            Some(Owner::Other(to)) => {
+            Some(Owner::Local) => self.attempt_locally(shard, call, timeout).await,
+            Some(Owner::Remote(to)) => {
                 let msg = ForwardCall { to, shard: shard.to_owned(), call, timeout };
                 match self.links.send(msg).await {
                     Ok(Ok(Reply::Answer(answer))) => Attempt::Answered(answer),
@@ -295,12 +293,12 @@
     }
 
     /// Chooses the shard with the lowest estimated cost for a job.
-    fn choose(&self, job: &Job, refusals: &Refusals) -> Option<(String, Urge)> {
+    fn choose(&self, job: &Job, refusals: &Refusals) -> Option<(String, AdmissionMode)> {
         let (view, now) = (self.view(), self.clock.now());
         let demand = Demand::of(job, refusals);
         let is_candidate = |(_, shard): &(&String, &ShardView)| {
             shard.owner.is_some()
-                && now.saturating_sub(shard.at) < MAX_SUMMARY_AGE
+                && now.saturating_sub(shard.summary_at) < MAX_SUMMARY_AGE
                 && shard.summary.vms > 0
         };
         let mut unreported = self.unreported.lock().unwrap_or_else(PoisonError::into_inner);
@@ -309,25 +307,27 @@
             .iter()
             .filter(is_candidate)
             .map(|(name, shard)| {
-                let load = unreported.get(name).filter(|l| l.summary_at == shard.at).copied();
+                let load =
+                    unreported.get(name).filter(|l| l.summary_at == shard.summary_at).copied();
                 (name, shard, load.unwrap_or_default())
             })
             .collect();
-        let best = |urge| {
+        let best = |mode| {
             let costs = candidates.iter().filter_map(|(name, shard, load)| {
-                let cost = demand.cost(name, &shard.summary, load, urge)?;
+                let cost = demand.cost(name, &shard.summary, load, mode)?;
                 Some((*name, *shard, cost))
             });
-            costs.min_by(|(_, _, a), (_, _, b)| a.total_cmp(b)).map(|best| (best, urge))
+            costs.min_by(|(_, _, a), (_, _, b)| a.total_cmp(b)).map(|best| (best, mode))
         };
-        let ((name, shard, _), urge) = best(Urge::IfRoom).or_else(|| best(Urge::Always))?;
+        let ((name, shard, _), mode) =
+            best(AdmissionMode::IfRoom).or_else(|| best(AdmissionMode::Always))?;
         let entry = unreported.entry(name.clone()).or_default();
-        if entry.summary_at != shard.at {
-            *entry = UnreportedLoad { summary_at: shard.at, ..UnreportedLoad::default() };
+        if entry.summary_at != shard.summary_at {
+            *entry = UnreportedLoad { summary_at: shard.summary_at, ..UnreportedLoad::default() };
         }
         entry.reserved += demand.reserved;
         entry.leftover_work += demand.leftover_work;
-        Some((name.clone(), urge))
+        Some((name.clone(), mode))
     }
 
     fn cached_shard(&self, id: JobId) -> Option<String> {
@@ -360,12 +360,6 @@
     }
 }
 
-enum JobLocation {
-    Shard(String),
-    Nowhere,
-    Unknown(String),
-}
-
 /// Resources that a job requires of a shard.
 struct Demand<'a> {
     /// Largest concurrent reservation, in thousandths of a core.
@@ -383,23 +377,23 @@
 /// Shards that refused a job.
 #[derive(Debug, Default)]
 struct Refusals {
-    /// Refused because they had little room; they may take the job under [`Urge::Always`].
+    /// Refused because they had little room; they may take the job under [`AdmissionMode::Always`].
     lacking_room: Vec<String>,
     /// Refused regardless of room.
     unconditional: Vec<String>,
 }
 
 impl Refusals {
-    fn add(&mut self, shard: String, urge: Urge) {
-        match urge {
-            Urge::IfRoom => self.lacking_room.push(shard),
-            Urge::Always => self.unconditional.push(shard),
+    fn add(&mut self, shard: String, mode: AdmissionMode) {
+        match mode {
+            AdmissionMode::IfRoom => self.lacking_room.push(shard),
+            AdmissionMode::Always => self.unconditional.push(shard),
         }
     }
 
-    fn contains(&self, shard: &str, urge: Urge) -> bool {
+    fn contains(&self, shard: &str, mode: AdmissionMode) -> bool {
         let lists = |shards: &[String]| shards.iter().any(|name| name == shard);
-        lists(&self.unconditional) || (urge == Urge::IfRoom && lists(&self.lacking_room))
+        lists(&self.unconditional) || (mode == AdmissionMode::IfRoom && lists(&self.lacking_room))
     }
 }
 
@@ -435,9 +429,9 @@
         name: &str,
         summary: &Summary,
         load: &UnreportedLoad,
-        urge: Urge,
+        mode: AdmissionMode,
     ) -> Option<f64> {
-        if self.refusals.contains(name, urge) {
+        if self.refusals.contains(name, mode) {
             return None;
         }
         let capacity = (summary.capacity as f64).max(1.0);
@@ -453,20 +447,20 @@
             return Some(summary.waiting_work as f64 / capacity - free / capacity);
         };
         let lasting = summary.lasting as f64 + load.reserved + self.reserved;
-        match urge {
-            Urge::IfRoom if summary.is_full_with(lasting, urge) => None,
+        match mode {
+            AdmissionMode::IfRoom if summary.exceeds_long_running_limit(lasting, mode) => None,
             // The shard with the most room for lasting tasks was tried first and refused. Trying
             // hundreds of shards with less room one by one would use up the call's time.
-            Urge::Always
+            AdmissionMode::Always
                 if !self.refusals.unconditional.is_empty()
-                    && summary.is_full_with(lasting, urge) =>
+                    && summary.exceeds_long_running_limit(lasting, mode) =>
             {
                 None
             }
             // The hash sends all lasting tasks of an image to the same shard, whichever daemon
             // chooses. Less leftover work is then left without a VM where it disturbs no image.
-            Urge::IfRoom => Some(xxh3_64(format!("{image}/{name}").as_bytes()) as f64),
-            Urge::Always => Some(lasting / capacity),
+            AdmissionMode::IfRoom => Some(xxh3_64(format!("{image}/{name}").as_bytes()) as f64),
+            AdmissionMode::Always => Some(lasting / capacity),
         }
     }
 
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -1,17 +1,17 @@
-use super::{Answer, Call, Calls, Demand, Refusals, Reply, UnreportedLoad};
+use super::{Answer, Call, Demand, JobClient, Refusals, Reply, UnreportedLoad};
 use crate::clock::{Clock, SystemClock};
 use crate::cluster::{Hello, Member, MemberStage};
 use crate::ids::{DaemonId, DomainId, ServiceName};
 use crate::job::{Job, JobId, Life, QueueName, Repeat, ShownState, Step};
 use crate::jobs::control::Control;
-use crate::jobs::links::{JobsRpc, Links};
-use crate::jobs::records::{FindJob, Found};
-use crate::jobs::view::{Directory, Owner, ShardView, View};
+use crate::jobs::links::{JobsRpc, PeerLinks};
+use crate::jobs::records::{FindJob, JobLocation};
+use crate::jobs::view::{JobDirectory, Owner, ShardView, View};
 use crate::journal::Journal;
 use crate::note::Weight;
 use crate::permit::{self, PermitReq, PermitResp};
 use crate::shard::loan::LoanMsg;
-use crate::shard::{Lapse, Settings, Summary, Urge};
+use crate::shard::{AdmissionMode, Settings, Summary, VmLapse};
 use crate::units::Resources;
 use crate::vm::Fence;
 use actix::prelude::*;
@@ -34,14 +34,14 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Answers job lookups with a fixed result, or never if it is `None`.
-struct FakeStore(Option<Found>);
+struct FakeStore(Option<JobLocation>);
 
 impl Actor for FakeStore {
     type Context = Context<Self>;
 }
 
 impl Handler<FindJob> for FakeStore {
-    type Result = ResponseFuture<Found>;
+    type Result = ResponseFuture<JobLocation>;
 
     fn handle(&mut self, _: FindJob, _: &mut Self::Context) -> Self::Result {
         match self.0.clone() {
@@ -63,15 +63,15 @@
 }
 
 /// Client on a daemon that owns no shard; `owner` is the address of the shard's owner, if any.
-fn calls(found: Option<Found>, owner: Option<SocketAddr>) -> Calls {
+fn client(found: Option<JobLocation>, owner: Option<SocketAddr>) -> JobClient {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let journal = Journal::start(clock.clone(), Weight::Urgent, std::io::sink());
-    let directory: Arc<Mutex<Directory>> = Arc::default();
+    let directory: Arc<Mutex<JobDirectory>> = Arc::default();
     let (publish, view) = watch::channel(Arc::new(View::default()));
     let mut shown = View::default();
     if let Some(addr) = owner {
-        let owner = Some(Owner::Other(member("two", addr)));
-        let shard = ShardView { owner, summary: Arc::default(), at: clock.now() };
+        let owner = Some(Owner::Remote(member("two", addr)));
+        let shard = ShardView { owner, summary: Arc::default(), summary_at: clock.now() };
         shown.shards.insert(SHARD.to_owned(), shard);
     }
     let me = member("one", SocketAddr::from(([127, 0, 0, 1], 1)));
@@ -81,9 +81,9 @@
     let control = control.start();
     let (_, fixed) = watch::channel(Arc::new(shown));
     drop(view);
-    let links = Links::new(control.clone()).start();
+    let links = PeerLinks::new(control.clone()).start();
     let finder = FakeStore(found).start().recipient();
-    Calls::new(fixed, directory, control, links, finder, clock)
+    JobClient::new(fixed, directory, control, links, finder, clock)
 }
 
 fn job() -> Job {
@@ -113,10 +113,10 @@
 // call that waits for the store beyond its budget and leaves the caller without an answer.
 #[actix::test]
 async fn a_store_that_does_not_answer_leaves_no_caller_without_an_answer() {
-    let calls = calls(None, None);
-    let shown = answered(calls.show(JOB, CALL_TIMEOUT)).await;
+    let client = client(None, None);
+    let shown = answered(client.show(JOB, CALL_TIMEOUT)).await;
     assert!(matches!(shown, Answer::Unknown { .. }), "{shown:?}");
-    let cancelled = answered(calls.cancel(JOB, CALL_TIMEOUT)).await;
+    let cancelled = answered(client.cancel(JOB, CALL_TIMEOUT)).await;
     assert!(matches!(cancelled, Answer::Unknown { .. }), "{cancelled:?}");
 }
 
@@ -126,9 +126,9 @@
 #[actix::test]
 async fn a_job_that_was_not_sent_in_time_is_reported_as_not_run() {
     let (_listener, addr) = unserved_listener();
-    let calls = calls(None, Some(addr));
-    calls.remember_shard(JOB, SHARD);
-    let answer = answered(calls.submit(job(), Duration::ZERO)).await;
+    let client = client(None, Some(addr));
+    client.remember_shard(JOB, SHARD);
+    let answer = answered(client.submit(job(), Duration::ZERO)).await;
     assert!(matches!(answer, Answer::NotRun { .. }), "{answer:?}");
 }
 
@@ -136,11 +136,11 @@
 // Guards against the call being cut off without an answer when the daemon exits.
 #[actix::test]
 async fn an_open_call_is_answered_before_a_planned_shutdown() {
-    let calls = calls(Some(Found::Unknown("the store is unreachable".to_owned())), None);
-    let (waiting, clock) = (calls.clone(), SystemClock);
+    let client = client(Some(JobLocation::Unknown("the store is unreachable".to_owned())), None);
+    let (waiting, clock) = (client.clone(), SystemClock);
     let caller = actix::spawn(async move { waiting.show(JOB, 10 * TEST_TIMEOUT).await });
     tokio::task::yield_now().await;
-    calls.end_by(clock.now() + CALL_TIMEOUT);
+    client.set_shutdown_deadline(clock.now() + CALL_TIMEOUT);
     let answer = answered(async { caller.await.expect("a caller that doesn't panic") }).await;
     assert!(matches!(answer, Answer::Unknown { .. }), "{answer:?}");
 }
@@ -168,7 +168,7 @@
         Err(permit::Error::NotSent { reason: "no service".to_owned() })
     }
 
-    async fn take(self, _: CallContext, _: String, _: DaemonId, _: Vec<Lapse>) {}
+    async fn take(self, _: CallContext, _: String, _: DaemonId, _: Vec<VmLapse>) {}
 }
 
 /// Serves a shard owner whose first connection stays unanswered.
@@ -193,9 +193,9 @@
 async fn a_silent_connection_is_not_the_end_of_a_call() {
     let (listener, addr) = unserved_listener();
     actix::spawn(serve_from_second_connection(listener));
-    let calls = calls(None, Some(addr));
-    calls.remember_shard(JOB, SHARD);
-    let answer = answered(calls.show(JOB, TEST_TIMEOUT)).await;
+    let client = client(None, Some(addr));
+    client.remember_shard(JOB, SHARD);
+    let answer = answered(client.show(JOB, TEST_TIMEOUT)).await;
     assert_eq!(answer, Answer::Shown(ShownState::Done));
 }
 
@@ -213,10 +213,15 @@
     let job = lasting();
     let full = Summary { capacity: 8000, lasting: 7000, vms: 1, ..Summary::default() };
     let cost = |refusals: &Refusals| {
-        Demand::of(&job, refusals).cost(SHARD, &full, &UnreportedLoad::default(), Urge::Always)
+        Demand::of(&job, refusals).cost(
+            SHARD,
+            &full,
+            &UnreportedLoad::default(),
+            AdmissionMode::Always,
+        )
     };
     assert!(cost(&Refusals::default()).is_some());
     let mut refusals = Refusals::default();
-    refusals.add("kacyiru/1".to_owned(), Urge::Always);
+    refusals.add("kacyiru/1".to_owned(), AdmissionMode::Always);
     assert_eq!(cost(&refusals), None);
 }
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -1,7 +1,7 @@
 //! Actor that runs the shards owned by this daemon and tracks the owners of the others.
 //!
 //! Its handlers never block. After a pause of the process, such as a suspension of the machine, it
-//! confirms in the store that it still owns its shards before it gives any order.
+//! confirms in the store that it still owns its shards before it makes any further call to a VM.
 
 mod messages;
 mod publish;
@@ -13,17 +13,17 @@
 pub use status::GetStatus;
 
 pub use messages::{
-    Connect, ConnectionRefused, Drain, GiveUp, HandleCall, HandleLoanMessage, HandleOffer,
-    HelloReceived, OwnsAny, Stored, Told, Upkept,
+    Connect, ConnectionRefused, Drain, ExternalCallResult, HandleCall, HandleLoanMessage,
+    HandleOffer, HasShards, HelloReceived, MaintenanceResult, ReleaseShards, StoreEvent,
 };
 
 use super::calls::Reply;
-use super::confirmed::Confirmed;
-use super::links::{ForwardPermitRequest, Links, SendLoanMessage};
-use super::machines::Upkeep;
-use super::orders::{AskHere, Order};
-use super::records::{Claim, Commit, Confirm, Forget, ReadHeads};
-use super::view::{Directory, ShardView, View};
+use super::confirmed::ConfigConfirmation;
+use super::links::{ForwardPermitRequest, PeerLinks, SendLoanMessage};
+use super::machines::MaintenanceAction;
+use super::orders::{RequestPermits, VmCall};
+use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
+use super::view::{JobDirectory, ShardView, View};
 use crate::clock::Clock;
 use crate::cluster::ownership::OWN_PAUSE;
 use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReach};
@@ -34,9 +34,9 @@
 use crate::permit::{self, PermitReq};
 use crate::queues::Queues;
 use crate::ring::{RING_CAPACITY, Ring, WhenFull};
-use crate::shard::interference::Learned;
+use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
-use crate::shard::{self, Action, Event, Lapse, Now, Shard, Summary, ToldLapse};
+use crate::shard::{self, Action, Event, Now, ReportedLapse, Shard, Summary, VmLapse};
 use crate::upkeep::duty::{Duty, OwnShard};
 use crate::upkeep::{self};
 use crate::vm::{Fence, VmEntry};
@@ -49,14 +49,14 @@
 use tokio::sync::{oneshot, watch};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Interval of timer events. Orders that wait for one are late by half of it on average.
+/// Interval of timer events. VM calls that wait for one are late by half of it on average.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval at which the view of the shards and their owners is published.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which upkeep waves are advanced.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which maintenance waves are advanced.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval at which the local shards are summarized and informed about the other shards. Each of
 /// the two costs as much as a few dozen events.
@@ -66,16 +66,16 @@
 const MAX_PENDING_ACTIONS: usize = 100_000;
 
 /// Connections to the other actors.
-pub struct Rings {
-    pub orders: Ring<Order>,
-    pub asker: Recipient<AskHere>,
-    pub upkeep: Recipient<Upkeep>,
-    pub links: Addr<Links>,
-    pub claims: Recipient<Claim>,
-    pub commits: Recipient<Commit>,
-    pub forget: Recipient<Forget>,
+pub struct ActorHandles {
+    pub vm_calls: Ring<VmCall>,
+    pub permits: Recipient<RequestPermits>,
+    pub maintenance: Recipient<MaintenanceAction>,
+    pub links: Addr<PeerLinks>,
+    pub claims: Recipient<ClaimShard>,
+    pub commits: Recipient<CommitShard>,
+    pub removals: Recipient<RemoveShard>,
     pub heads: Recipient<ReadHeads>,
-    pub confirm: Recipient<Confirm>,
+    pub confirmations: Recipient<ConfirmOwnership>,
 }
 
 /// A shard owned by this daemon.
@@ -98,18 +98,18 @@
 struct ShardOffer {
     from: DaemonId,
     at: Duration,
-    lapses: Vec<Lapse>,
+    lapses: Vec<VmLapse>,
 }
 
 /// A shard owner's last report on silent VMs, with its time.
 struct TimedLapses {
     at: Duration,
-    lapses: Vec<ToldLapse>,
+    lapses: Vec<ReportedLapse>,
 }
 
 impl TimedLapses {
     /// Adjusts the report to the time passed since.
-    fn aged(self, now: Duration) -> Vec<ToldLapse> {
+    fn aged(self, now: Duration) -> Vec<ReportedLapse> {
         let passed = now.saturating_sub(self.at);
         self.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect()
     }
@@ -121,22 +121,22 @@
     clock: Arc<dyn Clock>,
     journal: Journal,
     ownership: Ownership,
-    rings: Option<Rings>,
+    actors: Option<ActorHandles>,
     hosted: IndexMap<String, HostedShard>,
     remote_shards: IndexMap<String, ShardView>,
     queues: Option<Arc<Queues>>,
-    confirmed: Confirmed,
+    config_confirmation: ConfigConfirmation,
     /// Whether the loss of the configuration's confirmation was logged.
     config_unconfirmed: bool,
     /// Last error in reading the configuration since its last confirmation.
     config_error: Option<String>,
     fleet: Vec<VmEntry>,
-    shapes: Arc<Shapes>,
+    vm_shapes: Arc<Shapes>,
     plan: Plan,
     store_reach: StoreReach,
     store_lost_at: Option<Duration>,
-    upkeep: Duty,
-    next_upkeep: Duration,
+    maintenance: Duty,
+    next_maintenance: Duration,
     /// Number of open permit requests by the daemon that sends them to the service.
     permit_requests: IndexMap<String, u32>,
     offers: IndexMap<String, ShardOffer>,
@@ -144,9 +144,9 @@
     tickets: IndexMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: u64,
     view: watch::Sender<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     /// Interference between images, as learned by other daemons' shards.
-    learned: IndexMap<String, Vec<Learned>>,
+    learned: IndexMap<String, Vec<PairEstimate>>,
     /// When a handler last started.
     last_wake: Duration,
     next_publish: Duration,
@@ -163,28 +163,28 @@
         clock: Arc<dyn Clock>,
         journal: Journal,
         view: watch::Sender<Arc<View>>,
-        directory: Arc<Mutex<Directory>>,
+        directory: Arc<Mutex<JobDirectory>>,
     ) -> Self {
         let now = clock.now();
-        let upkeep = Duty::new(&me.name);
+        let maintenance = Duty::new(&me.name);
         Self {
             settings,
             journal,
             ownership: Ownership::new(me, now),
-            rings: None,
+            actors: None,
             hosted: IndexMap::new(),
             remote_shards: IndexMap::new(),
             queues: None,
-            confirmed: Confirmed::new(now, config_in_force),
+            config_confirmation: ConfigConfirmation::new(now, config_in_force),
             config_unconfirmed: false,
             config_error: None,
             fleet: Vec::new(),
-            shapes: Arc::default(),
+            vm_shapes: Arc::default(),
             plan: Plan::default(),
             store_reach: StoreReach::Away,
             store_lost_at: None,
-            upkeep,
-            next_upkeep: now,
+            maintenance,
+            next_maintenance: now,
             permit_requests: IndexMap::new(),
             offers: IndexMap::new(),
             reported_lapses: IndexMap::new(),
@@ -235,18 +235,18 @@
 
     fn execute(&mut self, shard: &Arc<str>, fence: Fence, action: Action, cx: &mut Context<Self>) {
         match action {
-            Action::Look { .. }
+            Action::Poll { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => {
-                let Some(rings) = &mut self.rings else { return };
-                // The push fails only if the orders actor has ended; no order is answered then.
-                let _ = rings.orders.push(Order { shard: shard.clone(), fence, action });
+                let Some(actors) = &mut self.actors else { return };
+                // The push fails only if the receiving actor has ended; no call is answered then.
+                let _ = actors.vm_calls.push(VmCall { shard: shard.clone(), fence, action });
             }
-            Action::Ask(req) => self.ask_permits(shard, fence, req, cx),
+            Action::RequestPermits(req) => self.request_permits(shard, fence, req, cx),
             Action::Commit { seq, txn } => {
-                if let Some(rings) = &self.rings {
-                    rings.commits.do_send(Commit { shard: shard.to_string(), seq, txn });
+                if let Some(actors) = &self.actors {
+                    actors.commits.do_send(CommitShard { shard: shard.to_string(), seq, txn });
                 }
             }
             Action::Reply { ticket, answer } => self.reply(ticket, Reply::Answer(answer)),
@@ -254,14 +254,16 @@
                 self.record_accepted_job(shard, &note);
                 self.journal.write(note);
             }
-            Action::Tell { to, fence, msg } => self.send_loan_message(shard, &to, fence, msg, cx),
+            Action::SendLoanMessage { to, fence, msg } => {
+                self.send_loan_message(shard, &to, fence, msg, cx)
+            }
             Action::Fenced => self.drop_shard(shard, "a VM reported a newer owner", cx),
             Action::HandedOver => self.complete_hand_over(shard, cx),
         }
     }
 
     /// Asks the permit service, through the daemon with the fewest open requests of this one.
-    fn ask_permits(
+    fn request_permits(
         &mut self,
         shard: &Arc<str>,
         fence: Fence,
@@ -277,13 +279,13 @@
         let through = through.filter(|member| {
             open_here > self.permit_requests.get(&member.name).copied().unwrap_or(0)
         });
-        let Some(rings) = &mut self.rings else { return };
+        let Some(actors) = &mut self.actors else { return };
         let name = through.as_ref().unwrap_or(self.ownership.me()).name.clone();
         *self.permit_requests.entry(name.clone()).or_default() += 1;
         let (sent, step, vms) = (self.last_wake, req.step, req.vms.clone());
         let answer: Pin<Box<dyn Future<Output = _>>> = match through {
-            Some(to) => Box::pin(rings.links.send(ForwardPermitRequest { to, req })),
-            None => Box::pin(rings.asker.send(AskHere(req))),
+            Some(to) => Box::pin(actors.links.send(ForwardPermitRequest { to, req })),
+            None => Box::pin(actors.permits.send(RequestPermits(req))),
         };
         let shard = shard.clone();
         cx.spawn(answer.into_actor(self).map(move |answer, this, cx| {
@@ -293,7 +295,7 @@
             let ended = |e: MailboxError| permit::Error::NotSent { reason: e.to_string() };
             let result = answer.map_err(ended).flatten();
             let event = Event::Permitted { step, vms, sent, result };
-            cx.notify(Told { shard, fence, event });
+            cx.notify(ExternalCallResult { shard, fence, event });
         }));
     }
 
@@ -313,9 +315,9 @@
             return;
         }
         // Without an owner the message is lost; the sending shard repeats it.
-        let (Some(owner), Some(rings)) = (self.ownership.owner(to), &self.rings) else { return };
+        let (Some(owner), Some(actors)) = (self.ownership.owner(to), &self.actors) else { return };
         let (shard, from) = (to.to_string(), from.to_string());
-        rings.links.do_send(SendLoanMessage { to: owner, shard, from, fence, msg });
+        actors.links.do_send(SendLoanMessage { to: owner, shard, from, fence, msg });
     }
 
     fn tick(&mut self, cx: &mut Context<Self>) {
@@ -327,9 +329,9 @@
         if now.steady >= self.next_publish {
             self.next_publish = now.steady + PUBLISH_INTERVAL;
             self.step_ownership(cluster::Event::Tick, cx);
-            if now.steady >= self.next_upkeep {
-                self.next_upkeep = now.steady + UPKEEP_INTERVAL;
-                self.tick_upkeep(cx);
+            if now.steady >= self.next_maintenance {
+                self.next_maintenance = now.steady + MAINTENANCE_INTERVAL;
+                self.tick_maintenance(cx);
             }
             if now.steady >= self.next_neighbours {
                 self.next_neighbours = now.steady + NEIGHBOUR_INTERVAL;
@@ -338,33 +340,33 @@
             }
             self.publish(now.steady);
         }
-        if let Some(rings) = &mut self.rings {
-            rings.orders.flush();
+        if let Some(actors) = &mut self.actors {
+            actors.vm_calls.flush();
         }
     }
 
-    fn tick_upkeep(&mut self, cx: &mut Context<Self>) {
+    fn tick_maintenance(&mut self, cx: &mut Context<Self>) {
         let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
-            vacated: hosted.shard.vacated(),
+            vacated: hosted.shard.drained_vms(),
         };
         let shards = self.hosted.iter().map(to_own_shard).collect();
-        self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
+        self.step_maintenance(upkeep::duty::Event::Tick(shards), cx);
     }
 
-    /// Passes an event to the upkeep state machine and executes the resulting actions.
-    fn step_upkeep(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
+    /// Passes an event to the maintenance state machine and executes the resulting actions.
+    fn step_maintenance(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
         let now = self.clock.now();
-        for action in self.upkeep.step(now, event) {
+        for action in self.maintenance.step(now, event) {
             match action {
                 upkeep::duty::Action::Note(note) => self.journal.write(note),
                 upkeep::duty::Action::Vacate { shard, order } => {
-                    self.step_shard(&shard, Event::Vacate(order), cx);
+                    self.step_shard(&shard, Event::Drain(order), cx);
                 }
                 other => {
-                    if let Some(rings) = &self.rings {
-                        rings.upkeep.do_send(Upkeep(other));
+                    if let Some(actors) = &self.actors {
+                        actors.maintenance.do_send(MaintenanceAction(other));
                     }
                 }
             }
@@ -387,4 +389,4 @@
 }
 
 /// Behaviour of a full ring from this actor to another.
-pub const ACTIONS: WhenFull = WhenFull::Wait { limit: MAX_PENDING_ACTIONS };
+pub const ACTION_RING_POLICY: WhenFull = WhenFull::Wait { limit: MAX_PENDING_ACTIONS };
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -3,12 +3,12 @@
 use super::{Control, HostedShard};
 use crate::clock::Clock;
 use crate::cluster::{Hello, MemberStage, ShardNews};
-use crate::jobs::confirmed::Standing;
+use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::links::SendHello;
 use crate::jobs::view::{Owner, Readiness, ShardView, View};
 use crate::note::Note;
-use crate::shard::interference::Learned;
-use crate::shard::{Event, Neighbour};
+use crate::shard::interference::PairEstimate;
+use crate::shard::{Event, OtherShard};
 use actix::prelude::*;
 use indexmap::IndexMap;
 use std::sync::Arc;
@@ -27,27 +27,27 @@
     /// Informs each local shard about the other shards.
     pub(super) fn report_neighbours(&mut self, cx: &mut Context<Self>) {
         let now = self.clock.now();
-        let mut known: Vec<Neighbour> = Vec::new();
+        let mut known: Vec<OtherShard> = Vec::new();
         for (name, view) in &self.remote_shards {
-            let fresh = now.saturating_sub(view.at) < MAX_NEIGHBOUR_AGE;
+            let fresh = now.saturating_sub(view.summary_at) < MAX_NEIGHBOUR_AGE;
             if fresh && self.ownership.owner(name).is_some() && !self.hosted.contains_key(name) {
                 let (name, summary) = (Arc::from(name.as_str()), view.summary.clone());
                 let fence = self.ownership.fence(&name);
-                known.push(Neighbour { name, fence, summary });
+                known.push(OtherShard { name, fence, summary });
             }
         }
         for hosted in self.hosted.values() {
             let (name, summary) = (hosted.name.clone(), hosted.summary.clone());
-            known.push(Neighbour { name, fence: hosted.shard.fence(), summary });
+            known.push(OtherShard { name, fence: hosted.shard.fence(), summary });
         }
         let daemons = self.ownership.members().len() + 1;
         let shards = self.ownership.shards().len().max(1);
-        let askers = u32::try_from(daemons.div_ceil(shards)).unwrap_or(1);
+        let max_requests = u32::try_from(daemons.div_ceil(shards)).unwrap_or(1);
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
-            self.step_shard(&name, Event::Askers(askers), cx);
+            self.step_shard(&name, Event::PermitConcurrency(max_requests), cx);
             let others = known.iter().filter(|other| *other.name != *name).cloned().collect();
-            self.step_shard(&name, Event::Neighbours(others), cx);
+            self.step_shard(&name, Event::OtherShards(others), cx);
         }
     }
 
@@ -67,8 +67,8 @@
         for name in self.ownership.shards() {
             let view = match self.hosted.get_mut(&name) {
                 Some(hosted) => {
-                    let (summary, at) = (hosted.summary.clone(), hosted.summary_at);
-                    ShardView { owner: Some(Owner::Here), summary, at }
+                    let (summary, summary_at) = (hosted.summary.clone(), hosted.summary_at);
+                    ShardView { owner: Some(Owner::Local), summary, summary_at }
                 }
                 None => self.remote_view(&name),
             };
@@ -79,17 +79,17 @@
         if before != readiness {
             let (ready, reason) = match readiness {
                 Readiness::Ready => (true, "callers can be served"),
-                Readiness::Not { reason } => (false, reason),
+                Readiness::NotReady { reason } => (false, reason),
             };
             self.journal.write(Note::Readiness { ready, reason });
         }
         let queues = self.queues.clone();
         self.view.send_replace(Arc::new(View {
             queues,
-            confirmed: self.confirmed,
+            config_confirmation: self.config_confirmation,
             shards,
             readiness,
-            shapes: self.shapes.clone(),
+            vm_shapes: self.vm_shapes.clone(),
         }));
         self.send_hellos();
     }
@@ -97,9 +97,9 @@
     pub(super) fn remote_view(&self, name: &str) -> ShardView {
         let known = self.remote_shards.get(name);
         ShardView {
-            owner: self.ownership.owner(name).map(Owner::Other),
+            owner: self.ownership.owner(name).map(Owner::Remote),
             summary: known.map(|view| view.summary.clone()).unwrap_or_default(),
-            at: known.map_or(Duration::ZERO, |view| view.at),
+            summary_at: known.map_or(Duration::ZERO, |view| view.summary_at),
         }
     }
 
@@ -108,19 +108,19 @@
         now: Duration,
         shards: &IndexMap<String, ShardView>,
     ) -> Readiness {
-        let not = |reason| Readiness::Not { reason };
+        let not = |reason| Readiness::NotReady { reason };
         if self.ownership.me().stage == MemberStage::Draining {
-            return not("the daemon is stopping");
+            return not("the daemon stops");
         }
         if self.queues.is_none() {
-            return not("no configuration has been read yet");
+            return not("no configuration was read yet");
         }
-        match self.confirmed.standing(now) {
-            Standing::Unconfirmed => return not("the configuration isn't confirmed"),
-            Standing::CutOff if !self.ownership.store_in_reach() => {
-                return not("the store is unreachable");
+        match self.config_confirmation.status(now) {
+            ConfirmationStatus::Unconfirmed => return not("the configuration isn't confirmed"),
+            ConfirmationStatus::CutOff if !self.ownership.store_in_reach() => {
+                return not("the store can't be reached");
             }
-            Standing::CutOff | Standing::Confirmed => {}
+            ConfirmationStatus::CutOff | ConfirmationStatus::Confirmed => {}
         }
         if !shards.values().any(|shard| shard.owner.is_some()) {
             return not("no shard has an owner");
@@ -142,8 +142,8 @@
             shards: self.shard_news(),
         };
         let (owners, others) = to.into_iter().partition(|to| self.ownership.is_owner(&to.name));
-        if let Some(rings) = &self.rings {
-            rings.links.do_send(SendHello { hello, owners, others });
+        if let Some(actors) = &self.actors {
+            actors.links.do_send(SendHello { hello, owners, others });
         }
     }
 
@@ -167,7 +167,7 @@
                 summary: (*hosted.summary).clone(),
                 accepted: hosted.accepted.iter().map(|(_, job)| *job).collect(),
                 learned: if learned_due { hosted.shard.learned() } else { Vec::new() },
-                lapses: hosted.shard.told_lapses(now),
+                lapses: hosted.shard.reported_lapses(now),
             }
         };
         self.hosted.iter_mut().map(news).collect()
@@ -178,7 +178,7 @@
     pub(super) fn share_learned(
         &mut self,
         from: &str,
-        learned: Vec<Learned>,
+        learned: Vec<PairEstimate>,
         cx: &mut Context<Self>,
     ) {
         if learned.is_empty() {
@@ -187,7 +187,7 @@
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let (from, learned) = (from.to_owned(), learned.clone());
-            self.step_shard(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Interference { from, learned }, cx);
         }
         self.learned.insert(from.to_owned(), learned);
     }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -6,13 +6,13 @@
 use crate::ids::Ticket;
 use crate::job::JobId;
 use crate::jobs::calls::Reply;
-use crate::jobs::confirmed::Standing;
-use crate::jobs::follow::operators::ReadQueues;
+use crate::jobs::confirmed::ConfirmationStatus;
+use crate::jobs::follow::operators::LoadedConfig;
 use crate::jobs::links::{OfferShard, ProbeMember};
-use crate::jobs::records::{Claim, Confirm, Confirmation, Forget, ReadHeads};
+use crate::jobs::records::{ClaimShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard};
 use crate::journal::Journal;
 use crate::note::{Ms, Note};
-use crate::shard::{Action, Announcements, Event, Recovered, Shard};
+use crate::shard::{Action, Event, FleetListStatus, Recovered, Shard};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
 use std::sync::{Arc, PoisonError};
@@ -33,13 +33,14 @@
     }
 
     pub(super) fn confirm_ownership(&mut self, shard: String, cx: &mut Context<Self>) {
-        let Some(rings) = &self.rings else { return };
+        let Some(actors) = &self.actors else { return };
         let owner = self.ownership.me().id.clone();
-        let confirmation = rings.confirm.send(Confirm { shard: shard.clone(), owner });
+        let confirmation =
+            actors.confirmations.send(ConfirmOwnership { shard: shard.clone(), owner });
         cx.spawn(confirmation.into_actor(self).map(move |answer, this, cx| match answer {
-            Ok(Confirmation::Owned) => this.resume_shard(&shard, cx),
-            Ok(Confirmation::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
-            Ok(Confirmation::Unknown) | Err(_) => {
+            Ok(OwnershipStatus::Owned) => this.resume_shard(&shard, cx),
+            Ok(OwnershipStatus::Lost) => this.drop_shard(&shard, "another daemon owns it", cx),
+            Ok(OwnershipStatus::Unknown) | Err(_) => {
                 cx.run_later(CONFIRM_RETRY_DELAY, move |this, cx| {
                     if this.hosted.get(&shard).is_some_and(|hosted| hosted.deferred.is_some()) {
                         this.confirm_ownership(shard, cx);
@@ -80,12 +81,12 @@
     pub(super) fn complete_hand_over(&mut self, shard: &str, cx: &mut Context<Self>) {
         let new_owner = self.hosted.get(shard).and_then(|hosted| hosted.new_owner.clone());
         let from = self.ownership.me().id.clone();
-        if let (Some(to), Some(rings)) = (new_owner, &self.rings)
+        if let (Some(to), Some(actors)) = (new_owner, &self.actors)
             && to.id != from
         {
-            let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.lapses());
+            let lapses = self.hosted.get(shard).map(|hosted| hosted.shard.unresponsive_vms());
             let (shard, lapses) = (shard.to_owned(), lapses.unwrap_or_default());
-            rings.links.do_send(OfferShard { shard, to, from, lapses });
+            actors.links.do_send(OfferShard { shard, to, from, lapses });
         }
         self.drop_shard(shard, "handed over", cx);
     }
@@ -94,7 +95,7 @@
         let Some(mut hosted) = self.hosted.shift_remove(shard) else { return };
         // Kept because this daemon may become the shard's next owner.
         let now = self.now().steady;
-        let lapses = TimedLapses { at: now, lapses: hosted.shard.told_lapses(now) };
+        let lapses = TimedLapses { at: now, lapses: hosted.shard.reported_lapses(now) };
         self.reported_lapses.insert(shard.to_owned(), lapses);
         for event in hosted.deferred.take().into_iter().flatten() {
             // A deferred call had no effect; its caller still waits and can be sent to the owner.
@@ -102,13 +103,13 @@
                 self.reply(ticket, Reply::NotOwner);
             }
         }
-        for action in hosted.shard.abandon() {
+        for action in hosted.shard.reply_to_all_on_loss() {
             if let Action::Reply { ticket, answer } = action {
                 self.reply(ticket, Reply::Answer(answer));
             }
         }
-        if let Some(rings) = &self.rings {
-            rings.forget.do_send(Forget { shard: shard.to_owned() });
+        if let Some(actors) = &self.actors {
+            actors.removals.do_send(RemoveShard { shard: shard.to_owned() });
         }
         let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
         self.step_ownership(dropped, cx);
@@ -136,13 +137,13 @@
     }
 
     pub(super) fn execute_ownership_action(&mut self, action: cluster::Action) {
-        let Some(rings) = &self.rings else { return };
+        let Some(actors) = &self.actors else { return };
         match action {
             cluster::Action::Claim { shard, previous, replaces } => {
-                rings.claims.do_send(Claim { shard, previous, replaces });
+                actors.claims.do_send(ClaimShard { shard, previous, replaces });
             }
-            cluster::Action::ReadHeads => rings.heads.do_send(ReadHeads),
-            cluster::Action::Probe(member) => rings.links.do_send(ProbeMember(member)),
+            cluster::Action::ReadHeads => actors.heads.do_send(ReadHeads),
+            cluster::Action::Probe(member) => actors.links.do_send(ProbeMember(member)),
             cluster::Action::HandOver { .. } | cluster::Action::Note(_) => {}
         }
     }
@@ -160,10 +161,11 @@
         // extended the time for which the VMs keep their work running.
         if let Some(offer) = offer.filter(|o| recovered.predecessor.as_ref() == Some(&o.from)) {
             let passed = now.steady.saturating_sub(offer.at);
-            recovered.lapses = offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
+            recovered.unresponsive_vms =
+                offer.lapses.into_iter().map(|lapse| lapse.aged(passed)).collect();
         }
         if let Some(reported) = self.reported_lapses.shift_remove(&recovered.shard) {
-            recovered.told = reported.aged(now.steady);
+            recovered.reported_lapses = reported.aged(now.steady);
         }
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
@@ -178,7 +180,7 @@
         );
         let shared: Arc<str> = Arc::from(name.as_str());
         accepted_jobs.iter().for_each(|id| self.add_to_directory(*id, &shared));
-        let (_, runs) = shard.open_work();
+        let (_, runs) = shard.open_job_and_run_counts();
         journal_claim(&self.journal, &name, fence, jobs, runs);
         let summary = Arc::new(shard.summary());
         let hosted = HostedShard {
@@ -193,7 +195,7 @@
         };
         self.hosted.insert(name.clone(), hosted);
         for (from, learned) in self.learned.clone() {
-            self.step_shard(&name, Event::Learned { from, learned }, cx);
+            self.step_shard(&name, Event::Interference { from, learned }, cx);
         }
         self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
         self.step_shard(&name, Event::Tick, cx);
@@ -201,8 +203,8 @@
         self.publish(now.steady);
     }
 
-    pub(super) fn apply_config(&mut self, read: ReadQueues, cx: &mut Context<Self>) {
-        let ReadQueues { queues, bytes, decode } = read;
+    pub(super) fn apply_config(&mut self, loaded: LoadedConfig, cx: &mut Context<Self>) {
+        let LoadedConfig { queues, encoded_bytes, decode_time } = loaded;
         let before = self.queues.as_ref().map_or(0, |queues| queues.version);
         if queues.version <= before {
             return;
@@ -212,9 +214,9 @@
             version: queues.version,
             before,
             queues: queues.queues.len(),
-            bytes,
-            decode_ms: Ms(decode),
-            unconfirmed_ms: Ms(self.confirmed.age(now)),
+            bytes: encoded_bytes,
+            decode_ms: Ms(decode_time),
+            unconfirmed_ms: Ms(self.config_confirmation.age(now)),
         });
         let queues = Arc::new(queues);
         self.queues = Some(queues.clone());
@@ -225,10 +227,12 @@
     /// Records that the store confirmed the configuration in force.
     pub(super) fn confirm_config(&mut self, at: Duration) {
         let now = self.now().steady;
-        let unconfirmed_ms = Ms(self.confirmed.age(now));
-        self.confirmed.confirm(at);
+        let unconfirmed_ms = Ms(self.config_confirmation.age(now));
+        self.config_confirmation.confirm(at);
         self.config_error = None;
-        if self.config_unconfirmed && self.confirmed.standing(now) == Standing::Confirmed {
+        if self.config_unconfirmed
+            && self.config_confirmation.status(now) == ConfirmationStatus::Confirmed
+        {
             self.config_unconfirmed = false;
             let version = self.queues.as_ref().map_or(0, |queues| queues.version);
             self.journal.write(Note::ConfigConfirmed { version, unconfirmed_ms });
@@ -240,12 +244,14 @@
     pub(super) fn check_config_confirmation(&mut self, now: Duration) {
         let Some(queues) = &self.queues else { return };
         let (version, newest) = (queues.version, self.ownership.newest_config());
-        self.confirmed.update_reach(self.store_reach, version, newest);
-        if self.config_unconfirmed || self.confirmed.standing(now) == Standing::Confirmed {
+        self.config_confirmation.update_reach(self.store_reach, version, newest);
+        if self.config_unconfirmed
+            || self.config_confirmation.status(now) == ConfirmationStatus::Confirmed
+        {
             return;
         }
         self.config_unconfirmed = true;
-        let unconfirmed_ms = Ms(self.confirmed.age(now));
+        let unconfirmed_ms = Ms(self.config_confirmation.age(now));
         self.journal.write(Note::ConfigUnconfirmed { version, newest, unconfirmed_ms });
     }
 
@@ -260,20 +266,20 @@
     pub(super) fn update_fleet(
         &mut self,
         vms: Vec<VmEntry>,
-        announcements: Announcements,
+        list_status: FleetListStatus,
         at: Option<Duration>,
         cx: &mut Context<Self>,
     ) {
-        if announcements == Announcements::Complete {
-            Arc::make_mut(&mut self.shapes).add(&vms);
+        if list_status == FleetListStatus::Complete {
+            Arc::make_mut(&mut self.vm_shapes).add(&vms);
         }
-        if announcements == Announcements::Complete || !vms.is_empty() {
+        if list_status == FleetListStatus::Complete || !vms.is_empty() {
             self.fleet = vms;
         }
         let names: Vec<String> = self.hosted.keys().cloned().collect();
         for name in names {
             let vms = self.shard_vms(&name);
-            self.step_shard(&name, Event::Fleet { vms, announcements, at }, cx);
+            self.step_shard(&name, Event::Fleet { vms, list_status, at }, cx);
         }
     }
 
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -1,13 +1,15 @@
 //! Starts the daemon's actors on their threads, and stops them.
 
-use super::calls::Calls;
-use super::control::{ACTIONS, Connect, Control, Drain, GiveUp, OwnsAny, Rings};
-use super::links::{self, Links};
+use super::calls::JobClient;
+use super::control::{
+    ACTION_RING_POLICY, ActorHandles, Connect, Control, Drain, HasShards, ReleaseShards,
+};
+use super::links::{self, PeerLinks};
 use super::machines::Machines;
-use super::orders::{AskHere, Orders};
+use super::orders::{ExternalCalls, RequestPermits};
 use super::records::{Records, Shutdown};
 use super::settings::Settings;
-use super::view::{Directory, View};
+use super::view::{JobDirectory, View};
 use super::{Platform, status};
 use crate::clock::Clock;
 use crate::cluster::{Member, MemberStage};
@@ -43,10 +45,10 @@
 pub struct Daemon<P: Platform> {
     id: DaemonId,
     control: Addr<Control>,
-    links: Addr<Links>,
+    links: Addr<PeerLinks>,
     records: Addr<Records<P>>,
     view: watch::Receiver<Arc<View>>,
-    directory: Arc<Mutex<Directory>>,
+    directory: Arc<Mutex<JobDirectory>>,
     clock: Arc<dyn Clock>,
     journal: Journal,
     arbiters: Vec<Arbiter>,
@@ -66,12 +68,12 @@
         let me = member(settings, addr, &*clock);
         let id = me.id.clone();
         let (publish, view) = watch::channel(Arc::new(View::default()));
-        let directory: Arc<Mutex<Directory>> = Arc::default();
+        let directory: Arc<Mutex<JobDirectory>> = Arc::default();
         let arbiters: Vec<Arbiter> = (0..4).map(|_| Arbiter::new()).collect();
 
         let control = {
             let (me, clock, journal) = (me.clone(), clock.clone(), journal.clone());
-            let (shard_settings, directory) = (settings.shard(), directory.clone());
+            let (shard_settings, directory) = (settings.shard_settings(), directory.clone());
             let config_in_force = Duration::from_millis(settings.bounds.config_in_force_ms);
             Control::start_in_arbiter(&arbiters[0].handle(), move |_| {
                 Control::new(
@@ -94,30 +96,30 @@
                 Records::new(me, platform, lease_ttl, control, clock)
             })
         };
-        let upkeep = {
+        let machines = {
             let (platform, control, clock) = (platform.clone(), control.clone(), clock.clone());
             Machines::start_in_arbiter(&arbiters[1].handle(), move |_| {
                 Machines::new(platform, control, clock)
             })
         };
-        let orders = {
+        let external_calls = {
             let (control, clock) = (control.clone(), clock.clone());
-            Orders::start_in_arbiter(&arbiters[2].handle(), move |_| {
-                Orders::new(&platform, control, clock)
+            ExternalCalls::start_in_arbiter(&arbiters[2].handle(), move |_| {
+                ExternalCalls::new(&platform, control, clock)
             })
         };
-        let asker = orders.clone().recipient();
-        let links = start_links(&arbiters[3], listener, &control, asker).await?;
-        control.do_send(Connect(Rings {
-            upkeep: upkeep.recipient(),
-            asker: orders.clone().recipient(),
-            orders: Ring::new(orders, ACTIONS),
+        let permits = external_calls.clone().recipient();
+        let links = start_links(&arbiters[3], listener, &control, permits).await?;
+        control.do_send(Connect(ActorHandles {
+            maintenance: machines.recipient(),
+            permits: external_calls.clone().recipient(),
+            vm_calls: Ring::new(external_calls, ACTION_RING_POLICY),
             links: links.clone(),
             claims: records.clone().recipient(),
             commits: records.clone().recipient(),
-            forget: records.clone().recipient(),
+            removals: records.clone().recipient(),
             heads: records.clone().recipient(),
-            confirm: records.clone().recipient(),
+            confirmations: records.clone().recipient(),
         }));
         journal.write(Note::DaemonStarted {
             daemon: id.clone(),
@@ -129,9 +131,9 @@
         Ok(Self { id, control, links, records, view, directory, clock, journal, arbiters })
     }
 
-    /// Creates the API for callers' calls. Each thread needs its own.
-    pub fn calls(&self) -> Calls {
-        Calls::new(
+    /// Creates a client for jobs. Each thread needs its own.
+    pub fn job_client(&self) -> JobClient {
+        JobClient::new(
             self.view.clone(),
             self.directory.clone(),
             self.control.clone(),
@@ -142,7 +144,7 @@
     }
 
     /// Returns the configuration of the HTTP endpoints for operators.
-    pub fn operators(&self) -> impl Fn(&mut web::ServiceConfig) + Clone + Send + use<P> {
+    pub fn operator_routes(&self) -> impl Fn(&mut web::ServiceConfig) + Clone + Send + use<P> {
         status::mount(self.control.clone())
     }
 
@@ -153,7 +155,7 @@
 
     /// Starts a planned stop, and waits up to `limit` until every shard is handed over.
     pub async fn drain(&self, limit: Duration) {
-        let shards = usize::from(self.control.send(OwnsAny).await.unwrap_or(false));
+        let shards = usize::from(self.control.send(HasShards).await.unwrap_or(false));
         self.journal.write(Note::DaemonStopping { daemon: self.id.clone(), shards });
         self.control.do_send(Drain);
         self.wait_until_no_shards(limit).await;
@@ -162,14 +164,14 @@
     /// Releases the shards that no other daemon has taken, and waits up to `limit` until that is
     /// done.
     pub async fn release_shards(&self, limit: Duration) {
-        self.control.do_send(GiveUp);
+        self.control.do_send(ReleaseShards);
         self.wait_until_no_shards(limit).await;
     }
 
     async fn wait_until_no_shards(&self, limit: Duration) {
         let until = self.clock.now() + limit;
         while self.clock.now() < until {
-            if !self.control.send(OwnsAny).await.unwrap_or(false) {
+            if !self.control.send(HasShards).await.unwrap_or(false) {
                 return;
             }
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
@@ -177,7 +179,7 @@
     }
 
     /// Stops all actors.
-    pub fn end(self, open_calls: usize) {
+    pub fn shut_down(self, open_calls: usize) {
         self.records.do_send(Shutdown);
         self.journal.write(Note::DaemonStopped { daemon: self.id.clone(), open_calls });
         self.journal.close(Duration::from_millis(200));
@@ -194,16 +196,16 @@
     arbiter: &Arbiter,
     listener: TcpListener,
     control: &Addr<Control>,
-    asker: Recipient<AskHere>,
-) -> Result<Addr<Links>> {
+    permits: Recipient<RequestPermits>,
+) -> Result<Addr<PeerLinks>> {
     let links = {
         let control = control.clone();
-        Links::start_in_arbiter(&arbiter.handle(), move |_| Links::new(control))
+        PeerLinks::start_in_arbiter(&arbiter.handle(), move |_| PeerLinks::new(control))
     };
     let (tx, rx) = oneshot::channel();
     let (served, control) = (links.clone(), control.clone());
     arbiter.spawn(async move {
-        let served = links::serve(listener, served, control, asker).await;
+        let served = links::serve(listener, served, control, permits).await;
         // `start_links` is waiting for this result, so the receiver exists.
         let _ = tx.send(served);
     });
@@ -220,6 +222,6 @@
         domain: settings.domain.clone(),
         addr: addr.to_string(),
         stage: MemberStage::Serving,
-        power: settings.machine.power(),
+        power: settings.machine.milli_cores(),
     }
 }
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -11,12 +11,12 @@
 
 use super::{FailureStreak, FollowContext, ReadProgress, extend_plan, read_all};
 use crate::cluster::StoreReach;
-use crate::jobs::control::Stored;
+use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
-use crate::jobs::{Platform, Unreadable};
+use crate::jobs::{Platform, UnreadableEntry};
 use crate::kv::{Change, Freshness, Item, Kv, Result, Rev, Watch};
 use crate::note::{Ms, Note};
-use crate::shard::Announcements;
+use crate::shard::FleetListStatus;
 use crate::vm::VmEntry;
 use indexmap::{IndexMap, IndexSet};
 use std::cell::Cell;
@@ -143,7 +143,7 @@
         freshness: Freshness,
     ) -> Result<()> {
         let asked = ctx.store.clock().now();
-        let prefix = ctx.platform.fleet_prefix();
+        let prefix = ctx.platform.vm_prefix();
         let (items, after) = read_all(&ctx.store, prefix, freshness).await?;
         (self.requested_at, self.after) =
             ((freshness == Freshness::Latest).then_some(asked), after);
@@ -161,7 +161,7 @@
         let mut read = 0;
         loop {
             let (newest, asked) = (ctx.store.reach().newest(), ctx.store.clock().now());
-            let watch = Watch::new(ctx.platform.fleet_prefix(), self.after, WATCH_TIMEOUT);
+            let watch = Watch::new(ctx.platform.vm_prefix(), self.after, WATCH_TIMEOUT);
             let answer = ctx.store.call(|store| store.watch(&watch)).await?;
             self.after = self.after.max(answer.at);
             let changes = answer.changes.len();
@@ -186,12 +186,12 @@
     }
 
     fn apply_item<P: Platform>(&mut self, ctx: &FollowContext<P>, item: &Item) {
-        let (novelty, note) = self.apply(item, ctx.platform.read_vm(item));
+        let (novelty, note) = self.apply(item, ctx.platform.parse_vm_entry(item));
         if novelty == Novelty::New {
             self.plan_update.set(PlanUpdate::Needed);
         }
         if let Some(note) = note {
-            ctx.control.do_send(Stored::Note(note));
+            ctx.control.do_send(StoreEvent::Note(note));
         }
     }
 
@@ -200,7 +200,7 @@
     fn apply(
         &mut self,
         item: &Item,
-        read: std::result::Result<VmEntry, Unreadable>,
+        read: std::result::Result<VmEntry, UnreadableEntry>,
     ) -> (Novelty, Option<Note>) {
         match read {
             Ok(vm) => {
@@ -242,7 +242,7 @@
                 Err(e) => {
                     plan_update.set(PlanUpdate::Needed);
                     let reason = e.to_string();
-                    ctx.control.do_send(Stored::Note(Note::PlanUnread { reason }));
+                    ctx.control.do_send(StoreEvent::Note(Note::PlanUnread { reason }));
                 }
             }
         });
@@ -250,26 +250,26 @@
 }
 
 impl<P: Platform> FollowContext<P> {
-    fn announcements(&self) -> Announcements {
+    fn list_status(&self) -> FleetListStatus {
         let (now, reach) = (self.store.clock().now(), self.store.reach());
         let since_regained = now.saturating_sub(reach.regained());
         let recently_regained =
             reach.regained() > Duration::ZERO && since_regained < REANNOUNCE_WINDOW;
         match reach.state(now) {
-            StoreReach::Reached if !recently_regained => Announcements::Complete,
-            _ => Announcements::Recovering,
+            StoreReach::Reached if !recently_regained => FleetListStatus::Complete,
+            _ => FleetListStatus::Recovering,
         }
     }
 
     fn publish_fleet(&self, fleet: &Fleet) {
-        let announcements = self.announcements();
+        let list_status = self.list_status();
         let vms = fleet.vms.values().cloned().collect();
-        self.control.do_send(Stored::Fleet { vms, announcements, at: fleet.requested_at });
+        self.control.do_send(StoreEvent::Fleet { vms, list_status, at: fleet.requested_at });
     }
 
     fn publish_unread(&self) {
-        let announcements = Announcements::Unread;
-        self.control.do_send(Stored::Fleet { vms: Vec::new(), announcements, at: None });
+        let list_status = FleetListStatus::Unread;
+        self.control.do_send(StoreEvent::Fleet { vms: Vec::new(), list_status, at: None });
     }
 
     fn report_lag(&self, fleet: &Fleet, changes: usize, newest: Rev) {
@@ -277,6 +277,6 @@
             Ms(self.store.clock().now().saturating_sub(fleet.requested_at.unwrap_or_default()));
         let (read_rev, newest_rev) = (fleet.after.0, newest.0);
         let note = Note::FleetBehind { changes, read_rev, newest_rev, age_ms };
-        self.control.do_send(Stored::Note(note));
+        self.control.do_send(StoreEvent::Note(note));
     }
 }
--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -6,9 +6,9 @@
 //! only the newest version.
 
 use super::{FailureStreak, FollowContext, ReadProgress, read_all};
-use crate::jobs::control::Stored;
+use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
-use crate::jobs::{Platform, Written};
+use crate::jobs::{OperatorEntry, Platform};
 use crate::kv::{Change, Changes, Error, Freshness, Item, Kv, Result, Rev, Watch};
 use crate::queues::Queues;
 use std::time::Duration;
@@ -25,12 +25,12 @@
 
 /// A configuration with the cost of reading it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadQueues {
+pub struct LoadedConfig {
     pub queues: Queues,
     /// Size of the encoded entry.
-    pub bytes: usize,
+    pub encoded_bytes: usize,
     /// Time spent decoding it.
-    pub decode: Duration,
+    pub decode_time: Duration,
 }
 
 /// Runs the follower.
@@ -39,7 +39,7 @@
     loop {
         if let Err(e) = follow_entries(&ctx, &mut failures).await {
             ctx.report_failure(&mut failures, &e);
-            ctx.control.do_send(Stored::ConfigUnread { reason: e.to_string() });
+            ctx.control.do_send(StoreEvent::ConfigReadFailed { reason: e.to_string() });
             tokio::time::sleep(retry_delay(&e)).await;
         }
     }
@@ -125,29 +125,29 @@
 
     fn apply<P: Platform>(&mut self, ctx: &FollowContext<P>, item: &Item) {
         let began = ctx.store.clock().now();
-        match ctx.platform.read_operators(item) {
-            Ok(Written::Queues(queues)) => {
-                let decode = ctx.store.clock().now().saturating_sub(began);
-                let bytes = item.value.len();
-                (self.config, self.config_bytes) = (ConfigState::Read, bytes);
-                let read = ReadQueues { queues, bytes, decode };
-                ctx.control.do_send(Stored::Queues(Box::new(read)));
+        match ctx.platform.parse_operator_entry(item) {
+            Ok(OperatorEntry::Config(queues)) => {
+                let decode_time = ctx.store.clock().now().saturating_sub(began);
+                let encoded_bytes = item.value.len();
+                (self.config, self.config_bytes) = (ConfigState::Read, encoded_bytes);
+                let loaded = LoadedConfig { queues, encoded_bytes, decode_time };
+                ctx.control.do_send(StoreEvent::Config(Box::new(loaded)));
             }
-            Ok(Written::Wave(wave)) => ctx.control.do_send(Stored::Wave(wave)),
-            Ok(Written::Other) => {}
+            Ok(OperatorEntry::Wave(wave)) => ctx.control.do_send(StoreEvent::Wave(wave)),
+            Ok(OperatorEntry::Other) => {}
             Err(e) => {
                 if item.key == ctx.platform.config_key() {
                     self.config = ConfigState::Unreadable;
-                    ctx.control.do_send(Stored::ConfigUnread { reason: e.to_string() });
+                    ctx.control.do_send(StoreEvent::ConfigReadFailed { reason: e.to_string() });
                 }
-                ctx.control.do_send(Stored::Note(unreadable_note(item.rev.0, &e)));
+                ctx.control.do_send(StoreEvent::Note(unreadable_note(item.rev.0, &e)));
             }
         }
     }
 
     fn confirm<P: Platform>(&self, ctx: &FollowContext<P>, at: Duration) {
         if self.config == ConfigState::Read {
-            ctx.control.do_send(Stored::ConfigConfirmed { at });
+            ctx.control.do_send(StoreEvent::ConfigConfirmed { at });
         }
     }
 }
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -5,7 +5,7 @@
 //! sent back to it.
 
 use super::Platform;
-use super::control::{Control, Upkept};
+use super::control::{Control, MaintenanceResult};
 use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
@@ -46,12 +46,12 @@
 /// Carries out an action for a maintenance wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Upkeep(pub Action);
+pub struct MaintenanceAction(pub Action);
 
-impl<P: Platform> Handler<Upkeep> for Machines<P> {
+impl<P: Platform> Handler<MaintenanceAction> for Machines<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: Upkeep, _: &mut Self::Context) {
+    fn handle(&mut self, msg: MaintenanceAction, _: &mut Self::Context) {
         let (machines, store) = (self.machines.clone(), self.store.clone());
         let (platform, control) = (self.platform.clone(), self.control.clone());
         let clock = self.clock.clone();
@@ -67,13 +67,13 @@
                 }
                 Action::Read { wave } => read_record(&store, wave).await,
                 Action::Write { wave, rev, record, state } => {
-                    let status = platform.wave_state(wave, state);
+                    let status = platform.wave_status(wave, state);
                     write_record(&store, wave, rev, record, status).await
                 }
                 // Handled by control itself.
                 Action::Vacate { .. } | Action::Note(_) => return,
             };
-            control.do_send(Upkept(event));
+            control.do_send(MaintenanceResult(event));
         });
     }
 }
--- a/src/shard/drain.rs
+++ b/src/shard/drain.rs
@@ -23,12 +23,12 @@
 
 impl Shard {
     /// Stops runs on leaving VMs that would not end in time.
-    pub(super) fn empty_leaving(&mut self) {
+    pub(super) fn stop_runs_on_leaving_vms(&mut self) {
         let now = self.now.steady;
         let leaving: Vec<VmId> = self
             .vms
             .values()
-            .filter(|vm| vm.leaving.is_some() && !vm.runs.is_empty() && vm.is_heard(now))
+            .filter(|vm| vm.leaving.is_some() && !vm.runs.is_empty() && vm.is_responsive(now))
             .map(|vm| vm.id.clone())
             .collect();
         for id in leaving {
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -1,8 +1,8 @@
 //! Effects of the end of a run on its task and its job.
 
 use super::Shard;
-use super::job_run::{Effect, JobRun, lasts};
-use super::vm_run::{RunKey, Stage, Unanswered};
+use super::job_run::{Effect, JobRun, is_long_running};
+use super::vm_run::{PendingStart, RunKey, Stage};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
 use crate::job::{Checkpoint, JobId, RunNumber, ShownState, TaskRef};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The end of a run as reported by a VM.
-pub(super) struct End {
+pub(super) struct RunEnd {
     pub vm: VmId,
     pub key: RunKey,
     pub how: EndKind,
@@ -22,7 +22,7 @@
 
 impl Shard {
     /// Handles the end of a run that a VM reported.
-    pub(super) fn run_ended(&mut self, end: End) {
+    pub(super) fn handle_run_end(&mut self, end: RunEnd) {
         let run = self.vms.get_mut(&end.vm).and_then(|vm| vm.runs.shift_remove(&end.key));
         let ran = run.and_then(|run| run.running_since);
         let ran_ms = Ms(ran.map_or_else(Default::default, |at| self.now.steady.saturating_sub(at)));
@@ -36,18 +36,18 @@
         });
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return self.take_effect(Effect::Forget { vm: end.vm, number: end.number });
+            return self.apply_effect(Effect::Forget { vm: end.vm, number: end.number });
         };
         let state = job.state;
         if let Some(known) = job.task_mut(task) {
             known.remove(&end.vm, run);
-            known.away_since.get_or_insert(now);
+            known.not_running_since.get_or_insert(now);
             if end.checkpoint.is_some() {
                 known.checkpoint = end.checkpoint;
             }
         }
         job.effects.push(Effect::Forget { vm: end.vm.clone(), number: end.number });
-        self.log.touch(task.job);
+        self.log.mark_changed(task.job);
         match end.how {
             EndKind::Succeeded => self.task_succeeded(&end.vm, task),
             EndKind::Failed if !state.is_final() => self.task_failed(&end.vm, end.key, ran_ms),
@@ -63,7 +63,7 @@
         }
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(step) = job.step(task).cloned() else { return };
-        if lasts(&step) {
+        if is_long_running(&step) {
             return;
         }
         if step.members.as_one() {
@@ -79,9 +79,9 @@
         let Some(known) = job.task_mut(task) else { return };
         known.phase = TaskPhase::Succeeded;
         let copies = known.runs.clone();
-        for place in copies {
-            let key = RunKey { task, run: place.run };
-            self.stop_run(&place.vm, key, "another copy of it has succeeded");
+        for placed in copies {
+            let key = RunKey { task, run: placed.run };
+            self.stop_run(&placed.vm, key, "another copy of it has succeeded");
         }
     }
 
@@ -98,20 +98,20 @@
         let failed = if step.members.as_one() { whole } else { own };
         let (run, vm_id) = (key.run, vm.clone());
         self.note(Note::TaskFailed { task, run, vm: vm_id, failed, attempts, ran_ms });
-        self.blame(vm, earlier.as_ref(), task);
-        if failed >= attempts && !lasts(&step) {
+        self.record_failure(vm, earlier.as_ref(), task);
+        if failed >= attempts && !is_long_running(&step) {
             self.fail_task(task);
         }
     }
 
     /// Counts a failure against the health of a VM. If the task failed on another VM before, the
     /// task is the likely cause, and that failure no longer counts against the other VM.
-    pub(super) fn blame(&mut self, vm: &VmId, earlier: Option<&VmId>, task: TaskRef) {
+    pub(super) fn record_failure(&mut self, vm: &VmId, earlier: Option<&VmId>, task: TaskRef) {
         let now = self.now.steady;
         if let Some(other) = earlier.filter(|other| *other != vm)
             && let Some(other) = self.vms.get_mut(other)
         {
-            other.health.excuse(task);
+            other.health.disregard_failure(task);
         }
         let Some(known) = self.vms.get_mut(vm) else { return };
         if !known.health.failed(task, now) {
@@ -127,7 +127,7 @@
     /// Fails a task for good, and with it the job, in the shard that accepted it.
     pub(super) fn fail_task(&mut self, task: TaskRef) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if !job.is_guest() {
+        if !job.is_borrowed() {
             return self.fail_job(task.job);
         }
         if let Some(task) = job.task_mut(task) {
@@ -144,17 +144,17 @@
 
     /// Updates a job after one of its runs has ended.
     pub(super) fn advance(&mut self, id: JobId) {
-        self.replan();
+        self.request_schedule();
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if !job.is_final() && !job.is_guest() && job.all_succeeded() {
+        if !job.is_final() && !job.is_borrowed() && job.all_succeeded() {
             job.state = ShownState::Done;
         }
         job.advance(now);
     }
 
     /// Starts the occurrences of repeated jobs that are due.
-    pub(super) fn begin_due(&mut self) {
+    pub(super) fn start_due_occurrences(&mut self) {
         let now = self.now;
         let mut begun = Vec::new();
         for job in self.jobs.values_mut() {
@@ -168,9 +168,9 @@
             }
         }
         if !begun.is_empty() {
-            self.replan();
+            self.request_schedule();
         }
-        begun.into_iter().for_each(|id| self.log.touch(id));
+        begun.into_iter().for_each(|id| self.log.mark_changed(id));
     }
 
     /// Stops a run by a decision of the scheduler.
@@ -207,32 +207,32 @@
         let Some(job) = self.jobs.get_mut(&key.task.job) else { return };
         if let Some(task) = job.task_mut(key.task) {
             task.remove(vm, key.run);
-            task.away_since.get_or_insert(now);
+            task.not_running_since.get_or_insert(now);
         }
-        self.log.touch(key.task.job);
+        self.log.mark_changed(key.task.job);
         self.advance(key.task.job);
     }
 
     /// Removes a run that is certain to have ended on its VM, although the end was never reported.
-    pub(super) fn run_gone(&mut self, vm: &VmId, key: RunKey, proof: Word) {
+    pub(super) fn remove_vanished_run(&mut self, vm: &VmId, key: RunKey, proof: Word) {
         let RunKey { task, run } = key;
-        let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.worked(key)));
+        let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.running_time(key)));
         self.note(Note::TaskGone { task, run, vm: vm.clone(), worked_ms, proof });
         self.drop_run(vm, key);
     }
 
-    /// Abandons the start of a run: drops the run if no start order can still be carried out by the
-    /// VM, and otherwise stops it, which also prevents a delayed start.
-    pub(super) fn give_up(&mut self, vm: &VmId, key: RunKey, reason: Word) {
+    /// Abandons the start of a run: drops the run if no start command can still be carried out by
+    /// the VM, and otherwise stops it, which also prevents a delayed start.
+    pub(super) fn abandon_start(&mut self, vm: &VmId, key: RunKey, reason: Word) {
         let Some(run) = self.vms.get(vm).and_then(|vm| vm.runs.get(&key)) else { return };
-        if run.unanswered == Unanswered::No {
+        if run.pending_start == PendingStart::No {
             return self.drop_run(vm, key);
         }
         self.stop_run(vm, key, reason);
     }
 
     /// Marks a job as started.
-    pub(super) fn note_began(&mut self, id: JobId) {
+    pub(super) fn mark_started(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.started = super::job_run::Started::Yes;
         if job.state == ShownState::Queued {
@@ -249,7 +249,7 @@
 
 /// Returns whether the next occurrence of a job is due.
 fn is_due(job: &JobRun, wall: Duration) -> bool {
-    !job.is_guest()
+    !job.is_borrowed()
         && job.begun < job.job.repeat.occurrences()
         && job.job.repeat.due(job.begun).is_none_or(|due| wall >= due)
 }
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -13,8 +13,8 @@
 //! fencing token.
 
 use super::Shard;
-use super::event::{Action, FreeRoom, Neighbour, Summary};
-use super::job_run::{JobRun, Lent, LoanKnown, Occurrence, RecordState, Started, StepRun, Task};
+use super::event::{Action, FreeRoom, OtherShard, Summary};
+use super::job_run::{JobRun, Lent, LoanStatus, Occurrence, RecordState, Started, StepRun, Task};
 use super::vm_run::RunKey;
 use crate::job::progress::{Crashes, TaskPhase};
 use crate::job::{Checkpoint, Image, Job, JobId, Life, RunNumber, Share, Step, TaskRef};
@@ -38,7 +38,7 @@
 const LEND_DELAY: Duration = Duration::from_millis(60);
 
 /// The same for long-running tasks: within a second, a short task often ends and frees their room.
-const LASTING_LEND_DELAY: Duration = Duration::from_millis(700);
+const LONG_RUNNING_LEND_DELAY: Duration = Duration::from_millis(700);
 
 /// The same for leftover tasks, which are not urgent.
 const LEFTOVER_LEND_DELAY: Duration = Duration::from_millis(900);
@@ -60,7 +60,7 @@
     Lend { job: Arc<Job>, loan: u64, tasks: Vec<LentTask> },
     /// Confirms that the tasks are durable at the borrower, and tells whether a task of the job has
     /// started.
-    Taken { job: JobId, loan: u64, tasks: Vec<TaskRef>, begun: Begun },
+    Taken { job: JobId, loan: u64, tasks: Vec<TaskRef>, begun: JobStart },
     /// Returns tasks to the lender with their outcome.
     Return { job: JobId, tasks: Vec<ReturnedTask> },
     /// Confirms that the outcome is durable at the lender.
@@ -71,7 +71,7 @@
 
 /// Whether a task of a job has started at the borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Begun {
+pub enum JobStart {
     No,
     Yes,
 }
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct Loans {
     /// Latest summaries of other shards, reduced by what was lent to them since.
-    neighbours: IndexMap<Arc<str>, Neighbour>,
+    other_shards: IndexMap<Arc<str>, OtherShard>,
     /// Jobs accepted by this shard that have lent tasks.
     lending: IndexSet<JobId>,
     /// Jobs of other shards with tasks borrowed by this shard.
@@ -131,17 +131,17 @@
 
 impl Loans {
     /// Replaces the summaries of other shards.
-    pub fn know(&mut self, neighbours: Vec<Neighbour>) {
-        self.neighbours = neighbours.into_iter().map(|n| (n.name.clone(), n)).collect();
+    pub fn set_other_shards(&mut self, other_shards: Vec<OtherShard>) {
+        self.other_shards = other_shards.into_iter().map(|n| (n.name.clone(), n)).collect();
     }
 
     /// Sends loan messages at the next opportunity, after a change has become durable.
-    pub fn hurry(&mut self, now: Duration) {
+    pub fn send_soon(&mut self, now: Duration) {
         self.next_send = self.next_send.min(now);
     }
 
     fn fence_of(&self, shard: &str) -> Option<Fence> {
-        self.neighbours.get(shard).map(|neighbour| neighbour.fence)
+        self.other_shards.get(shard).map(|other| other.fence)
     }
 
     fn record_ended(&mut self, loan: LoanId, now: Duration) {
@@ -159,15 +159,15 @@
     /// Registers the loans of a job that was read from the store.
     pub(super) fn recover_loans(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if job.is_guest() {
+        if job.is_borrowed() {
             self.loans.borrowed.insert(id);
-        } else if job.has_lent() {
+        } else if job.has_lent_tasks() {
             self.loans.lending.insert(id);
         }
     }
 
     /// Sends the pending messages about loans whose state is durable.
-    pub(super) fn tell_loans(&mut self) {
+    pub(super) fn send_pending_loan_messages(&mut self) {
         let now = self.now.steady;
         if now < self.loans.next_send {
             return;
@@ -188,18 +188,18 @@
         if !self.log.is_durable(id) || self.log.age(now) >= MESSAGE_INTERVAL {
             return;
         }
-        if !job.has_lent() {
+        if !job.has_lent_tasks() {
             self.loans.lending.shift_remove(&id);
             return;
         }
         let mut msgs: IndexMap<(Arc<str>, u64), Vec<LentTask>> = IndexMap::new();
         let mut recalls: IndexMap<Arc<str>, Vec<LoanId>> = IndexMap::new();
-        for (task, known) in job.named_tasks() {
+        for (task, known) in job.tasks_with_refs() {
             let Some(lent) = &known.lent else { continue };
             if job.is_final() {
                 let loaned = LoanId { task, loan: lent.loan };
                 recalls.entry(lent.to.clone()).or_default().push(loaned);
-            } else if lent.known.needs_sending(now) {
+            } else if lent.status.needs_sending(now) {
                 let key = (lent.to.clone(), lent.loan);
                 msgs.entry(key).or_default().push(LentTask {
                     task,
@@ -226,9 +226,9 @@
     /// Marks loans as sent, so that they are not sent again before an answer can arrive.
     fn mark_sent(&mut self, id: JobId, tasks: &[LentTask], now: Duration) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        for told in tasks {
-            if let Some(lent) = job.task_mut(told.task).and_then(|task| task.lent.as_mut()) {
-                lent.known = LoanKnown::Told { ask: now + MESSAGE_INTERVAL };
+        for sent in tasks {
+            if let Some(lent) = job.task_mut(sent.task).and_then(|task| task.lent.as_mut()) {
+                lent.status = LoanStatus::Sent { resend_at: now + MESSAGE_INTERVAL };
             }
         }
     }
@@ -238,17 +238,17 @@
             self.loans.borrowed.shift_remove(&id);
             return;
         };
-        let Some(home) = job.home.clone() else { return };
+        let Some(lender) = job.lender.clone() else { return };
         self.return_stuck_tasks(id);
         if !self.log.is_durable(id) {
             return;
         }
         let Some(job) = self.jobs.get(&id) else { return };
         let tasks: Vec<ReturnedTask> =
-            job.named_tasks().filter_map(|(task, known)| returned_task(task, known)).collect();
+            job.tasks_with_refs().filter_map(|(task, known)| returned_task(task, known)).collect();
         if !tasks.is_empty() {
             let msg = LoanMsg::Return { job: id, tasks };
-            self.send_message(&home, msg);
+            self.send_message(&lender, msg);
         }
     }
 
@@ -258,7 +258,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let tasks = job.open.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
         let stuck = tasks.filter(|task| {
-            let away = task.away_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
+            let away = task.not_running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
             task.is_waiting() && away >= RETURN_TIMEOUT
         });
         let mut changed = false;
@@ -267,11 +267,11 @@
             changed = true;
         }
         if changed {
-            self.log.touch(id);
+            self.log.mark_changed(id);
         }
     }
 
-    pub(super) fn hear_message(&mut self, from: &Arc<str>, msg: LoanMsg) {
+    pub(super) fn handle_loan_message(&mut self, from: &Arc<str>, msg: LoanMsg) {
         match msg {
             LoanMsg::Lend { job, loan, tasks } => self.handle_lend(from, &job, loan, tasks),
             LoanMsg::Taken { job, loan, tasks, begun } => {
@@ -295,10 +295,10 @@
         let job = self.jobs.entry(id).or_insert_with(|| {
             let age = self.now.wall.saturating_sub(spec.accepted);
             let mut job = JobRun::new(spec.clone(), images, now.saturating_sub(age));
-            job.home = Some(from.clone());
+            job.lender = Some(from.clone());
             job
         });
-        if job.home.as_ref() != Some(from) || job.record == RecordState::Dropped {
+        if job.lender.as_ref() != Some(from) || job.record == RecordState::Dropped {
             // The remains of an earlier loan are still being removed; the lender sends this loan
             // again.
             return;
@@ -312,29 +312,29 @@
         names.retain(|name| job.task(*name).is_some_and(|task| task.loan == loan));
         if changed {
             job.advance(now);
-            self.replan();
-            self.log.touch(id);
+            self.request_schedule();
+            self.log.mark_changed(id);
         } else if self.log.is_durable(id) && !names.is_empty() {
-            let begun = if job.started == Started::Yes { Begun::Yes } else { Begun::No };
+            let begun = if job.started == Started::Yes { JobStart::Yes } else { JobStart::No };
             let msg = LoanMsg::Taken { job: id, loan, tasks: names, begun };
             self.send_message(from, msg);
         }
     }
 
-    fn handle_taken(&mut self, id: JobId, loan: u64, tasks: &[TaskRef], begun: Begun) {
-        let known = match begun {
-            Begun::No => LoanKnown::Taken { ask: self.now.steady + TAKEN_LOAN_INTERVAL },
-            Begun::Yes => LoanKnown::Begun,
+    fn handle_taken(&mut self, id: JobId, loan: u64, tasks: &[TaskRef], begun: JobStart) {
+        let status = match begun {
+            JobStart::No => LoanStatus::Taken { resend_at: self.now.steady + TAKEN_LOAN_INTERVAL },
+            JobStart::Yes => LoanStatus::JobStarted,
         };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         for task in tasks {
             let lent = job.task_mut(*task).and_then(|task| task.lent.as_mut());
             if let Some(lent) = lent.filter(|lent| lent.loan == loan) {
-                lent.known = known;
+                lent.status = status;
             }
         }
-        if begun == Begun::Yes {
-            self.note_began(id);
+        if begun == JobStart::Yes {
+            self.mark_started(id);
         }
     }
 
@@ -359,7 +359,7 @@
             let began = back.last_run > task.last_run;
             task.last_run = task.last_run.max(back.last_run);
             task.failed = task.failed.max(back.failed);
-            task.away_since.get_or_insert(self.now.steady);
+            task.not_running_since.get_or_insert(self.now.steady);
             if back.checkpoint.is_some() {
                 task.checkpoint = back.checkpoint;
             }
@@ -370,9 +370,9 @@
                 LoanOutcome::GivenBack => {}
             }
             if began {
-                self.note_began(id);
+                self.mark_started(id);
             }
-            self.log.touch(id);
+            self.log.mark_changed(id);
         }
         if failed && self.jobs.get(&id).is_some_and(|job| !job.is_final()) {
             self.fail_job(id);
@@ -386,7 +386,7 @@
 
     fn handle_settled(&mut self, id: JobId, tasks: &[LoanId]) {
         let now = self.now.steady;
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_guest()) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_borrowed()) else { return };
         for loaned in tasks {
             let Some(task) = job.task_mut(loaned.task) else { continue };
             if task.loan == loaned.loan && task.runs.is_empty() && task.phase != TaskPhase::Open {
@@ -398,14 +398,14 @@
             job.record = RecordState::Dropped;
             self.loans.borrowed.shift_remove(&id);
         }
-        self.log.touch(id);
+        self.log.mark_changed(id);
     }
 
     fn handle_recall(&mut self, from: &Arc<str>, id: JobId, tasks: &[LoanId]) {
         let now = self.now.steady;
         let mut unknown = Vec::new();
         for loaned in tasks {
-            let job = self.jobs.get_mut(&id).filter(|job| job.is_guest());
+            let job = self.jobs.get_mut(&id).filter(|job| job.is_borrowed());
             let task = job.and_then(|job| job.task_mut(loaned.task));
             let ours = task.filter(|t| t.loan == loaned.loan && t.phase != TaskPhase::Elsewhere);
             let Some(task) = ours else {
@@ -416,12 +416,12 @@
             };
             if task.phase == TaskPhase::Open {
                 task.phase = TaskPhase::GivenBack;
-                let places = task.runs.clone();
-                self.log.touch(id);
-                for place in places {
-                    let key = RunKey { task: loaned.task, run: place.run };
+                let placed_runs = task.runs.clone();
+                self.log.mark_changed(id);
+                for placed in placed_runs {
+                    let key = RunKey { task: loaned.task, run: placed.run };
                     self.stop_run(
-                        &place.vm,
+                        &placed.vm,
                         key,
                         "its job has ended in the shard that accepted it",
                     );
@@ -439,14 +439,14 @@
     /// report loans of its successor as unknown.
     fn send_after_commit(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
-            self.log.after_next_commit(Action::Tell { to: to.clone(), fence, msg });
+            self.log.after_next_commit(Action::SendLoanMessage { to: to.clone(), fence, msg });
         }
     }
 
     /// Sends a message to a shard's current owner, if it is known.
     fn send_message(&mut self, to: &Arc<str>, msg: LoanMsg) {
         if let Some(fence) = self.loans.fence_of(to) {
-            self.out.push(Action::Tell { to: to.clone(), fence, msg });
+            self.actions.push(Action::SendLoanMessage { to: to.clone(), fence, msg });
         }
     }
 
@@ -454,14 +454,14 @@
     /// summary.
     pub(super) fn fits_elsewhere(&self, job: JobId, step: &Step) -> bool {
         let Some(job) = self.jobs.get(&job) else { return false };
-        let mut others = self.loans.neighbours.values();
+        let mut others = self.loans.other_shards.values();
         others.any(|other| fitting_rooms(&other.summary, step, &job.job.service) > 0.0)
     }
 
     /// Lends waiting tasks that do not fit in this shard to shards with room.
-    pub(super) fn lend(&mut self, waiting: &[TaskRef]) {
+    pub(super) fn lend_waiting_tasks(&mut self, waiting: &[TaskRef]) {
         let now = self.now.steady;
-        if self.loans.neighbours.is_empty() {
+        if self.loans.other_shards.is_empty() {
             return;
         }
         let mut lent: IndexMap<(JobId, Arc<str>), usize> = IndexMap::new();
@@ -470,10 +470,10 @@
             let loan = self.log.next_seq();
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             let Some(known) = job.task_mut(*task) else { continue };
-            known.lent = Some(Lent { to: to.clone(), loan, known: LoanKnown::Nothing });
-            self.log.touch(task.job);
+            known.lent = Some(Lent { to: to.clone(), loan, status: LoanStatus::Unsent });
+            self.log.mark_changed(task.job);
             self.loans.lending.insert(task.job);
-            self.loans.hurry(now);
+            self.loans.send_soon(now);
             *lent.entry((task.job, to)).or_default() += 1;
         }
         for ((job, to), tasks) in lent {
@@ -486,17 +486,17 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?.clone();
         // A group runs in one shard, and a borrowed task is not lent again.
-        if job.is_guest() || step.members.as_one() {
+        if job.is_borrowed() || step.members.as_one() {
             return None;
         }
         let delay = match (step.share, step.life) {
             (Share::Leftover, _) => LEFTOVER_LEND_DELAY,
-            _ if step.members.one_rack() => LASTING_LEND_DELAY,
-            (Share::Reserved, Life::Lasting) => LASTING_LEND_DELAY,
+            _ if step.members.one_rack() => LONG_RUNNING_LEND_DELAY,
+            (Share::Reserved, Life::Lasting) => LONG_RUNNING_LEND_DELAY,
             (Share::Reserved, Life::Finite) => LEND_DELAY,
         };
         let known = job.task(task)?;
-        let since = known.away_since.max(job.step_run(task)?.ready)?;
+        let since = known.not_running_since.max(job.step_run(task)?.ready)?;
         if self.now.steady.saturating_sub(since) < delay {
             return None;
         }
@@ -509,23 +509,23 @@
             Share::Reserved => fitting_rooms(summary, &step, &service),
             Share::Leftover => leftover_milli_cores(summary, &step, &image),
         };
-        let neighbours = self.loans.neighbours.values();
-        let best = neighbours.map(|neighbour| (&neighbour.name, fits(&neighbour.summary)));
+        let other_shards = self.loans.other_shards.values();
+        let best = other_shards.map(|other| (&other.name, fits(&other.summary)));
         let (name, _) = best.filter(|(_, room)| *room > 0.0).max_by(|a, b| a.1.total_cmp(&b.1))?;
         let name = name.clone();
-        let summary = Arc::make_mut(&mut self.loans.neighbours.get_mut(&name)?.summary);
+        let summary = Arc::make_mut(&mut self.loans.other_shards.get_mut(&name)?.summary);
         subtract_lent(summary, &step, &image);
         Some(name)
     }
 }
 
-impl LoanKnown {
+impl LoanStatus {
     /// Returns whether the loan message is to be sent now.
     fn needs_sending(self, now: Duration) -> bool {
         match self {
-            Self::Nothing => true,
-            Self::Told { ask } | Self::Taken { ask } => now >= ask,
-            Self::Begun => false,
+            Self::Unsent => true,
+            Self::Sent { resend_at } | Self::Taken { resend_at } => now >= resend_at,
+            Self::JobStarted => false,
         }
     }
 }
@@ -594,7 +594,7 @@
         failed: lent.failed,
         checkpoint: lent.checkpoint,
         crashes: lent.crashes,
-        away_since: Some(now),
+        not_running_since: Some(now),
         loan,
         ..Task::default()
     };
--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -9,8 +9,8 @@
 mod tests;
 
 use super::Shard;
-use super::place::{MIN_LEFTOVER_SPEED, Pass};
-use super::room::Room;
+use super::place::{MIN_LEFTOVER_SPEED, SchedulePass};
+use super::room::VmCapacity;
 use super::vm_run::{Run, RunKey};
 use crate::ids::VmId;
 use crate::job::{Life, Resume, Share, Step};
@@ -31,7 +31,7 @@
 
 impl Shard {
     /// Stops slowed runs for which a better VM is available.
-    pub(super) fn move_slowed(&mut self, slowed: Vec<(VmId, RunKey)>, pass: &mut Pass) {
+    pub(super) fn move_slowed(&mut self, slowed: Vec<(VmId, RunKey)>, pass: &mut SchedulePass) {
         let mut moved = 0;
         for (vm, key) in slowed {
             if moved >= MAX_MOVED {
@@ -43,7 +43,7 @@
             let Some(step) = job.step(key.task).cloned() else { continue };
             let image = self.image(key.task);
             let service = job.job.service.clone();
-            let is_better = |room: &&mut Room| {
+            let is_better = |room: &&mut VmCapacity| {
                 room.vm != vm
                     && room.service == service
                     && room.takes(&step, key.task.of_step())
@@ -51,7 +51,7 @@
                     && self.speed(room, &step, image) >= MIN_LEFTOVER_SPEED
             };
             let Some(room) = pass.rooms.iter_mut().find(is_better) else { continue };
-            room.take(&step, image, key.task.of_step(), &self.effects);
+            room.take(&step, image, key.task.of_step(), &self.interference);
             moved += 1;
             self.stop_run(&vm, key, "run is slowed down; another VM can run it faster");
         }
@@ -61,7 +61,7 @@
     pub(super) fn slowed(&self) -> Vec<(VmId, RunKey)> {
         let now = self.now.steady;
         let mut slowed = Vec::new();
-        for vm in self.vms.values().filter(|vm| vm.is_heard(now)) {
+        for vm in self.vms.values().filter(|vm| vm.is_responsive(now)) {
             for (key, run) in &vm.runs {
                 let step = self.jobs.get(&key.task.job).and_then(|job| job.step(key.task));
                 if step.is_some_and(|step| can_move(step, run, now)) {
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -13,15 +13,15 @@
 use waxwingstall::cluster::plan::PLAN_KEY;
 use waxwingstall::cluster::{Member, MemberStage, Replaced};
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
-use waxwingstall::jobs::control::Stored;
-use waxwingstall::jobs::records::{Claim, Records};
-use waxwingstall::jobs::{Platform, Unreadable, Written};
+use waxwingstall::jobs::control::StoreEvent;
+use waxwingstall::jobs::records::{ClaimShard, Records};
+use waxwingstall::jobs::{OperatorEntry, Platform, UnreadableEntry};
 use waxwingstall::kv::{
     self, Change, Changes, Freshness, Item, Kv, LeaseId, Page, Put, Rev, Txn, Watch,
 };
 use waxwingstall::permit::{self, PermitPort, PermitReq, PermitResp};
 use waxwingstall::queues::Queues;
-use waxwingstall::shard::{Announcements, Previous};
+use waxwingstall::shard::{FleetListStatus, PreviousOwner};
 use waxwingstall::units::Resources;
 use waxwingstall::upkeep::{self, Machine, MachinePort, UpkeepReq, WaveState};
 use waxwingstall::vm::{
@@ -208,11 +208,11 @@
         UnreachableService
     }
 
-    fn fleet_prefix(&self) -> &str {
+    fn vm_prefix(&self) -> &str {
         "vm/"
     }
 
-    fn read_vm(&self, item: &Item) -> Result<VmEntry, Unreadable> {
+    fn parse_vm_entry(&self, item: &Item) -> Result<VmEntry, UnreadableEntry> {
         let leaves = item.value.starts_with(b"leaving");
         let state = if leaves { VmState::Leaving { left: None } } else { VmState::Ready };
         Ok(VmEntry {
@@ -235,16 +235,16 @@
         "op/config"
     }
 
-    fn read_operators(&self, item: &Item) -> Result<Written, Unreadable> {
+    fn parse_operator_entry(&self, item: &Item) -> Result<OperatorEntry, UnreadableEntry> {
         let text = str::from_utf8(&item.value).unwrap_or_default();
-        let version = text
-            .trim()
-            .parse()
-            .map_err(|_| Unreadable { key: item.key.clone(), reason: "no version".to_owned() })?;
-        Ok(Written::Queues(Queues { version, ..Queues::default() }))
+        let version = text.trim().parse().map_err(|_| UnreadableEntry {
+            key: item.key.clone(),
+            reason: "no version".to_owned(),
+        })?;
+        Ok(OperatorEntry::Config(Queues { version, ..Queues::default() }))
     }
 
-    fn wave_state(&self, wave: u64, _: WaveState) -> Put {
+    fn wave_status(&self, wave: u64, _: WaveState) -> Put {
         Put { key: format!("status/{wave}"), value: Bytes::new(), lease: None }
     }
 }
@@ -292,24 +292,24 @@
     }
 }
 
-impl Handler<Stored> for FakeControl {
+impl Handler<StoreEvent> for FakeControl {
     type Result = ();
 
-    fn handle(&mut self, msg: Stored, _: &mut Self::Context) {
+    fn handle(&mut self, msg: StoreEvent, _: &mut Self::Context) {
         match &msg {
-            Stored::Claimed(_) => self.claims.borrow_mut().push((self.name, true)),
-            Stored::ClaimFailed { .. } => self.claims.borrow_mut().push((self.name, false)),
-            Stored::Queues(read) => {
-                let version = read.queues.version;
+            StoreEvent::Claimed(_) => self.claims.borrow_mut().push((self.name, true)),
+            StoreEvent::ClaimFailed { .. } => self.claims.borrow_mut().push((self.name, false)),
+            StoreEvent::Config(loaded) => {
+                let version = loaded.queues.version;
                 self.config.set(ConfigUpdate { version, ..self.config.get() });
             }
-            Stored::ConfigConfirmed { at } => {
+            StoreEvent::ConfigConfirmed { at } => {
                 self.config.set(ConfigUpdate { confirmed: *at, ..self.config.get() });
             }
             _ => {}
         }
-        let Stored::Fleet { vms, announcements, at: asked } = msg else { return };
-        if announcements == Announcements::Unread {
+        let StoreEvent::Fleet { vms, list_status, at: asked } = msg else { return };
+        if list_status == FleetListStatus::Unread {
             return;
         }
         let leaves = |vm: &&VmEntry| matches!(vm.state, VmState::Leaving { .. });
@@ -449,9 +449,9 @@
 }
 
 /// A claim of a shard that is known to have no owner.
-pub fn unowned_claim(shard: &str) -> Claim {
-    let (previous, replaces) = (Previous::Ended, Replaced::default());
-    Claim { shard: shard.to_owned(), previous, replaces }
+pub fn unowned_claim(shard: &str) -> ClaimShard {
+    let (previous, replaces) = (PreviousOwner::Ended, Replaced::default());
+    ClaimShard { shard: shard.to_owned(), previous, replaces }
 }
 
 fn member(name: &str) -> Member {
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -17,8 +17,8 @@
 use waxwingstall::permit::{self, PermitReq};
 use waxwingstall::queues::{PermitTimes, Queue, Queues};
 use waxwingstall::shard::{
-    Action, Announcements, Answer, CommitResult, Event, Keys, Landed, Lapse, Neighbour, Now,
-    Previous, Recovered, Settings, Shard, ToldLapse, Urge, VacateOrder,
+    Action, AdmissionMode, Answer, CommitResult, DrainOrder, Event, FleetListStatus, Keys, Now,
+    OtherShard, PreviousOwner, Recovered, ReportedLapse, Settings, Shard, VmLapse, WriteOutcome,
 };
 use waxwingstall::units::Resources;
 use waxwingstall::vm::{Error as VmError, Fence, VmAddr, VmEntry, VmState};
@@ -42,7 +42,7 @@
 const CRASH_DOWNTIME: Duration = Duration::from_secs(3);
 /// Response times and permit lifetime of the permit service.
 const PERMIT_TIMES: PermitTimes = PermitTimes {
-    question: Duration::from_millis(20),
+    base_time: Duration::from_millis(20),
     each_vm: Duration::from_millis(2),
     valid: Duration::from_secs(3),
 };
@@ -87,7 +87,7 @@
 }
 
 /// The whole simulated system.
-pub struct World<F> {
+pub struct Simulation<F> {
     pub now: Duration,
     pub faults: F,
     pub kv: TxnTable,
@@ -120,16 +120,16 @@
     outdated_list: Option<Vec<VmEntry>>,
     queues: Arc<Queues>,
     /// Latest deadlines of silent VMs published by the owners, and when.
-    published_lapses: IndexMap<Arc<str>, (Duration, Vec<ToldLapse>)>,
+    published_lapses: IndexMap<Arc<str>, (Duration, Vec<ReportedLapse>)>,
     /// Published deadlines are lost from then on.
     published_lapses_lost_from: Duration,
     traced: bool,
 }
 
-impl<F: Faults> World<F> {
+impl<F: Faults> Simulation<F> {
     /// Creates a system of these shards with `vms` VMs each.
     pub fn new(faults: F, shards: &[&str], vms: usize, size: Resources) -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: Duration::from_secs(5),
             faults,
             kv: TxnTable::new(),
@@ -158,11 +158,11 @@
         };
         for shard in shards {
             for number in 0..vms {
-                world.add_vm(shard, number, size);
+                sim.add_vm(shard, number, size);
             }
         }
-        shards.iter().for_each(|shard| world.claim(shard, Previous::Ended));
-        world
+        shards.iter().for_each(|shard| sim.claim(shard, PreviousOwner::Ended));
+        sim
     }
 
     /// Makes the queue's steps require permits.
@@ -185,7 +185,7 @@
     pub fn submit(&mut self, shard: &str, job: Job) -> Ticket {
         let ticket = self.ticket();
         let job = Arc::new(Job { accepted: EPOCH + self.now, ..job });
-        let event = Event::Submit { ticket, job, urge: Urge::Always };
+        let event = Event::Submit { ticket, job, mode: AdmissionMode::Always };
         self.call(shard, event);
         ticket
     }
@@ -236,7 +236,7 @@
     /// Sends the shard's owner the list of VMs, as requested at `asked`.
     pub fn send_vm_list(&mut self, shard: &str, asked: Duration) {
         let vms = self.fleet_of(shard);
-        let event = Event::Fleet { vms, announcements: Announcements::Complete, at: Some(asked) };
+        let event = Event::Fleet { vms, list_status: FleetListStatus::Complete, at: Some(asked) };
         self.call(shard, event);
     }
 
@@ -248,7 +248,7 @@
     /// Kills the shard's owner, and lets another one take over.
     pub fn replace_owner(&mut self, shard: &str) {
         self.owners.retain(|owner| &*owner.name != shard);
-        self.claim(shard, Previous::Ended);
+        self.claim(shard, PreviousOwner::Ended);
     }
 
     /// Kills the shard's owner, and lets another one take over that has not read the queues yet.
@@ -266,9 +266,9 @@
     /// Hands the shard over to a new owner, as at a planned shutdown.
     pub fn hand_over(&mut self, shard: &str) {
         let owner = self.owners.iter().rev().find(|owner| &*owner.name == shard);
-        let lapses = owner.expect("the shard has an owner").shard.lapses();
+        let lapses = owner.expect("the shard has an owner").shard.unresponsive_vms();
         self.owners.retain(|owner| &*owner.name != shard);
-        self.claim_with(shard, Previous::Ended, lapses);
+        self.claim_with(shard, PreviousOwner::Ended, lapses);
     }
 
     /// Pauses the shard's owner for a while, and lets another one take over meanwhile.
@@ -277,7 +277,7 @@
         for owner in self.owners.iter_mut().filter(|owner| &*owner.name == shard) {
             owner.paused_until = until;
         }
-        self.claim(shard, Previous::Unsure);
+        self.claim(shard, PreviousOwner::MaybeActive);
     }
 
     /// Number of tasks running on a VM.
@@ -302,7 +302,7 @@
     fn end_group(&mut self, step: StepRef) {
         if self.groups.contains(&step.job) {
             let now = self.now;
-            self.vms.iter_mut().for_each(|vm| vm.table.break_off(now, step));
+            self.vms.iter_mut().for_each(|vm| vm.table.end_group(now, step));
         }
     }
 
@@ -334,16 +334,16 @@
     }
 
     /// Orders a shard to drain a VM.
-    pub fn vacate(&mut self, shard: &str, index: usize, patience: Duration) {
+    pub fn drain_vm(&mut self, shard: &str, index: usize, finish_timeout: Duration) {
         let vms = vec![self.vms[index].entry.id.clone()];
-        let order = VacateOrder { vms, later: Vec::new(), patience };
-        self.call(shard, Event::Vacate(order));
+        let order = DrainOrder { vms, upcoming: Vec::new(), finish_timeout };
+        self.call(shard, Event::Drain(order));
     }
 
     /// The VMs that a shard reports as drained.
-    pub fn vacated(&self, shard: &str) -> Vec<VmId> {
+    pub fn drained_vms(&self, shard: &str) -> Vec<VmId> {
         let owner = self.owners.iter().rev().find(|owner| &*owner.name == shard);
-        owner.expect("the shard has an owner").shard.vacated()
+        owner.expect("the shard has an owner").shard.drained_vms()
     }
 
     /// Makes the store unavailable for a while.
@@ -392,11 +392,11 @@
     }
 
     /// Lets a new owner claim a shard and recover its state, in one step.
-    fn claim(&mut self, name: &str, previous: Previous) {
+    fn claim(&mut self, name: &str, previous: PreviousOwner) {
         self.claim_with(name, previous, Vec::new());
     }
 
-    fn claim_with(&mut self, name: &str, previous: Previous, lapses: Vec<Lapse>) {
+    fn claim_with(&mut self, name: &str, previous: PreviousOwner, lapses: Vec<VmLapse>) {
         let keys = Keys::new(name);
         let present = self.kv.get(&keys.head());
         let before: Option<Head> =
@@ -414,12 +414,12 @@
             seq: head.seq,
             previous,
             predecessor: head.before.as_ref().map(|before| before.owner.clone()),
-            lapses,
+            unresponsive_vms: lapses,
             silent: self
                 .kv
                 .get(&keys.silence())
                 .map_or(Vec::new(), |item| decode(&item.value).expect("silent VMs")),
-            told: self.published_lapses_of(name),
+            reported_lapses: self.published_lapses_of(name),
             jobs: jobs.iter().map(|(_, v)| Arc::new(decode::<Job>(v).expect("a job"))).collect(),
             progress: progress
                 .iter()
@@ -443,10 +443,10 @@
         });
     }
 
-    fn published_lapses_of(&self, name: &str) -> Vec<ToldLapse> {
-        let Some((at, told)) = self.published_lapses.get(name) else { return Vec::new() };
+    fn published_lapses_of(&self, name: &str) -> Vec<ReportedLapse> {
+        let Some((at, reported)) = self.published_lapses.get(name) else { return Vec::new() };
         let passed = self.now - *at;
-        told.iter().map(|told| told.clone().aged(passed)).collect()
+        reported.iter().map(|reported| reported.clone().aged(passed)).collect()
     }
 
     fn collect_published_lapses(&mut self) {
@@ -455,8 +455,8 @@
         }
         for owner in &self.owners {
             if self.now >= owner.paused_until && !owner.unaware {
-                let told = owner.shard.told_lapses(self.now);
-                self.published_lapses.insert(owner.name.clone(), (self.now, told));
+                let reported = owner.shard.reported_lapses(self.now);
+                self.published_lapses.insert(owner.name.clone(), (self.now, reported));
             }
         }
     }
@@ -526,21 +526,22 @@
             return;
         }
         let back = self.now.saturating_sub(self.store_back) < Duration::from_secs(3);
-        let announcements = if back { Announcements::Recovering } else { Announcements::Complete };
+        let list_status =
+            if back { FleetListStatus::Recovering } else { FleetListStatus::Complete };
         let owners: Vec<(u64, Arc<str>)> =
             self.owners.iter().map(|owner| (owner.number, owner.name.clone())).collect();
         for (number, name) in owners {
             let vms = self.fleet_of(&name);
-            self.step(number, Event::Fleet { vms, announcements, at: Some(self.now) });
-            let neighbours = self.neighbours(&name);
-            self.step(number, Event::Neighbours(neighbours));
+            self.step(number, Event::Fleet { vms, list_status, at: Some(self.now) });
+            let other_shards = self.other_shards(&name);
+            self.step(number, Event::OtherShards(other_shards));
         }
     }
 
-    fn neighbours(&self, name: &str) -> Vec<Neighbour> {
+    fn other_shards(&self, name: &str) -> Vec<OtherShard> {
         let others = self.owners.iter().filter(|owner| &*owner.name != name && !owner.unaware);
         others
-            .map(|owner| Neighbour {
+            .map(|owner| OtherShard {
                 name: owner.name.clone(),
                 fence: owner.shard.fence(),
                 summary: Arc::new(owner.shard.summary()),
@@ -571,7 +572,7 @@
             return;
         };
         if owner.paused_until > self.now {
-            if !matches!(event, Event::Tick | Event::Fleet { .. } | Event::Neighbours(_)) {
+            if !matches!(event, Event::Tick | Event::Fleet { .. } | Event::OtherShards(_)) {
                 let after = owner.paused_until - self.now;
                 self.schedule(after, Delivery::Owner { number, event });
             }
@@ -585,16 +586,16 @@
 
     fn perform(&mut self, number: u64, name: &Arc<str>, action: Action) {
         match action {
-            Action::Look { .. }
+            Action::Poll { .. }
             | Action::Start { .. }
             | Action::Stop { .. }
             | Action::Pace { .. } => self.send_command(number, action),
-            Action::Ask(req) => self.request_permits(number, &req),
+            Action::RequestPermits(req) => self.request_permits(number, &req),
             Action::Commit { seq, txn } => self.commit(number, seq, txn),
             Action::Reply { ticket, answer } => {
                 self.answers.insert(ticket, answer);
             }
-            Action::Tell { to, fence, msg } => {
+            Action::SendLoanMessage { to, fence, msg } => {
                 if self.traced {
                     println!("{:?} {name}#{number} tells {to} {fence:?} {msg:?}", self.now);
                 }
@@ -632,7 +633,7 @@
     fn request_permits(&mut self, number: u64, req: &PermitReq) {
         let (sent, step, vms) = (self.now, req.step, req.vms.clone());
         let named = u32::try_from(vms.len()).expect("a hundred at the most");
-        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.question + PERMIT_TIMES.each_vm * named;
+        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.base_time + PERMIT_TIMES.each_vm * named;
         let result = match self.faults.message_outcome(sent) {
             Outcome::Delivered => {
                 let table = self.permits.as_mut().expect("permits are requested only if required");
@@ -697,7 +698,7 @@
             return Err(VmError::NoPermit);
         }
         match action {
-            Action::Look { req, .. } => vm.table.look(now, req).map(VmResponse::Looked),
+            Action::Poll { req, .. } => vm.table.look(now, req).map(VmResponse::Polled),
             Action::Start { req, .. } => vm.table.start(now, req).map(VmResponse::Clock),
             Action::Stop { req, .. } => vm.table.stop(now, req).map(VmResponse::Clock),
             Action::Pace { req, .. } => vm.table.pace(now, req).map(VmResponse::Clock),
@@ -734,7 +735,7 @@
                     CommitResult::JobExists(known.filter_map(|item| id(&item.key)).collect())
                 } else {
                     owner.unaware = true;
-                    CommitResult::Superseded(Landed::No)
+                    CommitResult::Superseded(WriteOutcome::No)
                 }
             }
             Err(e) => panic!("the store refused a commit: {e}"),
@@ -753,7 +754,7 @@
 }
 
 enum VmResponse {
-    Looked(waxwingstall::vm::LookResp),
+    Polled(waxwingstall::vm::LookResp),
     Clock(waxwingstall::vm::VmTime),
 }
 
@@ -761,16 +762,16 @@
     let clock = |result: Result<VmResponse, VmError>| {
         result.map(|answer| match answer {
             VmResponse::Clock(clock) => clock,
-            VmResponse::Looked(looked) => looked.clock,
+            VmResponse::Polled(looked) => looked.clock,
         })
     };
     match action {
-        Action::Look { vm, .. } => {
+        Action::Poll { vm, .. } => {
             let result = result.map(|answer| match answer {
-                VmResponse::Looked(looked) => looked,
+                VmResponse::Polled(looked) => looked,
                 VmResponse::Clock(_) => unreachable!("a poll gets the response to a poll"),
             });
-            Event::Looked { vm: vm.id, sent, result }
+            Event::Polled { vm: vm.id, sent, result }
         }
         Action::Start { vm, req } => {
             Event::Started { vm: vm.id, task: req.task, run: req.run, result: clock(result) }
@@ -791,7 +792,7 @@
 
 fn poll_wait(action: &Action) -> Duration {
     // A poll is evaluated at once and answered late, so its result is slightly out of date.
-    if let Action::Look { req, .. } = action {
+    if let Action::Poll { req, .. } = action {
         req.wait.min(Duration::from_millis(80))
     } else {
         Duration::ZERO
@@ -800,7 +801,7 @@
 
 fn addr_of(action: &Action) -> VmAddr {
     match action {
-        Action::Look { vm, .. }
+        Action::Poll { vm, .. }
         | Action::Start { vm, .. }
         | Action::Stop { vm, .. }
         | Action::Pace { vm, .. } => vm.clone(),
