--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -30,7 +30,7 @@
 use crate::permit::PermitPort;
 use crate::queues::Queues;
 use crate::upkeep::{MachinePort, Wave, WaveState};
-use crate::vm::{VmEntry, VmPort};
+use crate::vm::{VmApi, VmEntry};
 
 /// A store entry that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -55,7 +55,7 @@
     /// Client for the store.
     type Store: Kv + Clone + Unpin + 'static;
     /// Client for the VMs.
-    type Vms: VmPort + Clone + Unpin + 'static;
+    type Vms: VmApi + Clone + Unpin + 'static;
     /// Client for the service that permits steps on VMs.
     type Permits: PermitPort + Clone + Unpin + 'static;
     /// Client for the machine maintenance service.
--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -9,7 +9,7 @@
 use crate::permit::{self, PermitPort, PermitReq, PermitResp};
 use crate::ring::RING_CAPACITY;
 use crate::shard::{Action, Event};
-use crate::vm::{Fence, VmPort};
+use crate::vm::{Fence, VmApi};
 use actix::prelude::*;
 use std::sync::Arc;
 
@@ -72,11 +72,11 @@
     }
 }
 
-async fn call_vm(vms: &impl VmPort, action: Action, clock: &dyn Clock) -> Option<Event> {
+async fn call_vm(vms: &impl VmApi, action: Action, clock: &dyn Clock) -> Option<Event> {
     match action {
         Action::Poll { vm, req } => {
             let sent = clock.now();
-            let result = vms.look(&vm, req).await;
+            let result = vms.poll(&vm, req).await;
             Some(Event::Polled { vm: vm.id, sent, result })
         }
         Action::Start { vm, req } => {
@@ -89,7 +89,7 @@
             Some(Event::Stopped { vm: vm.id, task: req.task, run: req.run, result })
         }
         Action::Pace { vm, req } => {
-            let result = vms.pace(&vm, req).await;
+            let result = vms.set_pace(&vm, req).await;
             let (task, run, percent) = (req.task, req.run, req.percent);
             Some(Event::Paced { vm: vm.id, task, run, percent, result })
         }
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -10,7 +10,7 @@
 use crate::shard::loan::LoanMsg;
 use crate::units::Resources;
 use crate::vm::{
-    self, Fence, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmEntry, VmTime,
+    self, Fence, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmEntry, VmTime,
 };
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     /// meaningful, and when the list was requested; `None` if its age is unknown.
     Fleet { vms: Vec<VmEntry>, list_status: FleetListStatus, at: Option<Duration> },
     /// Response to [`Action::Poll`].
-    Polled { vm: VmId, sent: Duration, result: vm::Result<LookResp> },
+    Polled { vm: VmId, sent: Duration, result: vm::Result<PollResp> },
     /// Response to [`Action::Start`].
     Started { vm: VmId, task: TaskRef, run: RunNumber, result: vm::Result<VmTime> },
     /// Response to [`Action::Stop`].
@@ -132,7 +132,7 @@
 pub enum Action {
     Poll {
         vm: VmAddr,
-        req: LookReq,
+        req: PollReq,
     },
     Start {
         vm: VmAddr,
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -11,7 +11,7 @@
 use crate::job::progress::TaskPhase;
 use crate::job::{Share, TaskRef};
 use crate::note::{Ms, Note, Word};
-use crate::vm::{self, EndKind, EndedRun, LookReq, LookResp, RunningTask, VmTime};
+use crate::vm::{self, EndKind, EndedRun, PollReq, PollResp, RunningTask, VmTime};
 use indexmap::IndexSet;
 use std::time::Duration;
 
@@ -35,9 +35,9 @@
                 vm.record_extension(now, keep);
             }
             let keep_until = keep_until.map(|clock| VmTime(clock.0 + keep));
-            let (forget, wait) = (vm.ended_runs.forget(), vm.poll_wait());
+            let (ack_up_to, wait) = (vm.ended_runs.ack_up_to(), vm.poll_wait());
             vm.contact.poll = PollState::InFlight;
-            let req = LookReq { fence, forget, keep_until, wait };
+            let req = PollReq { fence, ack_up_to, keep_until, wait };
             self.actions.push(Action::Poll { vm: vm.addr(), req });
         }
     }
@@ -46,7 +46,7 @@
         &mut self,
         id: &VmId,
         sent: Duration,
-        result: vm::Result<LookResp>,
+        result: vm::Result<PollResp>,
     ) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
@@ -111,7 +111,7 @@
         }
     }
 
-    fn apply_poll_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
+    fn apply_poll_response(&mut self, id: &VmId, sent: Duration, resp: PollResp) {
         let complete = resp.ended.len() < MAX_LISTED_ENDS;
         let mut seen = IndexSet::new();
         for row in &resp.running {
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub struct EndedRuns {
     listed: VecDeque<ListedEnd>,
-    forget: u64,
+    ack_up_to: u64,
 }
 
 #[derive(Debug)]
@@ -327,7 +327,7 @@
 impl EndedRuns {
     /// Records an ended run reported by the VM; returns false if it was reported before.
     pub fn record(&mut self, number: u64) -> bool {
-        let known = number <= self.forget || self.listed.iter().any(|end| end.number == number);
+        let known = number <= self.ack_up_to || self.listed.iter().any(|end| end.number == number);
         if !known {
             self.listed.push_back(ListedEnd { number, durable: false });
         }
@@ -343,14 +343,14 @@
             if !first.durable {
                 return;
             }
-            self.forget = first.number;
+            self.ack_up_to = first.number;
             self.listed.pop_front();
         }
     }
 
-    /// The VM may forget ended runs up to this number.
-    pub fn forget(&self) -> u64 {
-        self.forget
+    /// The VM may discard ended runs up to this number.
+    pub fn ack_up_to(&self) -> u64 {
+        self.ack_up_to
     }
 
     /// Whether the VM would report ended runs again.
--- a/src/vm.rs
+++ b/src/vm.rs
@@ -1,7 +1,7 @@
 //! Interface to the VMs that run jobs' tasks.
 //!
 //! A VM runs the tasks it is told to start until their lease (`keep_until`) expires. Each poll of
-//! the VM ([`VmPort::look`]) extends that lease and returns the tasks that run and the runs that
+//! the VM ([`VmApi::poll`]) extends that lease and returns the tasks that run and the runs that
 //! have ended. The VM remembers the highest fencing token it has seen and rejects lower ones.
 //!
 //! A [`VmId`] names one incarnation of a VM: after a restart the VM has a new id and no state.
@@ -92,10 +92,10 @@
 
 /// Extends the lease of a VM's runs and requests its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LookReq {
+pub struct PollReq {
     pub fence: Fence,
     /// Ended runs up to this number are durable; the VM may discard them.
-    pub forget: u64,
+    pub ack_up_to: u64,
     /// New lease time of all runs on the VM; `None` leaves it unchanged.
     pub keep_until: Option<VmTime>,
     /// How long the VM may delay its answer until a run ends.
@@ -104,10 +104,10 @@
 
 /// Status of a VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LookResp {
+pub struct PollResp {
     pub clock: VmTime,
     pub running: Vec<RunningTask>,
-    /// Ended runs in order of their numbers, repeated until acknowledged by [`LookReq::forget`].
+    /// Ended runs in order of their numbers, repeated until acknowledged by [`PollReq::ack_up_to`].
     pub ended: Vec<EndedRun>,
 }
 
@@ -203,9 +203,9 @@
 }
 
 /// Calls to VMs.
-pub trait VmPort {
+pub trait VmApi {
     /// Extends the lease of the VM's runs and returns its status.
-    fn look(&self, vm: &VmAddr, req: LookReq) -> impl Future<Output = Result<LookResp>>;
+    fn poll(&self, vm: &VmAddr, req: PollReq) -> impl Future<Output = Result<PollResp>>;
 
     /// Starts a run; succeeds if the run has already started.
     fn start(&self, vm: &VmAddr, req: StartReq) -> impl Future<Output = Result<VmTime>>;
@@ -214,5 +214,5 @@
     fn stop(&self, vm: &VmAddr, req: RunReq) -> impl Future<Output = Result<VmTime>>;
 
     /// Changes the speed limit of a run.
-    fn pace(&self, vm: &VmAddr, req: PaceReq) -> impl Future<Output = Result<VmTime>>;
+    fn set_pace(&self, vm: &VmAddr, req: PaceReq) -> impl Future<Output = Result<VmTime>>;
 }
--- a/standin/src/fakes.rs
+++ b/standin/src/fakes.rs
@@ -7,9 +7,7 @@
 use std::time::Duration;
 use waxwingstall::clock::Clock;
 use waxwingstall::kv::{self, Changes, Freshness, Item, Kv, LeaseId, Page, Rev, Txn, Watch};
-use waxwingstall::vm::{
-    self, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmPort, VmTime,
-};
+use waxwingstall::vm::{self, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmApi, VmTime};
 
 /// The store.
 #[derive(Clone)]
@@ -98,9 +96,9 @@
     }
 }
 
-impl VmPort for FakeVm {
-    async fn look(&self, vm: &VmAddr, req: LookReq) -> vm::Result<LookResp> {
-        self.call(vm, move |table, now| table.look(now, &req))
+impl VmApi for FakeVm {
+    async fn poll(&self, vm: &VmAddr, req: PollReq) -> vm::Result<PollResp> {
+        self.call(vm, move |table, now| table.poll(now, &req))
     }
 
     async fn start(&self, vm: &VmAddr, req: StartReq) -> vm::Result<VmTime> {
@@ -111,7 +109,7 @@
         self.call(vm, move |table, now| table.stop(now, &req))
     }
 
-    async fn pace(&self, vm: &VmAddr, req: PaceReq) -> vm::Result<VmTime> {
-        self.call(vm, move |table, now| table.pace(now, &req))
+    async fn set_pace(&self, vm: &VmAddr, req: PaceReq) -> vm::Result<VmTime> {
+        self.call(vm, move |table, now| table.set_pace(now, &req))
     }
 }
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -10,7 +10,7 @@
 use waxwingstall::job::{Checkpoint, RunNumber, StepRef, TaskRef};
 use waxwingstall::units::Resources;
 use waxwingstall::vm::{
-    EndKind, EndedRun, Error, Fence, LookReq, LookResp, PaceReq, Result, RunReq, RunningTask,
+    EndKind, EndedRun, Error, Fence, PaceReq, PollReq, PollResp, Result, RunReq, RunningTask,
     StartReq, VmTime,
 };
 
@@ -233,7 +233,7 @@
     }
 
     /// Sets the speed of a run.
-    pub fn pace(&mut self, now: Duration, req: &PaceReq) -> Result<VmTime> {
+    pub fn set_pace(&mut self, now: Duration, req: &PaceReq) -> Result<VmTime> {
         self.pass(now);
         self.check(req.fence)?;
         if let Some(running) = self.running.get_mut(&req.task).filter(|r| r.run == req.run) {
@@ -243,14 +243,15 @@
     }
 
     /// Keeps everything running, forgets what may be forgotten, and tells the news.
-    pub fn look(&mut self, now: Duration, req: &LookReq) -> Result<LookResp> {
+    pub fn poll(&mut self, now: Duration, req: &PollReq) -> Result<PollResp> {
         self.pass(now);
         self.check(req.fence)?;
         if let Some(keep_until) = req.keep_until {
             self.keep(now, keep_until);
         }
-        let (forgotten, kept): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.ended).into_iter().partition(|end| end.number <= req.forget);
+        let (forgotten, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ended)
+            .into_iter()
+            .partition(|end| end.number <= req.ack_up_to);
         self.ended = kept;
         for end in forgotten {
             let (task, run, how) = (end.task, end.run, end.how);
@@ -263,7 +264,7 @@
             percent: running.percent(),
             gauge: running.work.size.milli_cores.0,
         });
-        Ok(LookResp {
+        Ok(PollResp {
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
@@ -271,9 +272,9 @@
     }
 
     /// Whether an end is listed that a look with this number would bring.
-    pub fn has_news(&mut self, now: Duration, forget: u64) -> bool {
+    pub fn has_news(&mut self, now: Duration, ack_up_to: u64) -> bool {
         self.pass(now);
-        self.ended.iter().any(|end| end.number > forget)
+        self.ended.iter().any(|end| end.number > ack_up_to)
     }
 
     /// Ends the runs of a step, since another member of their group has ended.
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -25,7 +25,7 @@
 use waxwingstall::units::Resources;
 use waxwingstall::upkeep::{self, Machine, MachinePort, UpkeepReq, WaveState};
 use waxwingstall::vm::{
-    self, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmEntry, VmPort, VmState, VmTime,
+    self, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmApi, VmEntry, VmState, VmTime,
 };
 use waxwingstall_standin::fakes::FakeStore;
 use waxwingstall_standin::troubled::Troubled;
@@ -148,8 +148,8 @@
 #[derive(Clone)]
 pub struct UnreachableService;
 
-impl VmPort for UnreachableService {
-    async fn look(&self, _: &VmAddr, _: LookReq) -> vm::Result<LookResp> {
+impl VmApi for UnreachableService {
+    async fn poll(&self, _: &VmAddr, _: PollReq) -> vm::Result<PollResp> {
         Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
@@ -161,7 +161,7 @@
         Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
-    async fn pace(&self, _: &VmAddr, _: PaceReq) -> vm::Result<VmTime> {
+    async fn set_pace(&self, _: &VmAddr, _: PaceReq) -> vm::Result<VmTime> {
         Err(vm::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -698,10 +698,10 @@
             return Err(VmError::NoPermit);
         }
         match action {
-            Action::Poll { req, .. } => vm.table.look(now, req).map(VmResponse::Polled),
+            Action::Poll { req, .. } => vm.table.poll(now, req).map(VmResponse::Polled),
             Action::Start { req, .. } => vm.table.start(now, req).map(VmResponse::Clock),
             Action::Stop { req, .. } => vm.table.stop(now, req).map(VmResponse::Clock),
-            Action::Pace { req, .. } => vm.table.pace(now, req).map(VmResponse::Clock),
+            Action::Pace { req, .. } => vm.table.set_pace(now, req).map(VmResponse::Clock),
             _ => Err(VmError::Malformed { status: 400 }),
         }
     }
@@ -754,7 +754,7 @@
 }
 
 enum VmResponse {
-    Polled(waxwingstall::vm::LookResp),
+    Polled(waxwingstall::vm::PollResp),
     Clock(waxwingstall::vm::VmTime),
 }
 
