--- a/src/permit.rs
+++ b/src/permit.rs
@@ -1,7 +1,7 @@
 //! Interface to an external service that decides on which VMs a step may run.
 //!
 //! The decision for a step and a VM never changes, but the permit that it comes with is valid for
-//! only a few seconds and only for the same incarnation of the VM. The service handles one request
+//! only a few seconds and only for the same instance of the VM. The service handles one request
 //! at a time from each daemon, and takes longer the more VMs the request names.
 
 use crate::ids::VmId;
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -80,7 +80,9 @@
                     }
                 }
             }
-            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
+            Err(vm::Error::InstanceChanged) => {
+                self.remove_vm_instance(id, "another life at its address")
+            }
             Err(vm::Error::Fenced) => {
                 vm.contact.next_poll = now + POLL_RETRY_DELAY;
                 self.handle_fenced(id);
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -120,14 +120,16 @@
                 self.note(Note::TaskStarted { task, run, vm: id.clone(), sends });
             }
             Err(vm::Error::Fenced) => self.handle_fenced(id),
-            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
-            Err(vm::Error::OldRun) => {
+            Err(vm::Error::InstanceChanged) => {
+                self.remove_vm_instance(id, "another life at its address")
+            }
+            Err(vm::Error::StaleRun) => {
                 // This run or a later one has already ended or been stopped there; the next
                 // status poll tells which.
                 let answered = Some(now);
                 known.stage = Stage::Stopping { next_send: None, answered };
             }
-            Err(vm::Error::TooLate) => {
+            Err(vm::Error::LeaseExpired) => {
                 vm.clock = None;
                 vm.contact.next_poll = now;
                 self.retry_start(id, key, "the VM's clock differs from the last reading");
@@ -137,7 +139,7 @@
                 known.pending_start = PendingStart::Yes;
                 self.retry_start(id, key, "the VM did not answer");
             }
-            Err(vm::Error::Unwell { .. }) => {
+            Err(vm::Error::Unavailable { .. }) => {
                 self.record_failure(id, None, task);
                 self.abandon_start(id, key, "the VM refused the start");
             }
@@ -184,7 +186,9 @@
                 vm.contact.next_poll = vm.contact.next_poll.min(now);
             }
             Err(vm::Error::Fenced) => self.handle_fenced(id),
-            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
+            Err(vm::Error::InstanceChanged) => {
+                self.remove_vm_instance(id, "another life at its address")
+            }
             Err(_) => {
                 let next_send = Some(now + STOP_RETRY);
                 known.stage = Stage::Stopping { next_send, answered: None };
@@ -203,7 +207,9 @@
         match result {
             Ok(_) => {}
             Err(vm::Error::Fenced) => self.handle_fenced(id),
-            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
+            Err(vm::Error::InstanceChanged) => {
+                self.remove_vm_instance(id, "another life at its address")
+            }
             Err(_) => {
                 // The command may take effect late or never, so the next poll decides the pace
                 // again.
--- a/src/vm.rs
+++ b/src/vm.rs
@@ -4,7 +4,7 @@
 //! the VM ([`VmApi::poll`]) extends that lease and returns the tasks that run and the runs that
 //! have ended. The VM remembers the highest fencing token it has seen and rejects lower ones.
 //!
-//! A [`VmId`] names one incarnation of a VM: after a restart the VM has a new id and no state.
+//! A [`VmId`] identifies one instance of a VM: after a restart the VM has a new id and no state.
 
 use crate::ids::{DomainId, RackId, ServiceName, VmId};
 use crate::job::{Checkpoint, Label, RunNumber, TaskRef};
@@ -63,22 +63,22 @@
     #[error(
         "the run is older than one that already ended on the VM; start it with a higher number"
     )]
-    OldRun,
+    StaleRun,
     /// `keep_until` is in the past on the VM's clock.
     #[error(
         "the order arrived after its lease time had expired; poll the VM's clock and send it again"
     )]
-    TooLate,
+    LeaseExpired,
     #[error("the VM has no room for the task; poll the VM to update its list of runs")]
     NoRoom,
     #[error("the step's permit for this VM has expired; request another")]
     NoPermit,
-    /// The VM has restarted; nothing from its previous incarnation runs.
+    /// The VM has restarted; nothing from its previous instance runs.
     #[error("the VM has restarted under another id; place its work again")]
-    OtherLife,
+    InstanceChanged,
     /// The VM refused the call without any effect and is unhealthy.
     #[error("the VM refused ({status}); place the work elsewhere")]
-    Unwell { status: u16 },
+    Unavailable { status: u16 },
     /// The call can never succeed as it is.
     #[error("the VM rejected the call as malformed ({status}); this is a bug in the scheduler")]
     Malformed { status: u16 },
@@ -139,7 +139,7 @@
 /// An ended run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Sequence number of the end, increasing within one incarnation of the VM.
+    /// Sequence number of the end, increasing within one instance of the VM.
     pub number: u64,
     pub task: TaskRef,
     pub run: RunNumber,
--- a/standin/src/fakes.rs
+++ b/standin/src/fakes.rs
@@ -84,13 +84,13 @@
         let (now, to) = (self.clock.now(), to.id.clone());
         let met = self.table.call(move |table| {
             if table.id != to {
-                return Err(vm::Error::OtherLife);
+                return Err(vm::Error::InstanceChanged);
             }
             call(table, now)
         });
         match met {
             Met::Answered(result) => result,
-            Met::Refused => Err(vm::Error::Unwell { status: 503 }),
+            Met::Refused => Err(vm::Error::Unavailable { status: 503 }),
             Met::NoAnswer => Err(vm::Error::NoAnswer { reason: "trouble".to_owned() }),
         }
     }
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -190,10 +190,10 @@
         }
         let barred = self.barred.get(&req.task).copied().unwrap_or_default();
         if known.is_some() || req.run <= barred {
-            return Err(Error::OldRun);
+            return Err(Error::StaleRun);
         }
         if req.keep_until <= self.clock(now) {
-            return Err(Error::TooLate);
+            return Err(Error::LeaseExpired);
         }
         let work = Work::read(&req.payload);
         let resumed = req.resume.as_ref().map_or(Duration::ZERO, checkpointed);
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -690,7 +690,7 @@
             return Err(VmError::NoAnswer { reason: "cut".to_owned() });
         }
         if vm.entry.id != addr.id {
-            return Err(VmError::OtherLife);
+            return Err(VmError::InstanceChanged);
         }
         if let (Action::Start { req, .. }, Some(permits)) = (action, &mut self.permits)
             && !permits.check(now, req.task.of_step(), &addr.id, req.permit.as_ref())
