--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -14,7 +14,7 @@
 pub(super) struct RunEnd {
     pub vm: VmId,
     pub key: RunKey,
-    pub how: EndKind,
+    pub outcome: EndKind,
     pub checkpoint: Option<Checkpoint>,
     /// Number of the entry in the VM's list of ended runs.
     pub number: u64,
@@ -31,7 +31,7 @@
             task,
             run,
             vm: end.vm.clone(),
-            how: end_kind_name(end.how),
+            how: end_kind_name(end.outcome),
             ran_ms,
         });
         let now = self.now.steady;
@@ -48,7 +48,7 @@
         }
         job.effects.push(Effect::Forget { vm: end.vm.clone(), number: end.number });
         self.log.mark_changed(task.job);
-        match end.how {
+        match end.outcome {
             EndKind::Succeeded => self.task_succeeded(&end.vm, task),
             EndKind::Failed if !state.is_final() => self.task_failed(&end.vm, end.key, ran_ms),
             _ => {}
@@ -255,8 +255,8 @@
 }
 
 /// Name of an end kind in log lines.
-fn end_kind_name(how: EndKind) -> Word {
-    match how {
+fn end_kind_name(outcome: EndKind) -> Word {
+    match outcome {
         EndKind::Succeeded => "succeeded",
         EndKind::Failed => "failed",
         EndKind::Stopped => "stopped",
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -145,7 +145,7 @@
                 (run.share == Share::Leftover).then(beside)
             })
             .collect();
-        for row in running.iter().filter(|row| row.percent == 100 && row.gauge > 0) {
+        for row in running.iter().filter(|row| row.percent == 100 && row.measurement > 0) {
             let image = self.image(row.task);
             let Some(job) = self.jobs.get_mut(&row.task.job) else { continue };
             let Some(target) = job.step(row.task).and_then(|step| step.tail_target) else {
@@ -179,7 +179,7 @@
         run.running_since.get_or_insert(now);
         let worked = run.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         run.percent = row.percent;
-        run.gauge = row.gauge;
+        run.measurement = row.measurement;
         self.mark_started(row.task.job);
         self.reset_crash_counts(key, worked);
         let Some(job) = self.jobs.get_mut(&row.task.job) else { return };
@@ -219,7 +219,7 @@
     fn update_ended(&mut self, id: &VmId, row: EndedRun) {
         if !self.has_queues() {
             // Without the queues, the consequences aren't known. The VM repeats the result until it
-            // is told to forget it.
+            // is told to discard it.
             return;
         }
         let key = RunKey { task: row.task, run: row.run };
@@ -229,9 +229,9 @@
             return;
         }
         let (bound, number) = (vm.runs.contains_key(&key), row.number);
-        if bound || (row.how == EndKind::Succeeded && known) {
-            let (vm, how, checkpoint) = (id.clone(), row.how, row.checkpoint);
-            self.handle_run_end(RunEnd { vm, key, how, checkpoint, number });
+        if bound || (row.outcome == EndKind::Succeeded && known) {
+            let (vm, outcome, checkpoint) = (id.clone(), row.outcome, row.checkpoint);
+            self.handle_run_end(RunEnd { vm, key, outcome, checkpoint, number });
         } else {
             vm.ended_runs.mark_durable(number);
         }
--- a/src/shard/relief.rs
+++ b/src/shard/relief.rs
@@ -91,7 +91,7 @@
             .map(|(key, run)| {
                 let demand = f64::from(run.milli_cores);
                 // The usage of a slowed task doesn't tell what it would use at full speed.
-                let used = f64::from(run.gauge);
+                let used = f64::from(run.measurement);
                 let full = if run.pace == 100 && used > 0.0 { used.min(demand) } else { demand };
                 Neighbour {
                     key: *key,
@@ -117,7 +117,7 @@
                 own: load.forecast(now, FORECAST_HORIZON) + LOAD_MARGIN,
                 bound: load.load_at_target_share(TARGET_SHARE),
                 over: serving.over_since.map_or(Duration::ZERO, |at| now.saturating_sub(at)),
-                tail_ms: run.gauge,
+                tail_ms: run.measurement,
                 target_ms: u32::try_from(target.as_millis()).unwrap_or(u32::MAX),
             })
         };
--- a/src/shard/vm_run.rs
+++ b/src/shard/vm_run.rs
@@ -84,7 +84,7 @@
     /// Progress in percent.
     pub percent: u8,
     /// Gauge value of the last half second.
-    pub gauge: u32,
+    pub measurement: u32,
     /// Speed limit in percent.
     pub pace: u8,
     /// Since when the speed limit has been low.
@@ -115,7 +115,7 @@
     Recovered,
 }
 
-/// Ended runs that the VM has reported and has not yet been told to forget.
+/// Ended runs that the VM has reported and has not yet been told to discard.
 #[derive(Debug, Default)]
 pub struct EndedRuns {
     listed: VecDeque<ListedEnd>,
@@ -306,7 +306,7 @@
             sends: 0,
             pending_start: PendingStart::No,
             percent: 0,
-            gauge: 0,
+            measurement: 0,
             pace: 100,
             slowed: None,
             serving: TailState::default(),
--- a/src/vm.rs
+++ b/src/vm.rs
@@ -121,18 +121,18 @@
     pub percent: u8,
     /// Approximate measurement over the last half second; its unit depends on the task, see
     /// [`RunningTask::tail`] and [`RunningTask::milli_cores`].
-    pub gauge: u32,
+    pub measurement: u32,
 }
 
 impl RunningTask {
     /// Tail response time, for a task with a tail target.
     pub fn tail(&self) -> Duration {
-        Duration::from_millis(u64::from(self.gauge))
+        Duration::from_millis(u64::from(self.measurement))
     }
 
     /// CPU in use, in thousandths of a core, for a task without a tail target.
     pub fn milli_cores(&self) -> u32 {
-        self.gauge
+        self.measurement
     }
 }
 
@@ -143,7 +143,7 @@
     pub number: u64,
     pub task: TaskRef,
     pub run: RunNumber,
-    pub how: EndKind,
+    pub outcome: EndKind,
     pub checkpoint: Option<Checkpoint>,
 }
 
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -117,7 +117,7 @@
         at: Duration,
         task: TaskRef,
         run: RunNumber,
-        how: EndKind,
+        outcome: EndKind,
     },
     /// The time that the VM was given to keep running passed.
     Lapsed {
@@ -128,7 +128,7 @@
         at: Duration,
         task: TaskRef,
         run: RunNumber,
-        how: EndKind,
+        outcome: EndKind,
     },
 }
 
@@ -254,15 +254,15 @@
             .partition(|end| end.number <= req.ack_up_to);
         self.ended = kept;
         for end in forgotten {
-            let (task, run, how) = (end.task, end.run, end.how);
-            self.seen.push(Seen::Forgotten { at: now, task, run, how });
+            let (task, run, outcome) = (end.task, end.run, end.outcome);
+            self.seen.push(Seen::Forgotten { at: now, task, run, outcome });
         }
         let running = self.running.iter().map(|(task, running)| RunningTask {
             task: *task,
             run: running.run,
             checkpoint: running.checkpoint(self.settings.checkpoint_every),
             percent: running.percent(),
-            gauge: running.work.size.milli_cores.0,
+            measurement: running.work.size.milli_cores.0,
         });
         Ok(PollResp {
             clock: self.clock(now),
@@ -307,8 +307,8 @@
         let tasks: Vec<TaskRef> = self.running.keys().copied().collect();
         for task in tasks {
             if let Some(running) = self.running.shift_remove(&task) {
-                let (run, how) = (running.run, EndKind::Lapsed);
-                self.seen.push(Seen::Ended { at: now, task, run, how });
+                let (run, outcome) = (running.run, EndKind::Lapsed);
+                self.seen.push(Seen::Ended { at: now, task, run, outcome });
             }
         }
     }
@@ -337,12 +337,12 @@
         let tasks: Vec<TaskRef> = self.running.keys().copied().collect();
         for task in tasks {
             let Some(running) = self.running.get_mut(&task) else { continue };
-            let Some((at, how)) = running.end(now, self.keep_until) else {
+            let Some((at, outcome)) = running.end(now, self.keep_until) else {
                 running.work_until(now);
                 continue;
             };
             running.work_until(at);
-            self.end(task, at, how);
+            self.end(task, at, outcome);
         }
         self.ended.sort_by_key(|end| end.number);
         if !self.lapsed && self.keep_until <= now {
@@ -351,20 +351,20 @@
         }
     }
 
-    fn end(&mut self, task: TaskRef, at: Duration, how: EndKind) {
+    fn end(&mut self, task: TaskRef, at: Duration, outcome: EndKind) {
         let Some(running) = self.running.shift_remove(&task) else { return };
         self.ends += 1;
         self.barred.insert(task, running.run);
-        let saved = match how {
+        let saved = match outcome {
             EndKind::Stopped => Some(Checkpoint::new(&running.total().as_millis().to_string())),
             _ => running.checkpoint(self.settings.checkpoint_every),
         };
-        self.seen.push(Seen::Ended { at, task, run: running.run, how });
+        self.seen.push(Seen::Ended { at, task, run: running.run, outcome });
         self.ended.push(EndedRun {
             number: self.ends,
             task,
             run: running.run,
-            how,
+            outcome,
             checkpoint: saved,
         });
     }
@@ -377,8 +377,8 @@
         if self.work.time > Duration::ZERO && self.pace > 0 {
             let left = self.work.time.saturating_sub(self.total());
             let left = left.mul_f64(100.0 / f64::from(self.pace));
-            let how = if self.fails { EndKind::Failed } else { EndKind::Succeeded };
-            ends.push((self.at + left, how));
+            let outcome = if self.fails { EndKind::Failed } else { EndKind::Succeeded };
+            ends.push((self.at + left, outcome));
         }
         ends.extend(self.stop_at.map(|at| (at, EndKind::Stopped)));
         ends.push((keep_until.max(self.at), EndKind::Lapsed));
--- a/tests/shards/invariants.rs
+++ b/tests/shards/invariants.rs
@@ -55,9 +55,9 @@
                 forgotten: None,
                 size: Work::read(payload).size,
             }),
-            Seen::Ended { at, task, run, how } => {
+            Seen::Ended { at, task, run, outcome } => {
                 let known = runs.iter_mut().rev().find(|r| r.task == *task && r.run == *run);
-                known.expect("a run starts before it ends").ended = Some((*at, *how));
+                known.expect("a run starts before it ends").ended = Some((*at, *outcome));
             }
             Seen::Forgotten { at, task, run, .. } => {
                 let known = runs.iter_mut().rev().find(|r| r.task == *task && r.run == *run);
@@ -116,9 +116,9 @@
                 let before = TaskRef { step: *after, index, ..run.task };
                 let ended = runs.iter().any(|earlier| {
                     earlier.task == before
-                        && earlier
-                            .ended
-                            .is_some_and(|(at, how)| at <= run.started && how == EndKind::Succeeded)
+                        && earlier.ended.is_some_and(|(at, outcome)| {
+                            at <= run.started && outcome == EndKind::Succeeded
+                        })
                 });
                 assert!(ended, "{} starts at {:?} before {before}", run.task, run.started);
             }
