--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -27,7 +27,7 @@
 pub mod view;
 
 use crate::kv::{Item, Kv, Put};
-use crate::permit::PermitPort;
+use crate::permit::PermitApi;
 use crate::queues::Queues;
 use crate::upkeep::{MachinePort, Wave, WaveState};
 use crate::vm::{VmApi, VmEntry};
@@ -57,7 +57,7 @@
     /// Client for the VMs.
     type Vms: VmApi + Clone + Unpin + 'static;
     /// Client for the service that permits steps on VMs.
-    type Permits: PermitPort + Clone + Unpin + 'static;
+    type Permits: PermitApi + Clone + Unpin + 'static;
     /// Client for the machine maintenance service.
     type Machines: MachinePort + Clone + Unpin + 'static;
 
--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -6,7 +6,7 @@
 use super::Platform;
 use super::control::{Control, ExternalCallResult};
 use crate::clock::Clock;
-use crate::permit::{self, PermitPort, PermitReq, PermitResp};
+use crate::permit::{self, PermitApi, PermitReq, PermitResp};
 use crate::ring::RING_CAPACITY;
 use crate::shard::{Action, Event};
 use crate::vm::{Fence, VmApi};
@@ -68,7 +68,7 @@
 
     fn handle(&mut self, msg: RequestPermits, _: &mut Self::Context) -> Self::Result {
         let permits = self.permits.clone();
-        Box::pin(async move { permits.ask(&msg.0).await })
+        Box::pin(async move { permits.request_permits(&msg.0).await })
     }
 }
 
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -60,11 +60,11 @@
 pub struct PermitResp {
     pub permits: Vec<(VmId, Permit)>,
     /// How long the permits are valid.
-    pub valid: Duration,
+    pub validity: Duration,
 }
 
 /// Client of the permit service.
-pub trait PermitPort {
+pub trait PermitApi {
     /// Requests permits for one step.
-    fn ask(&self, req: &PermitReq) -> impl Future<Output = Result<PermitResp>>;
+    fn request_permits(&self, req: &PermitReq) -> impl Future<Output = Result<PermitResp>>;
 }
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -45,9 +45,9 @@
     /// Base timeout of a request.
     pub base_time: Duration,
     /// Additional timeout for each VM in a request.
-    pub each_vm: Duration,
+    pub time_per_vm: Duration,
     /// How long a permit is valid.
-    pub valid: Duration,
+    pub validity: Duration,
 }
 
 /// A service: a pool of VMs.
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -212,7 +212,7 @@
             return;
         }
         let grant_rate = self.permit_requests.grant_rate(&job.job.queue);
-        let affordable = times.base_time.as_micros() / times.each_vm.as_micros().max(1);
+        let affordable = times.base_time.as_micros() / times.time_per_vm.as_micros().max(1);
         let extra = usize::try_from(affordable).unwrap_or(MAX_VMS_PER_REQUEST)
             / EXTRA_TIME_DIVISOR as usize;
         let min_vms = extra.clamp(MIN_VMS_PER_REQUEST, MAX_VMS_PER_REQUEST);
@@ -222,7 +222,8 @@
             return;
         }
         let step = group[0].of_step();
-        let time = times.base_time + times.each_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
+        let time =
+            times.base_time + times.time_per_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
         let timeout = time * TIMEOUT_FACTOR + TIMEOUT_MARGIN;
         if let Some(run) = self.step_run_mut(step) {
             run.permits.request = RequestState::InFlight;
@@ -296,7 +297,7 @@
         for vm in vms {
             run.permits.verdicts.insert(vm.clone(), Verdict::Denied);
         }
-        let until = sent + resp.valid;
+        let until = sent + resp.validity;
         let permitted = resp.permits.len();
         for (vm, permit) in resp.permits {
             run.permits.verdicts.insert(vm, Verdict::Permitted { permit, until });
@@ -330,7 +331,7 @@
                 let before = usize::from(*after);
                 let estimate = job.job.steps[before].estimate;
                 let runs = &occurrence.steps[before].tasks;
-                estimate < times.valid / 2 && runs.iter().all(|task| !task.is_waiting())
+                estimate < times.validity / 2 && runs.iter().all(|task| !task.is_waiting())
             };
             if run.ready.is_none() && step.after.iter().all(ends_soon) {
                 let tasks = 0..run.tasks.len();
--- a/standin/src/permits.rs
+++ b/standin/src/permits.rs
@@ -13,7 +13,7 @@
 pub struct PermitTable {
     /// Share of VMs that are permitted, of 100.
     percent: u64,
-    valid: Duration,
+    validity: Duration,
     /// Questions answered: the step, and the VMs that each named.
     pub asked: Vec<(StepRef, Vec<VmId>)>,
     /// Starts that were refused for want of a permit.
@@ -22,8 +22,8 @@
 
 impl PermitTable {
     /// A service that permits a step on so many in a hundred VMs, for some time.
-    pub fn new(percent: u64, valid: Duration) -> Self {
-        Self { percent, valid, asked: Vec::new(), refused: 0 }
+    pub fn new(percent: u64, validity: Duration) -> Self {
+        Self { percent, validity, asked: Vec::new(), refused: 0 }
     }
 
     /// Answers a question.
@@ -31,7 +31,7 @@
         self.asked.push((req.step, req.vms.clone()));
         let permitted = req.vms.iter().filter(|vm| self.permits(req.step, vm));
         let permit = |vm: &VmId| (vm.clone(), self.permit(now, req.step, vm));
-        PermitResp { permits: permitted.map(permit).collect(), valid: self.valid }
+        PermitResp { permits: permitted.map(permit).collect(), validity: self.validity }
     }
 
     /// Whether a start may go on; counts those that may not.
@@ -52,7 +52,7 @@
     }
 
     fn permit(&self, now: Duration, step: StepRef, vm: &VmId) -> Permit {
-        Permit::new(&format!("{step}@{vm} until {}", (now + self.valid).as_millis()))
+        Permit::new(&format!("{step}@{vm} until {}", (now + self.validity).as_millis()))
     }
 }
 
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -19,7 +19,7 @@
 use waxwingstall::kv::{
     self, Change, Changes, Freshness, Item, Kv, LeaseId, Page, Put, Rev, Txn, Watch,
 };
-use waxwingstall::permit::{self, PermitPort, PermitReq, PermitResp};
+use waxwingstall::permit::{self, PermitApi, PermitReq, PermitResp};
 use waxwingstall::queues::Queues;
 use waxwingstall::shard::{FleetListStatus, PreviousOwner};
 use waxwingstall::units::Resources;
@@ -166,8 +166,8 @@
     }
 }
 
-impl PermitPort for UnreachableService {
-    async fn ask(&self, _: &PermitReq) -> permit::Result<PermitResp> {
+impl PermitApi for UnreachableService {
+    async fn request_permits(&self, _: &PermitReq) -> permit::Result<PermitResp> {
         Err(permit::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -43,8 +43,8 @@
 /// Response times and permit lifetime of the permit service.
 const PERMIT_TIMES: PermitTimes = PermitTimes {
     base_time: Duration::from_millis(20),
-    each_vm: Duration::from_millis(2),
-    valid: Duration::from_secs(3),
+    time_per_vm: Duration::from_millis(2),
+    validity: Duration::from_secs(3),
 };
 /// Wall-clock time at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_700_000_000);
@@ -633,7 +633,8 @@
     fn request_permits(&mut self, number: u64, req: &PermitReq) {
         let (sent, step, vms) = (self.now, req.step, req.vms.clone());
         let named = u32::try_from(vms.len()).expect("a hundred at the most");
-        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.base_time + PERMIT_TIMES.each_vm * named;
+        let mut after =
+            2 * NETWORK_DELAY + PERMIT_TIMES.base_time + PERMIT_TIMES.time_per_vm * named;
         let result = match self.faults.message_outcome(sent) {
             Outcome::Delivered => {
                 let table = self.permits.as_mut().expect("permits are requested only if required");
