--- a/src/queues.rs
+++ b/src/queues.rs
@@ -30,9 +30,9 @@
     /// Number of failed runs of a task after which the job fails.
     pub attempts: u32,
     /// Target for a job's total time, as a multiple of its critical path.
-    pub stretch: f64,
+    pub target_stretch: f64,
     /// Constant added to the target.
-    pub latency: Duration,
+    pub target_latency: Duration,
     /// Time limit of a call.
     pub timeout: Duration,
     /// Present if steps may run only on VMs permitted by an external service.
@@ -54,17 +54,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     pub name: ServiceName,
-    pub guard: Guard,
+    pub capacity_check: CapacityCheck,
     pub power: Power,
 }
 
 /// Whether a service's VMs enforce their own capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
+pub enum CapacityCheck {
     /// VMs refuse tasks that don't fit.
-    Refuses,
+    Enforced,
     /// VMs start any task they are told to.
-    Trusts,
+    NotEnforced,
 }
 
 /// Whether a service's VMs are powered on.
--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -94,7 +94,7 @@
     /// Returns the time after a job's acceptance by which it should be finished.
     pub(super) fn target_duration(&self, job: &JobRun) -> Duration {
         let (stretch, latency) =
-            self.queue(job).map_or((2.0, Duration::ZERO), |q| (q.stretch, q.latency));
+            self.queue(job).map_or((2.0, Duration::ZERO), |q| (q.target_stretch, q.target_latency));
         critical_path(job).mul_f64(stretch.max(0.0)) + latency
     }
 }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -826,8 +826,8 @@
         service: ServiceName::new(SERVICE),
         priority: 0,
         attempts: 3,
-        stretch: 2.0,
-        latency: Duration::from_secs(1),
+        target_stretch: 2.0,
+        target_latency: Duration::from_secs(1),
         timeout: Duration::from_secs(3),
         permits: None,
     };
