--- a/src/job.rs
+++ b/src/job.rs
@@ -145,7 +145,7 @@
     /// Indexes of earlier steps that must have succeeded before this one starts.
     pub after: Vec<u16>,
     pub resume: Resume,
-    pub members: Members,
+    pub grouping: Grouping,
     pub copies: Copies,
     pub life: Life,
     pub share: Share,
@@ -173,7 +173,7 @@
             estimate,
             after: Vec::new(),
             resume: Resume::default(),
-            members: Members::default(),
+            grouping: Grouping::default(),
             copies: Copies::default(),
             life: Life::default(),
             share: Share::default(),
@@ -197,25 +197,25 @@
 
 /// How the tasks of a step depend on each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Members {
+pub enum Grouping {
     #[default]
     Alone,
     /// A gang: the tasks make progress only while all of them run, and they end together.
     Together,
-    /// Like [`Members::Together`], but slower when spread over several racks.
+    /// Like [`Grouping::Together`], but slower when spread over several racks.
     TogetherOnRack,
     /// Independent tasks that are slower when spread over several racks.
     AloneOnRack,
 }
 
-impl Members {
+impl Grouping {
     /// Whether the tasks are scheduled as a gang.
-    pub fn as_one(self) -> bool {
+    pub fn is_gang(self) -> bool {
         matches!(self, Self::Together | Self::TogetherOnRack)
     }
 
     /// Whether the tasks are slower when spread over several racks.
-    pub fn one_rack(self) -> bool {
+    pub fn prefers_one_rack(self) -> bool {
         matches!(self, Self::TogetherOnRack | Self::AloneOnRack)
     }
 }
--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -246,8 +246,8 @@
         && step.label.is_none()
         && step.rack.is_none()
         && step.per_vm == 0
-        && !step.members.as_one()
-        && !step.members.one_rack()
+        && !step.grouping.is_gang()
+        && !step.grouping.prefers_one_rack()
 }
 
 /// Returns the plan that moves the fewest milli-cores off a VM so that a task of `size` fits there.
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -66,7 +66,7 @@
         if is_long_running(&step) {
             return;
         }
-        if step.members.as_one() {
+        if step.grouping.is_gang() {
             // The success of one member is the success of the group.
             if let Some(run) = job.step_run_mut(task) {
                 run.tasks.iter_mut().for_each(|task| task.phase = TaskPhase::Succeeded);
@@ -95,7 +95,7 @@
         let earlier = known.failed_on.replace(vm.clone());
         let own = known.failed;
         let whole = job.step_run(task).map_or(0, super::job_run::StepRun::failed);
-        let failed = if step.members.as_one() { whole } else { own };
+        let failed = if step.grouping.is_gang() { whole } else { own };
         let (run, vm_id) = (key.run, vm.clone());
         self.note(Note::TaskFailed { task, run, vm: vm_id, failed, attempts, ran_ms });
         self.record_failure(vm, earlier.as_ref(), task);
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -486,12 +486,12 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?.clone();
         // A group runs in one shard, and a borrowed task is not lent again.
-        if job.is_borrowed() || step.members.as_one() {
+        if job.is_borrowed() || step.grouping.is_gang() {
             return None;
         }
         let delay = match (step.share, step.life) {
             (Share::Leftover, _) => LEFTOVER_LEND_DELAY,
-            _ if step.members.one_rack() => LONG_RUNNING_LEND_DELAY,
+            _ if step.grouping.prefers_one_rack() => LONG_RUNNING_LEND_DELAY,
             (Share::Reserved, Life::Lasting) => LONG_RUNNING_LEND_DELAY,
             (Share::Reserved, Life::Finite) => LEND_DELAY,
         };
--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -80,6 +80,6 @@
         && step.share == Share::Leftover
         && step.life == Life::Finite
         && step.resume == Resume::FromCheckpoint
-        && !step.members.as_one()
+        && !step.grouping.is_gang()
         && left >= MIN_REMAINING_WORK
 }
--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -112,8 +112,8 @@
             if step.ready.is_none() {
                 continue;
             }
-            let as_one = job.job.steps.get(number).is_some_and(|step| step.members.as_one());
-            let free = |index: &usize| as_one || !step.is_held_back(*index);
+            let is_gang = job.job.steps.get(number).is_some_and(|step| step.grouping.is_gang());
+            let free = |index: &usize| is_gang || !step.is_held_back(*index);
             let tasks = step.tasks.iter().enumerate().filter(|(_, task)| task.is_waiting());
             let free = tasks.map(|(index, _)| index).filter(free);
             waiting.extend(free.map(|index| job.task_ref(occurrence.number, number, index)));
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -190,7 +190,7 @@
             if self.permits_of(group[0]).is_some() {
                 shape.any_vm = AnyVm::No;
             }
-            if step.members.as_one() {
+            if step.grouping.is_gang() {
                 self.place_together(group, step, &shape, pass);
                 continue;
             }
--- a/tests/shards/crashes.rs
+++ b/tests/shards/crashes.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Copies, Job, JobId, Members, ShownState};
+use waxwingstall::job::{Copies, Grouping, Job, JobId, ShownState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::runs::{Crash, Seen, Work};
@@ -105,7 +105,7 @@
     let mut bad = usual();
     bad.crash = Some(Crash { after: AT_ONCE, only: Some(2) });
     let mut job = job_with_steps(1, 1, 4, bad);
-    job.steps[0].members = Members::Together;
+    job.steps[0].grouping = Grouping::Together;
     sim.groups.push(job.id);
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(40));
