--- a/src/job.rs
+++ b/src/job.rs
@@ -311,7 +311,7 @@
 
 /// State of a job as shown to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ShownState {
+pub enum JobState {
     /// No task has started.
     Queued,
     Running,
@@ -322,7 +322,7 @@
     Cancelled,
 }
 
-impl ShownState {
+impl JobState {
     /// Whether the state is final.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
--- a/src/job/progress.rs
+++ b/src/job/progress.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::{Checkpoint, JobId, RunNumber, ShownState, TaskRef};
+use super::{Checkpoint, JobId, JobState, RunNumber, TaskRef};
 use crate::ids::VmId;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 /// Durable progress of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    pub state: ShownState,
+    pub state: JobState,
     /// Shard that lent tasks of the job to this one; `None` in the shard that accepted it.
     pub home: Option<String>,
     /// VMs that bindings refer to by index.
--- a/src/job/progress/tests.rs
+++ b/src/job/progress/tests.rs
@@ -1,9 +1,9 @@
 use super::{CrashRow, Crashes, Progress, decode, encode};
-use crate::job::{JobId, ShownState, TaskRef};
+use crate::job::{JobId, JobState, TaskRef};
 
 fn progress() -> Progress {
     Progress {
-        state: ShownState::Running,
+        state: JobState::Running,
         home: None,
         vms: Vec::new(),
         shards: Vec::new(),
--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -12,7 +12,7 @@
 use super::view::{JobDirectory, Owner, ShardView, View};
 use crate::clock::Clock;
 use crate::job::check::{self, Fault};
-use crate::job::{Image, Job, JobId, Life, QueueName, Share, ShownState};
+use crate::job::{Image, Job, JobId, JobState, Life, QueueName, Share};
 use crate::shard::{AdmissionMode, Answer, Summary};
 use actix::prelude::*;
 use indexmap::IndexMap;
@@ -478,5 +478,5 @@
 
 /// Whether an answer reports a final job state.
 pub fn is_final(answer: &Answer) -> bool {
-    matches!(answer, Answer::Shown(state) if ShownState::is_final(*state))
+    matches!(answer, Answer::Shown(state) if JobState::is_final(*state))
 }
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -2,7 +2,7 @@
 use crate::clock::{Clock, SystemClock};
 use crate::cluster::{Hello, Member, MemberStage};
 use crate::ids::{DaemonId, DomainId, ServiceName};
-use crate::job::{Job, JobId, Life, QueueName, Repeat, ShownState, Step};
+use crate::job::{Job, JobId, JobState, Life, QueueName, Repeat, Step};
 use crate::jobs::control::Control;
 use crate::jobs::links::{JobsRpc, PeerLinks};
 use crate::jobs::records::{FindJob, JobLocation};
@@ -158,7 +158,7 @@
         Reply::Answer(match call {
             Call::Submit(..) => Answer::Accepted,
             Call::Cancel(_) => Answer::Cancelling,
-            Call::Show(_) => Answer::Shown(ShownState::Done),
+            Call::Show(_) => Answer::Shown(JobState::Done),
         })
     }
 
@@ -196,7 +196,7 @@
     let client = client(None, Some(addr));
     client.remember_shard(JOB, SHARD);
     let answer = answered(client.show(JOB, TEST_TIMEOUT)).await;
-    assert_eq!(answer, Answer::Shown(ShownState::Done));
+    assert_eq!(answer, Answer::Shown(JobState::Done));
 }
 
 /// A job with one lasting task of two cores.
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -4,7 +4,7 @@
 use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
 use crate::ids::{DaemonId, DomainId, ServiceName, VmId};
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
-use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
+use crate::job::{Job, JobId, JobState, Life, QueueName, Repeat, Resume, RunNumber, Step};
 use crate::jobs::calls::{Call, Reply};
 use crate::jobs::links::PeerLinks;
 use crate::jobs::machines::MaintenanceAction;
@@ -195,7 +195,7 @@
     let bound = vec![Binding { vm: 0, run }];
     let task = TaskProgress { last_run: run, bound, ..TaskProgress::default() };
     let progress = Progress {
-        state: ShownState::Running,
+        state: JobState::Running,
         home: None,
         vms: vec![BoundVm { id: VmId::new(VM), addr: Arc::from("127.0.0.1:1") }],
         shards: Vec::new(),
--- a/src/note.rs
+++ b/src/note.rs
@@ -5,7 +5,7 @@
 //! action, and the log thread writes it.
 
 use crate::ids::{DaemonId, DomainId, VmId};
-use crate::job::{JobId, QueueName, RunNumber, ShownState, TaskRef};
+use crate::job::{JobId, JobState, QueueName, RunNumber, TaskRef};
 use crate::upkeep::MachineId;
 use std::fmt::{Display, Write as _};
 use std::time::Duration;
@@ -242,12 +242,12 @@
 }
 
 /// The name of a job state, as logged.
-pub fn state_word(state: ShownState) -> Word {
+pub fn state_word(state: JobState) -> Word {
     match state {
-        ShownState::Queued => "queued",
-        ShownState::Running => "running",
-        ShownState::Done => "done",
-        ShownState::Failed => "failed",
-        ShownState::Cancelled => "cancelled",
+        JobState::Queued => "queued",
+        JobState::Running => "running",
+        JobState::Done => "done",
+        JobState::Failed => "failed",
+        JobState::Cancelled => "cancelled",
     }
 }
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -48,7 +48,7 @@
 pub use silence::{ReportedLapse, SilenceMark, SilentVm};
 
 use crate::ids::VmId;
-use crate::job::{JobId, Life, Share, ShownState};
+use crate::job::{JobId, JobState, Life, Share};
 use crate::note::Note;
 use crate::queues::{Queue, Queues};
 use crate::vm::Fence;
@@ -92,7 +92,7 @@
 /// A finished job of which only the final state is kept.
 #[derive(Clone, Copy, Debug)]
 struct ClosedJob {
-    state: ShownState,
+    state: JobState,
     since: Duration,
 }
 
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -1,7 +1,7 @@
 //! Input events and output actions of a shard.
 
 use crate::ids::{RackId, ServiceName, Ticket, VmId};
-use crate::job::{Image, Job, JobId, Label, QueueName, RunNumber, ShownState, StepRef, TaskRef};
+use crate::job::{Image, Job, JobId, JobState, Label, QueueName, RunNumber, StepRef, TaskRef};
 use crate::kv::Txn;
 use crate::note::Note;
 use crate::permit::{self, PermitReq, PermitResp};
@@ -186,7 +186,7 @@
     /// The outcome of the call is unknown; it can be retried with the same id.
     Unknown { reason: String },
     /// The job's state.
-    Shown(ShownState),
+    Shown(JobState),
     /// The cancellation is durable.
     Cancelling,
     /// The job isn't in this shard.
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -5,7 +5,7 @@
 use super::vm_run::{PendingStart, RunKey, Stage};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
-use crate::job::{Checkpoint, JobId, RunNumber, ShownState, TaskRef};
+use crate::job::{Checkpoint, JobId, JobState, RunNumber, TaskRef};
 use crate::note::{Ms, Note, Word};
 use crate::vm::EndKind;
 use std::time::Duration;
@@ -137,7 +137,7 @@
 
     pub(super) fn fail_job(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.state = ShownState::Failed;
+            job.state = JobState::Failed;
         }
         self.stop_job(id, "the job has failed");
     }
@@ -148,7 +148,7 @@
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.is_final() && !job.is_borrowed() && job.all_succeeded() {
-            job.state = ShownState::Done;
+            job.state = JobState::Done;
         }
         job.advance(now);
     }
@@ -235,8 +235,8 @@
     pub(super) fn mark_started(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.started = super::job_run::Started::Yes;
-        if job.state == ShownState::Queued {
-            job.state = ShownState::Running;
+        if job.state == JobState::Queued {
+            job.state = JobState::Running;
         }
     }
 
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -6,7 +6,7 @@
 use super::vm_run::RunKey;
 use super::{ClosedJob, Shard, Stage};
 use crate::ids::Ticket;
-use crate::job::{Job, JobId, Life, Share, ShownState};
+use crate::job::{Job, JobId, JobState, Life, Share};
 use crate::note::{Ms, Note, state_word};
 use indexmap::IndexSet;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
         }
         job.effects.push(Effect::Reply { ticket, answer: Answer::Cancelling });
         if !job.is_final() {
-            job.state = ShownState::Cancelled;
+            job.state = JobState::Cancelled;
             let (queue, runs) = (job.job.queue.clone(), job.placed_runs().len());
             self.note(Note::JobCancelled { job: id, queue, runs });
             self.stop_job(id, "cancelled");
@@ -210,13 +210,7 @@
         }
     }
 
-    fn handle_job_committed(
-        &mut self,
-        id: JobId,
-        state: ShownState,
-        record: RecordState,
-        seq: u64,
-    ) {
+    fn handle_job_committed(&mut self, id: JobId, state: JobState, record: RecordState, seq: u64) {
         let now = self.now.steady;
         let Some(target_duration) = self.jobs.get(&id).map(|job| self.target_duration(job)) else {
             return;
@@ -286,9 +280,9 @@
 
 /// The state shown to callers. A job counts as running once one of its tasks has started, even if
 /// its durable state is still queued.
-fn visible_state(job: &JobRun, durable: ShownState) -> ShownState {
+fn visible_state(job: &JobRun, durable: JobState) -> JobState {
     match durable {
-        ShownState::Queued if job.started == Started::Yes => ShownState::Running,
+        JobState::Queued if job.started == Started::Yes => JobState::Running,
         state => state,
     }
 }
--- a/src/shard/job_run.rs
+++ b/src/shard/job_run.rs
@@ -5,7 +5,7 @@
     Binding, BoundVm, CrashRow, Crashes, LentTo, OccurrenceProgress, Progress, TaskPhase,
     TaskProgress,
 };
-use crate::job::{Checkpoint, Job, JobId, Life, RunNumber, ShownState, Step, TaskRef};
+use crate::job::{Checkpoint, Job, JobId, JobState, Life, RunNumber, Step, TaskRef};
 use crate::shard::event::Answer;
 use crate::shard::interference::ImageIx;
 use crate::shard::own_load::OwnLoad;
@@ -22,9 +22,9 @@
     /// Shard that lent this job's tasks to this one; `None` for a job accepted here.
     pub lender: Option<Arc<str>>,
     /// Current state, possibly not durable yet.
-    pub state: ShownState,
+    pub state: JobState,
     /// Last durable state, which is the one reported to callers.
-    pub durable: Option<ShownState>,
+    pub durable: Option<JobState>,
     /// Number of occurrences begun so far.
     pub begun: u32,
     /// Occurrences that haven't ended, in order.
@@ -157,7 +157,7 @@
             job,
             images,
             lender: None,
-            state: ShownState::Queued,
+            state: JobState::Queued,
             durable: None,
             begun: 0,
             open: Vec::new(),
@@ -178,7 +178,7 @@
     ) -> Self {
         let mut run = Self::new(job, images, now.saturating_sub(age));
         run.record = RecordState::Kept;
-        run.durable = Some(ShownState::Queued);
+        run.durable = Some(JobState::Queued);
         let Some(progress) = progress else { return run };
         run.state = progress.state;
         run.durable = Some(progress.state);
@@ -191,7 +191,7 @@
             }
         }
         let begun = |task: &Task| task.last_run > RunNumber(0);
-        if run.tasks().any(begun) || progress.state != ShownState::Queued {
+        if run.tasks().any(begun) || progress.state != JobState::Queued {
             run.started = Started::Yes;
         }
         run
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -8,7 +8,7 @@
 use super::settings::COMMIT_GAP;
 use super::silence;
 use crate::job::progress::encode;
-use crate::job::{JobId, ShownState};
+use crate::job::{JobId, JobState};
 use crate::kv::{Condition, MAX_TXN_ENTRIES, Put, Rev, Txn};
 use bytes::Bytes;
 use indexmap::{IndexMap, IndexSet};
@@ -100,7 +100,7 @@
 pub struct CommitPart {
     pub id: JobId,
     /// Job state that the commit makes durable.
-    pub state: ShownState,
+    pub state: JobState,
     /// State of the job record in the store after the commit.
     pub record: RecordState,
     pub effects: Vec<Effect>,
--- a/tests/shards/crashes.rs
+++ b/tests/shards/crashes.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Copies, Grouping, Job, JobId, ShownState};
+use waxwingstall::job::{Copies, Grouping, Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::runs::{Crash, Seen, Work};
@@ -32,7 +32,7 @@
     jobs.iter().map(|job| (job.id, (*job).clone())).collect()
 }
 
-fn state(sim: &mut Simulation<NoFaults>, job: &Job) -> ShownState {
+fn state(sim: &mut Simulation<NoFaults>, job: &Job) -> JobState {
     match sim.show(SHARD, job.id) {
         Some(Answer::Shown(state)) => state,
         other => panic!("{other:?}"),
@@ -58,7 +58,7 @@
     let job = job_with_steps(1, 1, 1, crashing(usual(), AT_ONCE));
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(30));
-    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!(state(&mut sim, &job), JobState::Failed);
     assert_eq!((starts(&sim, &job), sim.crashes), (2, 2));
     check(&mut sim, &known(&[&job]), SIZE);
 }
@@ -70,7 +70,7 @@
     let job = job_with_steps(1, 1, 1, crashing(work(9000, 2), millis(1500)));
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(60));
-    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!(state(&mut sim, &job), JobState::Failed);
     assert!(starts(&sim, &job) <= CRASHES + 2, "{}", starts(&sim, &job));
     check(&mut sim, &known(&[&job]), SIZE);
 }
@@ -82,7 +82,7 @@
     let job = job_with_steps(1, 1, 1, crashing(work(0, 2), AT_ONCE));
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(30));
-    assert_eq!((state(&mut sim, &job), sim.crashes), (ShownState::Failed, 2));
+    assert_eq!((state(&mut sim, &job), sim.crashes), (JobState::Failed, 2));
     check(&mut sim, &known(&[&job]), SIZE);
 }
 
@@ -94,7 +94,7 @@
     job.steps[0].copies = Copies::Parallel;
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(30));
-    assert_eq!((state(&mut sim, &job), sim.crashes), (ShownState::Failed, 2));
+    assert_eq!((state(&mut sim, &job), sim.crashes), (JobState::Failed, 2));
     check(&mut sim, &known(&[&job]), SIZE);
 }
 
@@ -109,7 +109,7 @@
     sim.groups.push(job.id);
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(40));
-    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!(state(&mut sim, &job), JobState::Failed);
     assert!(sim.crashes <= CRASHES + 2, "{}", sim.crashes);
     check(&mut sim, &known(&[&job]), SIZE);
 }
@@ -130,10 +130,10 @@
         sim.submit(SHARD, job.clone());
     }
     sim.run_for(seconds(40));
-    assert_eq!(state(&mut sim, &bad), ShownState::Failed);
-    assert_eq!(state(&mut sim, &beside), ShownState::Done);
-    assert_eq!(state(&mut sim, &before), ShownState::Done);
-    assert_eq!(state(&mut sim, &long_running), ShownState::Running);
+    assert_eq!(state(&mut sim, &bad), JobState::Failed);
+    assert_eq!(state(&mut sim, &beside), JobState::Done);
+    assert_eq!(state(&mut sim, &before), JobState::Done);
+    assert_eq!(state(&mut sim, &long_running), JobState::Running);
     check(&mut sim, &known(&[&long_running, &before, &bad, &beside]), SIZE);
 }
 
@@ -153,7 +153,7 @@
     }
     sim.run_for(seconds(40));
     for job in &jobs {
-        let expected = if job.id.0 == 4 { ShownState::Failed } else { ShownState::Done };
+        let expected = if job.id.0 == 4 { JobState::Failed } else { JobState::Done };
         assert_eq!(state(&mut sim, job), expected, "job {}", job.id);
     }
     check(&mut sim, &known(&jobs.iter().collect::<Vec<_>>()), SIZE);
@@ -178,8 +178,8 @@
         sim.run_for(seconds(2));
     }
     sim.run_for(seconds(20));
-    assert_eq!(state(&mut sim, &job), ShownState::Done);
-    assert_eq!(state(&mut sim, &long_running), ShownState::Running);
+    assert_eq!(state(&mut sim, &job), JobState::Done);
+    assert_eq!(state(&mut sim, &long_running), JobState::Running);
     check(&mut sim, &known(&[&long_running, &job]), SIZE);
 }
 
@@ -202,7 +202,7 @@
         }
         sim.run_for(seconds(11));
     }
-    assert_eq!(state(&mut sim, &job), ShownState::Running);
+    assert_eq!(state(&mut sim, &job), JobState::Running);
     check(&mut sim, &known(&[&job]), SIZE);
 }
 
@@ -221,7 +221,7 @@
             sim.replace_owner(SHARD);
         }
     }
-    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!(state(&mut sim, &job), JobState::Failed);
     assert!(starts(&sim, &job) <= CRASHES + 2, "{}", starts(&sim, &job));
     check(&mut sim, &known(&[&job]), SIZE);
 }
@@ -239,7 +239,7 @@
             sim.replace_owner(SHARD);
         }
     }
-    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!(state(&mut sim, &job), JobState::Failed);
     assert!(starts(&sim, &job) <= CRASHES + 2, "{}", starts(&sim, &job));
     check(&mut sim, &known(&[&job]), SIZE);
 }
@@ -254,7 +254,7 @@
     sim.run_for(seconds(1));
     sim.submit(SHARD, bad.clone());
     sim.run_for(seconds(30));
-    assert_eq!(state(&mut sim, &bad), ShownState::Failed);
+    assert_eq!(state(&mut sim, &bad), JobState::Failed);
     assert!(starts(&sim, &bad) <= CRASHES, "{}", starts(&sim, &bad));
     check(&mut sim, &known(&[&full, &bad]), SIZE);
 }
@@ -267,7 +267,7 @@
     let job = job_with_steps(1, 1, 8, crashing(work(2000, 5), AT_ONCE));
     sim.submit(SHARD, job.clone());
     sim.run_for(seconds(30));
-    assert_eq!(state(&mut sim, &job), ShownState::Failed);
+    assert_eq!(state(&mut sim, &job), JobState::Failed);
     assert!(sim.crashes <= 8 + 1, "{}", sim.crashes);
     check(&mut sim, &known(&[&job]), SIZE);
 }
--- a/tests/shards/hold.rs
+++ b/tests/shards/hold.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, ShownState};
+use waxwingstall::job::{Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::runs::Work;
@@ -42,7 +42,7 @@
     }
 
     fn is_running(&mut self, job: JobId) -> bool {
-        self.sim.show(SHARD, job) == Some(Answer::Shown(ShownState::Running))
+        self.sim.show(SHARD, job) == Some(Answer::Shown(JobState::Running))
     }
 }
 
--- a/tests/shards/limits.rs
+++ b/tests/shards/limits.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, ShownState};
+use waxwingstall::job::{Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 
@@ -37,7 +37,7 @@
     let answer = sim.answers.get(&refused).cloned();
     let Some(Answer::NotRun { retry_after, .. }) = answer else { panic!("{answer:?}") };
     assert!(retry_after >= Duration::from_secs(1), "a retry that early is refused again");
-    assert_eq!(sim.show(SHARD, short.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show(SHARD, short.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[&first, &short]), SIZE);
 }
 
@@ -67,7 +67,7 @@
     sim.run_for(Duration::from_secs(2));
     sim.submit(SHARD, second.clone());
     sim.run_for(Duration::from_secs(1));
-    assert_eq!(sim.show(SHARD, second.id), Some(Answer::Shown(ShownState::Running)));
+    assert_eq!(sim.show(SHARD, second.id), Some(Answer::Shown(JobState::Running)));
     check(&mut sim, &known(&[&first, &second]), SIZE);
 }
 
--- a/tests/shards/lists.rs
+++ b/tests/shards/lists.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::ShownState;
+use waxwingstall::job::JobState;
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 
@@ -37,7 +37,7 @@
         assert_eq!(sim.runs_on(0), 0, "a task runs on a leaving VM");
     }
     sim.run_for(seconds(4));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &IndexMap::from([(job.id, job)]), SIZE);
 }
 
@@ -61,7 +61,7 @@
             assert_eq!(sim.runs_on(0), 0, "a task runs on a leaving VM, {moment} ms");
         }
         sim.run_for(seconds(3));
-        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
         check(&mut sim, &IndexMap::from([(job.id, job)]), SIZE);
     }
 }
@@ -84,7 +84,7 @@
     sim.replace_owner("kacyiru");
     sim.run_for(seconds(12));
     check(&mut sim, &IndexMap::from([(job.id, job.clone())]), SIZE);
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
 }
 
 // Guards against a delay of 0.4 s at most takeovers. The list of VMs is requested as soon as a
--- a/tests/shards/order.rs
+++ b/tests/shards/order.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, ShownState};
+use waxwingstall::job::{Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 
@@ -49,7 +49,7 @@
 fn a_lasting_job_precedes_a_short_job_that_is_too_late() {
     let mut contention = Contention::new(7000);
     contention.sim.run_for(Duration::from_secs(9));
-    let shown = [ShownState::Running, ShownState::Queued].map(|state| Some(Answer::Shown(state)));
+    let shown = [JobState::Running, JobState::Queued].map(|state| Some(Answer::Shown(state)));
     assert_eq!(contention.states(), shown);
     assert_eq!(contention.sim.runs_on(0), 4);
     check(&mut contention.sim, &contention.all, SIZE);
@@ -68,6 +68,6 @@
         contention.sim.run_for(Duration::from_millis(200));
     }
     let long_running = contention.sim.show(SHARD, contention.long_running.id);
-    assert_eq!(long_running, Some(Answer::Shown(ShownState::Running)));
+    assert_eq!(long_running, Some(Answer::Shown(JobState::Running)));
     check(&mut contention.sim, &contention.all, SIZE);
 }
--- a/tests/shards/permits.rs
+++ b/tests/shards/permits.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, ShownState};
+use waxwingstall::job::{Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::permits::PermitTable;
@@ -45,7 +45,7 @@
     let job = job_with_steps(1, 2, 6, work(500, 2));
     sim.submit("kacyiru", job.clone());
     sim.run_for(seconds(4));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[job]), SIZE);
     assert_eq!(table(&sim).refused, 0);
     for (step, vms) in &table(&sim).asked {
@@ -64,7 +64,7 @@
     let job = job_with_steps(1, 1, 8, work(3500, 2));
     sim.submit("kacyiru", job.clone());
     sim.run_for(seconds(9));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[job]), SIZE);
     assert_eq!(table(&sim).refused, 0);
     assert!(table(&sim).asked.len() >= 2, "{:?}", table(&sim).asked);
@@ -81,7 +81,7 @@
     assert!(table(&sim).asked.len() <= 1, "{:?}", table(&sim).asked);
     sim.run_for(seconds(5));
     for job in &jobs {
-        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     }
     check(&mut sim, &known(&jobs), SIZE);
 }
@@ -99,7 +99,7 @@
     sim.replace_owner("kacyiru");
     sim.run_for(seconds(40));
     for job in &jobs {
-        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     }
     check(&mut sim, &known(&jobs), SIZE);
 }
--- a/tests/shards/random.rs
+++ b/tests/shards/random.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, ShownState};
+use waxwingstall::job::{Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::permits::PermitTable;
@@ -110,8 +110,8 @@
         let expected = match (run.cancelled.contains(&id), long_running) {
             // A cancellation may arrive too late, or be lost with the shard's owner.
             (true, _) => continue,
-            (false, true) => ShownState::Running,
-            (false, false) => ShownState::Done,
+            (false, true) => JobState::Running,
+            (false, false) => JobState::Done,
         };
         assert_eq!(state, expected, "seed {seed}: job {id}");
     }
--- a/tests/shards/takeover.rs
+++ b/tests/shards/takeover.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, ShownState};
+use waxwingstall::job::{Job, JobId, JobState};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::runs::{Seen, Work};
@@ -33,7 +33,7 @@
     let ticket = sim.submit("kacyiru", job.clone());
     sim.run_for(seconds(3));
     assert_eq!(sim.answers.get(&ticket), Some(&Answer::Accepted));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[job]), SIZE);
 }
 
@@ -52,8 +52,8 @@
     sim.cancel("kacyiru", first.id);
     sim.submit("kacyiru", second.clone());
     sim.run_for(seconds(5));
-    assert_eq!(sim.show("kacyiru", first.id), Some(Answer::Shown(ShownState::Cancelled)));
-    assert_eq!(sim.show("kacyiru", second.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", first.id), Some(Answer::Shown(JobState::Cancelled)));
+    assert_eq!(sim.show("kacyiru", second.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[first, second]), SIZE);
 }
 
@@ -70,7 +70,7 @@
     sim.pause_owner("kacyiru", seconds(4));
     sim.run_for(seconds(20));
     for job in &jobs {
-        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+        assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     }
     check(&mut sim, &known(&jobs), SIZE);
 }
@@ -102,7 +102,7 @@
     sim.run_for(seconds(1));
     sim.crash_vm(0, seconds(1));
     sim.run_for(seconds(5));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[job]), SIZE);
 }
 
@@ -123,7 +123,7 @@
     assert!(matches!(sim.answers.get(&third), Some(Answer::NotRun { .. })));
     sim.run_for(seconds(8));
     assert_eq!(sim.answers.get(&second), Some(&Answer::Accepted));
-    assert_eq!(sim.show("kacyiru", first.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", first.id), Some(Answer::Shown(JobState::Done)));
 }
 
 // A job with a task lent to another shard is cancelled while the borrower's VM is unreachable, and
@@ -146,7 +146,7 @@
     sim.run_for(seconds(4));
     let now = sim.now;
     assert_eq!(sim.vms[1].table.runs(now), [], "the task was not stopped");
-    assert_eq!(sim.show("kacyiru", lent.id), Some(Answer::Shown(ShownState::Cancelled)));
+    assert_eq!(sim.show("kacyiru", lent.id), Some(Answer::Shown(JobState::Cancelled)));
     check(&mut sim, &known(&[full, lent]), SIZE);
 }
 
@@ -163,7 +163,7 @@
     sim.run_for(seconds(1));
     sim.replace_owner("kacyiru");
     sim.run_for(seconds(4));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[job]), SIZE);
 }
 
@@ -181,7 +181,7 @@
     sim.run_for(seconds(2));
     sim.submit("kacyiru", job.clone());
     sim.run_for(seconds(6));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     assert_eq!(sim.vms[0].table.seen.len(), 3, "started, ended and forgotten once");
     check(&mut sim, &known(&[job]), SIZE);
 }
@@ -206,7 +206,7 @@
     assert!(sim.vms[index].table.runs(now).is_empty(), "nothing is left on the leaving VM");
     assert_eq!(sim.vms[other].table.runs(now).len(), 2, "both go on elsewhere");
     sim.run_for(seconds(8));
-    assert_eq!(sim.show("kacyiru", long.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", long.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[long_running, long]), SIZE);
 }
 
@@ -248,7 +248,7 @@
         assert_eq!(sim.runs_on(0), 0);
     }
     sim.run_for(seconds(1));
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Done)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Done)));
     check(&mut sim, &known(&[job]), SIZE);
 }
 
@@ -271,7 +271,7 @@
     sim.configure("kacyiru");
     sim.run_for(seconds(1));
     assert_eq!(started(&sim), 3, "started again");
-    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(ShownState::Failed)));
+    assert_eq!(sim.show("kacyiru", job.id), Some(Answer::Shown(JobState::Failed)));
 }
 
 /// Number of runs started on all VMs.
--- a/tests/shards/vacate.rs
+++ b/tests/shards/vacate.rs
@@ -6,7 +6,7 @@
 use crate::world::Simulation;
 use indexmap::IndexMap;
 use std::time::Duration;
-use waxwingstall::job::{Job, JobId, Resume, ShownState};
+use waxwingstall::job::{Job, JobId, JobState, Resume};
 use waxwingstall::shard::Answer;
 use waxwingstall::units::Resources;
 use waxwingstall_standin::runs::Seen;
@@ -81,7 +81,7 @@
     sim.submit(SHARD, job_with_steps(3, 1, 1, work(200, 1)));
     sim.run_for(seconds(2));
     assert_eq!(sim.runs_on(0), 0);
-    assert_eq!(sim.show(SHARD, fixed.id), Some(Answer::Shown(ShownState::Done)));
-    assert_eq!(sim.show(SHARD, resumable.id), Some(Answer::Shown(ShownState::Running)));
-    assert_eq!(sim.show(SHARD, JobId(3)), Some(Answer::Shown(ShownState::Queued)));
+    assert_eq!(sim.show(SHARD, fixed.id), Some(Answer::Shown(JobState::Done)));
+    assert_eq!(sim.show(SHARD, resumable.id), Some(Answer::Shown(JobState::Running)));
+    assert_eq!(sim.show(SHARD, JobId(3)), Some(Answer::Shown(JobState::Queued)));
 }
