--- a/src/job.rs
+++ b/src/job.rs
@@ -251,7 +251,7 @@
 
 impl Step {
     /// Resources that a task of this step reserves on a VM.
-    pub fn reserved(&self) -> Resources {
+    pub fn reserved_resources(&self) -> Resources {
         match self.share {
             Share::Reserved => self.size,
             Share::Leftover => Resources::new(0, self.size.memory_mib.0, self.size.accelerators.0),
@@ -270,7 +270,7 @@
 
 impl TaskRef {
     /// The step that the task belongs to.
-    pub fn of_step(self) -> StepRef {
+    pub fn step_ref(self) -> StepRef {
         StepRef { job: self.job, occurrence: self.occurrence, step: self.step }
     }
 }
--- a/src/job/check.rs
+++ b/src/job/check.rs
@@ -81,7 +81,7 @@
 pub fn possible(job: &Job, shapes: &Shapes) -> Result<()> {
     let Some(known) = shapes.of.get(&job.service) else { return Ok(()) };
     for (number, step) in job.steps.iter().enumerate() {
-        let need = step.reserved();
+        let need = step.reserved_resources();
         let labelled =
             |shape: &&Shape| step.label.as_ref().is_none_or(|label| shape.labels.contains(label));
         if !known.iter().any(|shape| need.fits_in(&shape.size)) {
--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -118,7 +118,7 @@
                 continue;
             };
             let fits = |room: &&mut VmCapacity| {
-                room.vm == reserved.vm && room.takes(&step, reserved.task.of_step())
+                room.vm == reserved.vm && room.takes(&step, reserved.task.step_ref())
             };
             if let Some(room) = pass.rooms.iter_mut().find(fits) {
                 self.bind(reserved.task, &step, room);
@@ -200,7 +200,7 @@
 
     /// Returns the plan that moves the fewest milli-cores.
     fn plan(&self, task: TaskRef, step: &Step, rooms: &[&VmCapacity]) -> Option<MovePlan> {
-        if rooms.iter().any(|room| room.fits_without_finite(step, task.of_step())) {
+        if rooms.iter().any(|room| room.fits_without_finite(step, task.step_ref())) {
             // Only short tasks are in the way, and they end soon.
             return None;
         }
@@ -211,7 +211,7 @@
             let movable = self.movable(room, step, most);
             plan_for_vm(
                 &room.vm,
-                step.reserved(),
+                step.reserved_resources(),
                 room.capacity_beside_long_running(),
                 &movable,
                 &free_by_vm,
@@ -233,7 +233,7 @@
                 && smaller
                 && step.max_away.is_none()
                 && self.permits_of(key.task).is_none();
-            moves.then(|| MovableTask { key: *key, size: step.reserved() })
+            moves.then(|| MovableTask { key: *key, size: step.reserved_resources() })
         };
         vm.runs.iter().filter_map(may_move).collect()
     }
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -537,7 +537,7 @@
 
 /// Estimated number of a shard's VMs with room for a task of a step.
 fn fitting_rooms(summary: &Summary, step: &Step, service: &crate::ids::ServiceName) -> f64 {
-    let need = step.reserved();
+    let need = step.reserved_resources();
     let fits = |room: &&FreeRoom| {
         need.fits_in(&room.free)
             && room.service == *service
@@ -557,7 +557,7 @@
 
 /// Subtracts a task that was just lent from a shard's summary.
 fn subtract_lent(summary: &mut Summary, step: &Step, image: &Image) {
-    let need = step.reserved();
+    let need = step.reserved_resources();
     match step.share {
         Share::Reserved => {
             let room = summary.rooms.iter_mut().find(|room| need.fits_in(&room.free));
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -206,7 +206,7 @@
         let Some(vm) = self.vms.get_mut(id) else { return };
         // The size of an unknown task is unknown too, so the whole VM counts as reserved until the
         // run has ended.
-        let size = step.map_or(vm.entry.size, |step| step.reserved());
+        let size = step.map_or(vm.entry.size, |step| step.reserved_resources());
         let share = step.map_or(Share::Reserved, |step| step.share);
         let mut run = Run::binding(size, 0, share, now);
         run.stage = Stage::Stopping { next_send: Some(now), answered: None };
--- a/src/shard/moving.rs
+++ b/src/shard/moving.rs
@@ -46,12 +46,12 @@
             let is_better = |room: &&mut VmCapacity| {
                 room.vm != vm
                     && room.service == service
-                    && room.takes(&step, key.task.of_step())
+                    && room.takes(&step, key.task.step_ref())
                     && self.has_label(&room.vm, &step)
                     && self.speed(room, &step, image) >= MIN_LEFTOVER_SPEED
             };
             let Some(room) = pass.rooms.iter_mut().find(is_better) else { continue };
-            room.take(&step, image, key.task.of_step(), &self.interference);
+            room.take(&step, image, key.task.step_ref(), &self.interference);
             moved += 1;
             self.stop_run(&vm, key, "run is slowed down; another VM can run it faster");
         }
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -153,7 +153,7 @@
         let mut fitting = self
             .vms
             .values()
-            .filter(|vm| vm.takes_work(now) && step.reserved().fits_in(&vm.free()));
+            .filter(|vm| vm.takes_work(now) && step.reserved_resources().fits_in(&vm.free()));
         fitting.all(|vm| permits.is_denied(&vm.id))
     }
 
@@ -168,7 +168,7 @@
             else {
                 continue;
             };
-            for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
+            for group in candidate.tasks.chunk_by(|a, b| a.step_ref() == b.step_ref()) {
                 if !self.permit_requests.may_send_request() {
                     return;
                 }
@@ -221,7 +221,7 @@
         if vms.is_empty() {
             return;
         }
-        let step = group[0].of_step();
+        let step = group[0].step_ref();
         let time =
             times.base_time + times.time_per_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
         let timeout = time * TIMEOUT_FACTOR + TIMEOUT_MARGIN;
--- a/src/shard/place.rs
+++ b/src/shard/place.rs
@@ -184,7 +184,7 @@
     fn place_job(&mut self, candidate: &Candidate, pass: &mut SchedulePass) {
         let Some(job) = self.jobs.get(&candidate.id) else { return };
         let spec = job.job.clone();
-        for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
+        for group in candidate.tasks.chunk_by(|a, b| a.step_ref() == b.step_ref()) {
             let Some(step) = spec.steps.get(usize::from(group[0].step)) else { continue };
             let mut shape = Shape::of(&spec, step, self.image(group[0]));
             if self.permits_of(group[0]).is_some() {
@@ -226,7 +226,7 @@
             let Some(choice) = self.choose(*task, step, Need::Normal, shape, &trial_rooms) else {
                 return;
             };
-            trial_rooms[choice].take(step, self.image(*task), task.of_step(), &self.interference);
+            trial_rooms[choice].take(step, self.image(*task), task.step_ref(), &self.interference);
             trial_rooms[choice].crash_suspects += usize::from(self.is_suspect(*task));
             choices.push(choice);
         }
@@ -255,7 +255,7 @@
         shape: &Shape,
         rooms: &[VmCapacity],
     ) -> Option<usize> {
-        let (key, now) = (task.of_step(), self.now.steady);
+        let (key, now) = (task.step_ref(), self.now.steady);
         let permits = self.permits_of(task);
         let suspect = self.is_suspect(task);
         let failed_on = self.jobs.get(&task.job).and_then(|job| job.task(task)?.failed_on.clone());
@@ -347,12 +347,13 @@
         known.runs.push(PlacedRun { vm: vm_id.clone(), addr: room.addr.clone(), run });
         job.effects.push(Effect::Start { task, run, vm: vm_id.clone() });
         self.log.mark_changed(task.job);
-        let bound = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
+        let bound =
+            Run::binding(step.reserved_resources(), step.size.milli_cores.0, step.share, now);
         if let Some(vm) = self.vms.get_mut(&vm_id) {
             vm.runs.insert(RunKey { task, run }, bound);
         }
         let (ready_ms, neighbours) = (Ms(now.saturating_sub(ready)), room.tasks());
-        room.take(step, self.image(task), task.of_step(), &self.interference);
+        room.take(step, self.image(task), task.step_ref(), &self.interference);
         room.crash_suspects += usize::from(self.is_suspect(task));
         let free_cores = u64::from(room.free.milli_cores.0 / 1000);
         let milli_cores = step.size.milli_cores.0;
@@ -430,7 +431,7 @@
         return;
     }
     let fits = |room: &&mut VmCapacity| {
-        room.fits_without_finite(step, task.of_step())
+        room.fits_without_finite(step, task.step_ref())
             && !room.held_for_long_running
             && room.service == shape.service
     };
--- a/src/shard/place/tests.rs
+++ b/src/shard/place/tests.rs
@@ -41,7 +41,7 @@
     let step = long_running();
     for number in 0..10 {
         let image = if number % 2 == 0 { a } else { b };
-        let task = TaskRef { job: JobId(number), ..TaskRef::default() }.of_step();
+        let task = TaskRef { job: JobId(number), ..TaskRef::default() }.step_ref();
         let fitting = rooms.iter_mut().filter(|room| room.takes(&step, task));
         let cost = |room: &VmCapacity| long_running_cost(room, &step, image);
         let best = fitting.min_by(|x, y| cost(x).total_cmp(&cost(y))).expect("there is room");
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -194,7 +194,8 @@
         let Some(job) = self.jobs.get(&id) else { return };
         for (task, placed) in job.placed_runs() {
             let Some(step) = job.step(task) else { continue };
-            let mut run = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
+            let mut run =
+                Run::binding(step.reserved_resources(), step.size.milli_cores.0, step.share, now);
             run.stage = Stage::Recovered;
             let service = &job.job.service;
             let vm = self
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -168,7 +168,7 @@
             leftover: (room.leftover - used).max(0.0),
             leftover_demand,
             probation,
-            steps: vm.runs.keys().map(|key: &RunKey| key.task.of_step()).collect(),
+            steps: vm.runs.keys().map(|key: &RunKey| key.task.step_ref()).collect(),
             ..room
         })
     }
@@ -208,12 +208,13 @@
 
     /// Returns whether a task of the step fits now.
     pub fn takes(&self, step: &Step, key: StepRef) -> bool {
-        step.reserved().fits_in(&self.free) && self.is_below_vm_limit(step, key)
+        step.reserved_resources().fits_in(&self.free) && self.is_below_vm_limit(step, key)
     }
 
     /// Returns whether a task of the step will fit once all finite tasks have ended.
     pub fn fits_without_finite(&self, step: &Step, key: StepRef) -> bool {
-        step.reserved().fits_in(&self.finite_capacity) && self.is_below_vm_limit(step, key)
+        step.reserved_resources().fits_in(&self.finite_capacity)
+            && self.is_below_vm_limit(step, key)
     }
 
     /// Returns whether the step's per-VM limit allows one more task.
@@ -233,7 +234,7 @@
 
     /// Returns how many tasks of a step fit.
     pub fn fitting(&self, step: &Step) -> usize {
-        let need = step.reserved();
+        let need = step.reserved_resources();
         let fits = self.free.times(&need);
         if step.per_vm == 0 { fits } else { fits.min(step.per_vm as usize) }
     }
@@ -256,9 +257,9 @@
         key: StepRef,
         interference: &InterferenceModel,
     ) {
-        self.free = self.free.saturating_sub(&step.reserved());
+        self.free = self.free.saturating_sub(&step.reserved_resources());
         if step.life == Life::Lasting {
-            self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved());
+            self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved_resources());
             self.long_running_tasks += 1;
         }
         let share = f64::from(step.size.milli_cores.0) / self.size;
@@ -329,7 +330,7 @@
     /// Returns the share of the VM's processors left by long-running tasks once a task of the step
     /// is added.
     pub fn share_left_with(&self, step: &Step) -> f64 {
-        let left = self.finite_capacity.saturating_sub(&step.reserved());
+        let left = self.finite_capacity.saturating_sub(&step.reserved_resources());
         f64::from(left.milli_cores.0) / self.size
     }
 
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -168,7 +168,7 @@
             vm.entry.service == job.job.service
                 && vm.takes_work(now)
                 && !self.maintenance_drain.is_draining(&vm.id)
-                && step.reserved().fits_in(&vm.free())
+                && step.reserved_resources().fits_in(&vm.free())
                 && self.has_label(&vm.id, step)
         })
     }
--- a/src/shard/waiting.rs
+++ b/src/shard/waiting.rs
@@ -86,10 +86,10 @@
         tally.least_mib = Some(least.min(step.size.memory_mib.0));
         tally.max_milli_cores = tally.max_milli_cores.max(step.size.milli_cores.0);
         let here = |room: &VmCapacity| {
-            !room.is_reserved && room.takes(step, task.of_step()) && self.has_label(&room.vm, step)
+            !room.is_reserved && room.takes(step, task.step_ref()) && self.has_label(&room.vm, step)
         };
         let later = |room: &VmCapacity| {
-            room.fits_without_finite(step, task.of_step()) && self.has_label(&room.vm, step)
+            room.fits_without_finite(step, task.step_ref()) && self.has_label(&room.vm, step)
         };
         if rooms.iter().any(here) {
             tally.fit_here += 1;
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -280,7 +280,7 @@
     /// Ends the runs of a step, since another member of their group has ended.
     pub fn end_group(&mut self, now: Duration, step: StepRef) {
         self.pass(now);
-        let members = self.running.keys().filter(|task| task.of_step() == step);
+        let members = self.running.keys().filter(|task| task.step_ref() == step);
         for task in members.copied().collect::<Vec<TaskRef>>() {
             self.end(task, now, EndKind::Broken);
         }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -313,7 +313,7 @@
                 let there = self.vms[index].table.runs(self.now);
                 self.crash_vm(index, CRASH_DOWNTIME);
                 self.vms[index].refuses = true;
-                there.iter().for_each(|(task, ..)| self.end_group(task.of_step()));
+                there.iter().for_each(|(task, ..)| self.end_group(task.step_ref()));
             }
         }
     }
@@ -694,7 +694,7 @@
             return Err(VmError::InstanceChanged);
         }
         if let (Action::Start { req, .. }, Some(permits)) = (action, &mut self.permits)
-            && !permits.check(now, req.task.of_step(), &addr.id, req.permit.as_ref())
+            && !permits.check(now, req.task.step_ref(), &addr.id, req.permit.as_ref())
         {
             return Err(VmError::NoPermit);
         }
