--- a/src/job/check.rs
+++ b/src/job/check.rs
@@ -7,7 +7,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 /// Result of a check.
-pub type Result<T> = std::result::Result<T, Fault>;
+pub type Result<T> = std::result::Result<T, JobError>;
 
 /// Maximum number of steps in a job. Keeps the progress record of the largest job under the store's
 /// limit on the size of a value.
@@ -22,7 +22,7 @@
 
 /// Why a job is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum JobError {
     #[error("the job has no steps; give it at least one")]
     NoSteps,
     #[error("the job has {0} steps; split it into jobs of at most {MAX_STEPS}")]
@@ -48,13 +48,13 @@
 /// Distinct VM shapes of each service. Includes all shapes listed so far, since a VM that is
 /// missing now may come back.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shapes {
-    of: IndexMap<ServiceName, IndexSet<Shape>>,
+pub struct VmShapes {
+    by_service: IndexMap<ServiceName, IndexSet<VmShape>>,
 }
 
 /// Properties of a VM that decide which tasks it can run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Shape {
+struct VmShape {
     size: Resources,
     labels: Vec<Label>,
 }
@@ -63,14 +63,14 @@
 /// rack.
 const MAX_SHAPES: usize = 4096;
 
-impl Shapes {
+impl VmShapes {
     /// Adds the shapes of listed VMs; returns whether any of them is new.
     pub fn add(&mut self, vms: &[VmEntry]) -> bool {
         let mut new = false;
         for vm in vms {
-            let known = self.of.entry(vm.service.clone()).or_default();
+            let known = self.by_service.entry(vm.service.clone()).or_default();
             if known.len() < MAX_SHAPES {
-                new |= known.insert(Shape { size: vm.size, labels: vm.labels.clone() });
+                new |= known.insert(VmShape { size: vm.size, labels: vm.labels.clone() });
             }
         }
         new
@@ -78,41 +78,41 @@
 }
 
 /// Checks that each step of a job fits on some VM; passes if no VM of the service is known.
-pub fn possible(job: &Job, shapes: &Shapes) -> Result<()> {
-    let Some(known) = shapes.of.get(&job.service) else { return Ok(()) };
+pub fn check_fits(job: &Job, shapes: &VmShapes) -> Result<()> {
+    let Some(known) = shapes.by_service.get(&job.service) else { return Ok(()) };
     for (number, step) in job.steps.iter().enumerate() {
         let need = step.reserved_resources();
         let labelled =
-            |shape: &&Shape| step.label.as_ref().is_none_or(|label| shape.labels.contains(label));
+            |shape: &&VmShape| step.label.as_ref().is_none_or(|label| shape.labels.contains(label));
         if !known.iter().any(|shape| need.fits_in(&shape.size)) {
             let largest = known.iter().map(|shape| shape.size).max_by_key(|size| size.milli_cores);
             let (size, largest) = (step.size, largest.unwrap_or(Resources::ZERO));
-            return Err(Fault::TooLarge { step: number, size, largest });
+            return Err(JobError::TooLarge { step: number, size, largest });
         }
         if let Some(label) = &step.label
             && !known.iter().filter(labelled).any(|shape| need.fits_in(&shape.size))
         {
-            return Err(Fault::NoSuchLabel { step: number, label: label.to_string() });
+            return Err(JobError::NoSuchLabel { step: number, label: label.to_string() });
         }
     }
     Ok(())
 }
 
 /// Checks the limits and the step order of a job.
-pub fn form(job: &Job) -> Result<()> {
+pub fn check_limits(job: &Job) -> Result<()> {
     if job.steps.is_empty() {
-        return Err(Fault::NoSteps);
+        return Err(JobError::NoSteps);
     }
     if job.steps.len() > MAX_STEPS {
-        return Err(Fault::TooManySteps(job.steps.len()));
+        return Err(JobError::TooManySteps(job.steps.len()));
     }
     let tasks = job.steps.iter().map(|step| u64::from(step.tasks)).sum();
     if tasks > MAX_TASKS {
-        return Err(Fault::TooManyTasks(tasks));
+        return Err(JobError::TooManyTasks(tasks));
     }
     let occurrences = job.repeat.occurrences();
     if occurrences > MAX_OCCURRENCES {
-        return Err(Fault::TooManyOccurrences(occurrences));
+        return Err(JobError::TooManyOccurrences(occurrences));
     }
     check_steps(job)
 }
@@ -120,14 +120,14 @@
 fn check_steps(job: &Job) -> Result<()> {
     for (number, step) in job.steps.iter().enumerate() {
         if step.tasks == 0 {
-            return Err(Fault::NoTasks(number));
+            return Err(JobError::NoTasks(number));
         }
         for after in &step.after {
             if usize::from(*after) >= number {
-                return Err(Fault::NotEarlier { step: number, after: *after });
+                return Err(JobError::NotEarlier { step: number, after: *after });
             }
             if job.steps[usize::from(*after)].life == super::Life::Lasting {
-                return Err(Fault::WaitsForLasting(usize::from(*after)));
+                return Err(JobError::WaitsForLasting(usize::from(*after)));
             }
         }
     }
--- a/src/jobs/calls.rs
+++ b/src/jobs/calls.rs
@@ -11,7 +11,7 @@
 use super::records::{FindJob, JobLocation};
 use super::view::{JobDirectory, Owner, ShardView, View};
 use crate::clock::Clock;
-use crate::job::check::{self, Fault};
+use crate::job::check::{self, JobError};
 use crate::job::{Image, Job, JobId, JobState, Life, QueueName, Share};
 use crate::shard::{AdmissionMode, Answer, Summary};
 use actix::prelude::*;
@@ -129,8 +129,8 @@
 
     /// Submits a job.
     pub async fn submit(&self, job: Job, budget: Duration) -> Answer {
-        if let Err(fault) = check::possible(&job, &self.view().vm_shapes) {
-            return impossible_answer(&fault);
+        if let Err(error) = check::check_fits(&job, &self.view().vm_shapes) {
+            return impossible_answer(&error);
         }
         let deadline = self.clock.now() + budget;
         let mut refusals = Refusals::default();
@@ -351,11 +351,13 @@
 }
 
 /// The answer for a job that no VM can run. A missing label may appear with a new VM, so that
-/// fault can be retried.
-fn impossible_answer(fault: &Fault) -> Answer {
-    let reason = fault.to_string();
-    match fault {
-        Fault::NoSuchLabel { .. } => Answer::NotRun { reason, retry_after: RETRY_AFTER_NO_LABEL },
+/// error can be retried.
+fn impossible_answer(error: &JobError) -> Answer {
+    let reason = error.to_string();
+    match error {
+        JobError::NoSuchLabel { .. } => {
+            Answer::NotRun { reason, retry_after: RETRY_AFTER_NO_LABEL }
+        }
         _ => Answer::Impossible { reason },
     }
 }
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -29,7 +29,7 @@
 use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReach};
 use crate::ids::{DaemonId, Ticket};
 use crate::job::JobId;
-use crate::job::check::Shapes;
+use crate::job::check::VmShapes;
 use crate::journal::Journal;
 use crate::permit::{self, PermitReq};
 use crate::queues::Queues;
@@ -131,7 +131,7 @@
     /// Last error in reading the configuration since its last confirmation.
     config_error: Option<String>,
     fleet: Vec<VmEntry>,
-    vm_shapes: Arc<Shapes>,
+    vm_shapes: Arc<VmShapes>,
     plan: Plan,
     store_reach: StoreReach,
     store_lost_at: Option<Duration>,
--- a/src/jobs/view.rs
+++ b/src/jobs/view.rs
@@ -3,7 +3,7 @@
 use super::confirmed::ConfigConfirmation;
 use crate::cluster::Member;
 use crate::job::JobId;
-use crate::job::check::Shapes;
+use crate::job::check::VmShapes;
 use crate::queues::Queues;
 use crate::shard::Summary;
 use indexmap::IndexMap;
@@ -20,7 +20,7 @@
     pub shards: IndexMap<String, ShardView>,
     pub readiness: Readiness,
     /// Task sizes that the VMs can hold.
-    pub vm_shapes: Arc<Shapes>,
+    pub vm_shapes: Arc<VmShapes>,
 }
 
 /// Last known state of a shard.
