--- a/src/job/progress.rs
+++ b/src/job/progress.rs
@@ -28,15 +28,15 @@
 pub struct Progress {
     pub state: JobState,
     /// Shard that lent tasks of the job to this one; `None` in the shard that accepted it.
-    pub home: Option<String>,
+    pub lender: Option<String>,
     /// VMs that bindings refer to by index.
     pub vms: Vec<BoundVm>,
     /// Shards that loans refer to by index.
     pub shards: Vec<String>,
     /// Number of occurrences started so far.
-    pub begun: u32,
+    pub started_occurrences: u32,
     /// Occurrences that have started and not ended.
-    pub open: Vec<OccurrenceProgress>,
+    pub open_occurrences: Vec<OccurrenceProgress>,
     /// Tasks that VMs crashed under. Encoded after the rest of the record, and only if not empty,
     /// so that releases without this field can still decode the record.
     #[serde(skip)]
@@ -63,7 +63,7 @@
 
 impl Crashes {
     /// The maximum of each count.
-    pub fn most(self, other: Self) -> Self {
+    pub fn max(self, other: Self) -> Self {
         Self { all: self.all.max(other.all), sudden: self.sudden.max(other.sudden) }
     }
 }
--- a/src/job/progress/tests.rs
+++ b/src/job/progress/tests.rs
@@ -4,11 +4,11 @@
 fn progress() -> Progress {
     Progress {
         state: JobState::Running,
-        home: None,
+        lender: None,
         vms: Vec::new(),
         shards: Vec::new(),
-        begun: 1,
-        open: Vec::new(),
+        started_occurrences: 1,
+        open_occurrences: Vec::new(),
         crashes: Vec::new(),
     }
 }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -169,7 +169,7 @@
         }
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
-        let accepted = recovered.progress.iter().filter(|(_, p)| p.home.is_none());
+        let accepted = recovered.progress.iter().filter(|(_, p)| p.lender.is_none());
         let accepted_jobs: Vec<JobId> = accepted.map(|(id, _)| *id).collect();
         let shard = Shard::new(
             recovered,
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -196,11 +196,11 @@
     let task = TaskProgress { last_run: run, bound, ..TaskProgress::default() };
     let progress = Progress {
         state: JobState::Running,
-        home: None,
+        lender: None,
         vms: vec![BoundVm { id: VmId::new(VM), addr: Arc::from("127.0.0.1:1") }],
         shards: Vec::new(),
-        begun: 1,
-        open: vec![OccurrenceProgress { number: 0, steps: vec![vec![task]] }],
+        started_occurrences: 1,
+        open_occurrences: vec![OccurrenceProgress { number: 0, steps: vec![vec![task]] }],
         crashes: Vec::new(),
     };
     let StoreEvent::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -156,21 +156,21 @@
     /// Starts the occurrences of repeated jobs that are due.
     pub(super) fn start_due_occurrences(&mut self) {
         let now = self.now;
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for job in self.jobs.values_mut() {
-            let before = job.begun;
+            let before = job.started_occurrences;
             while !job.is_final() && is_due(job, now.wall) {
                 job.begin_occurrence();
                 job.advance(now.steady);
             }
-            if job.begun > before {
-                begun.push(job.id());
+            if job.started_occurrences > before {
+                started.push(job.id());
             }
         }
-        if !begun.is_empty() {
+        if !started.is_empty() {
             self.request_schedule();
         }
-        begun.into_iter().for_each(|id| self.log.mark_changed(id));
+        started.into_iter().for_each(|id| self.log.mark_changed(id));
     }
 
     /// Stops a run by a decision of the scheduler.
@@ -250,8 +250,8 @@
 /// Returns whether the next occurrence of a job is due.
 fn is_due(job: &JobRun, wall: Duration) -> bool {
     !job.is_borrowed()
-        && job.begun < job.job.repeat.occurrences()
-        && job.job.repeat.due(job.begun).is_none_or(|due| wall >= due)
+        && job.started_occurrences < job.job.repeat.occurrences()
+        && job.job.repeat.due(job.started_occurrences).is_none_or(|due| wall >= due)
 }
 
 /// Name of an end kind in log lines.
--- a/src/shard/job_run.rs
+++ b/src/shard/job_run.rs
@@ -25,10 +25,10 @@
     pub state: JobState,
     /// Last durable state, which is the one reported to callers.
     pub durable: Option<JobState>,
-    /// Number of occurrences begun so far.
-    pub begun: u32,
+    /// Number of occurrences started so far.
+    pub started_occurrences: u32,
     /// Occurrences that haven't ended, in order.
-    pub open: Vec<Occurrence>,
+    pub open_occurrences: Vec<Occurrence>,
     /// When the job was accepted, or became known here if it belongs to another shard.
     pub since: Duration,
     /// Effects to apply once the job's next commit is durable.
@@ -159,8 +159,8 @@
             lender: None,
             state: JobState::Queued,
             durable: None,
-            begun: 0,
-            open: Vec::new(),
+            started_occurrences: 0,
+            open_occurrences: Vec::new(),
             since: now,
             effects: Vec::new(),
             record: RecordState::New,
@@ -182,9 +182,13 @@
         let Some(progress) = progress else { return run };
         run.state = progress.state;
         run.durable = Some(progress.state);
-        run.begun = progress.begun;
-        run.lender = progress.home.as_deref().map(Arc::from);
-        run.open = progress.open.iter().map(|o| Occurrence::recovered(o, progress, now)).collect();
+        run.started_occurrences = progress.started_occurrences;
+        run.lender = progress.lender.as_deref().map(Arc::from);
+        run.open_occurrences = progress
+            .open_occurrences
+            .iter()
+            .map(|o| Occurrence::recovered(o, progress, now))
+            .collect();
         for row in &progress.crashes {
             if let Some(task) = run.task_mut(row.task(run.id())) {
                 task.crashes = row.crashes;
@@ -208,13 +212,13 @@
 
     /// All tasks of the open occurrences.
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
-        self.open.iter().flat_map(|o| o.steps.iter()).flat_map(|s| s.tasks.iter())
+        self.open_occurrences.iter().flat_map(|o| o.steps.iter()).flat_map(|s| s.tasks.iter())
     }
 
     /// All runs that are not known to have ended.
     pub fn placed_runs(&self) -> Vec<(TaskRef, PlacedRun)> {
         let mut placed_runs = Vec::new();
-        for occurrence in &self.open {
+        for occurrence in &self.open_occurrences {
             for (step, run) in occurrence.steps.iter().enumerate() {
                 for (index, task) in run.tasks.iter().enumerate() {
                     let task_ref = self.task_ref(occurrence.number, step, index);
@@ -237,7 +241,7 @@
 
     /// All tasks of the open occurrences, with their references.
     pub fn tasks_with_refs(&self) -> impl Iterator<Item = (TaskRef, &Task)> {
-        self.open.iter().flat_map(move |occurrence| {
+        self.open_occurrences.iter().flat_map(move |occurrence| {
             occurrence.steps.iter().enumerate().flat_map(move |(step, run)| {
                 run.tasks
                     .iter()
@@ -254,7 +258,7 @@
 
     /// Looks up a task; `None` if its occurrence has ended.
     pub fn task(&self, task: TaskRef) -> Option<&Task> {
-        let occurrence = self.open.iter().find(|o| o.number == task.occurrence)?;
+        let occurrence = self.open_occurrences.iter().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get(usize::from(task.step))?.tasks.get(task.index as usize)
     }
 
@@ -265,13 +269,13 @@
 
     /// The step run that a task belongs to; `None` if its occurrence has ended.
     pub fn step_run(&self, task: TaskRef) -> Option<&StepRun> {
-        let occurrence = self.open.iter().find(|o| o.number == task.occurrence)?;
+        let occurrence = self.open_occurrences.iter().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get(usize::from(task.step))
     }
 
     /// Mutable variant of [`Self::step_run`].
     pub fn step_run_mut(&mut self, task: TaskRef) -> Option<&mut StepRun> {
-        let occurrence = self.open.iter_mut().find(|o| o.number == task.occurrence)?;
+        let occurrence = self.open_occurrences.iter_mut().find(|o| o.number == task.occurrence)?;
         occurrence.steps.get_mut(usize::from(task.step))
     }
 
@@ -304,39 +308,51 @@
             permits: StepPermits::default(),
             proven: false,
         });
-        self.open.push(Occurrence { number: self.begun, steps: steps.collect() });
-        self.begun += 1;
+        self.open_occurrences
+            .push(Occurrence { number: self.started_occurrences, steps: steps.collect() });
+        self.started_occurrences += 1;
     }
 
     /// Marks the steps that may start, and drops finished occurrences without remaining runs.
     pub fn advance(&mut self, now: Duration) {
         if self.is_borrowed() {
             // The lending shard has already checked that the preceding steps succeeded.
-            let steps = self.open.iter_mut().flat_map(|occurrence| &mut occurrence.steps);
+            let steps =
+                self.open_occurrences.iter_mut().flat_map(|occurrence| &mut occurrence.steps);
             steps.for_each(|step| step.ready = step.ready.or(Some(now)));
             return;
         }
         let job = self.job.clone();
-        for occurrence in &mut self.open {
+        for occurrence in &mut self.open_occurrences {
             occurrence.mark_ready(&job, now);
         }
-        self.open.retain(|o| !o.is_finished());
+        self.open_occurrences.retain(|o| !o.is_finished());
     }
 
-    /// Whether every occurrence has begun and succeeded.
+    /// Whether every occurrence has started and succeeded.
     pub fn all_succeeded(&self) -> bool {
-        self.begun == self.job.repeat.occurrences() && self.open.iter().all(Occurrence::succeeded)
+        self.started_occurrences == self.job.repeat.occurrences()
+            && self.open_occurrences.iter().all(Occurrence::succeeded)
     }
 
     /// The progress record to store.
     pub fn progress(&self) -> Progress {
         let mut tables = Tables::default();
-        let open = self.open.iter().map(|o| o.progress(&mut tables)).collect();
-        let home = self.lender.as_deref().map(str::to_owned);
+        let open_occurrences =
+            self.open_occurrences.iter().map(|o| o.progress(&mut tables)).collect();
+        let lender = self.lender.as_deref().map(str::to_owned);
         let Tables { vms, shards } = tables;
         let crashed = self.tasks_with_refs().filter(|(_, task)| task.crashes != Crashes::default());
         let crashes = crashed.map(|(name, task)| CrashRow::new(name, task.crashes)).collect();
-        Progress { state: self.state, home, vms, shards, begun: self.begun, open, crashes }
+        Progress {
+            state: self.state,
+            lender,
+            vms,
+            shards,
+            started_occurrences: self.started_occurrences,
+            open_occurrences,
+            crashes,
+        }
     }
 }
 
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -256,7 +256,8 @@
     fn return_stuck_tasks(&mut self, id: JobId) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let tasks = job.open.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
+        let tasks =
+            job.open_occurrences.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
         let stuck = tasks.filter(|task| {
             let away = task.not_running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
             task.is_waiting() && away >= RETURN_TIMEOUT
@@ -363,7 +364,7 @@
             if back.checkpoint.is_some() {
                 task.checkpoint = back.checkpoint;
             }
-            task.crashes = task.crashes.most(back.crashes);
+            task.crashes = task.crashes.max(back.crashes);
             match back.result {
                 LoanOutcome::Succeeded => task.phase = TaskPhase::Succeeded,
                 LoanOutcome::Failed => failed = true,
@@ -577,8 +578,8 @@
 /// Adds a borrowed task to a job; returns false if the task is already present.
 fn add_borrowed_task(job: &mut JobRun, lent: LentTask, loan: u64, now: Duration) -> bool {
     let number = lent.task.occurrence;
-    if !job.open.iter().any(|occurrence| occurrence.number == number) {
-        job.open.push(placeholder_occurrence(&job.job, number, now));
+    if !job.open_occurrences.iter().any(|occurrence| occurrence.number == number) {
+        job.open_occurrences.push(placeholder_occurrence(&job.job, number, now));
     }
     let Some(task) = job.task_mut(lent.task) else { return false };
     if task.loan == loan {
--- a/src/shard/log.rs
+++ b/src/shard/log.rs
@@ -269,7 +269,7 @@
                 txn.deletes.push(self.keys.job(id));
             }
             record = RecordState::Closed;
-            job.open.clear();
+            job.open_occurrences.clear();
         }
         txn.puts.push(put(self.keys.progress(id), job.progress().encode()));
         let effects = std::mem::take(&mut job.effects);
--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -107,7 +107,7 @@
 /// Returns the tasks that can start.
 pub(super) fn waiting(job: &JobRun) -> Vec<TaskRef> {
     let mut waiting = Vec::new();
-    for occurrence in &job.open {
+    for occurrence in &job.open_occurrences {
         for (number, step) in occurrence.steps.iter().enumerate() {
             if step.ready.is_none() {
                 continue;
@@ -145,5 +145,5 @@
         }
         until.into_iter().max().unwrap_or_default()
     };
-    job.open.iter().map(left).max().unwrap_or_default()
+    job.open_occurrences.iter().map(left).max().unwrap_or_default()
 }
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -325,7 +325,7 @@
 /// Returns the tasks of steps whose predecessors are all running and expected to end soon.
 fn upcoming_steps(job: &JobRun, times: PermitTimes) -> Vec<Vec<TaskRef>> {
     let mut next = Vec::new();
-    for occurrence in &job.open {
+    for occurrence in &job.open_occurrences {
         for (number, (step, run)) in job.job.steps.iter().zip(&occurrence.steps).enumerate() {
             let ends_soon = |after: &u16| {
                 let before = usize::from(*after);
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -183,7 +183,7 @@
         // the current one. The list may have been read before the instance in the store came up,
         // and going by the list started work there a second time.
         for (id, progress) in progress {
-            if !self.jobs.contains_key(id) && progress.home.is_none() {
+            if !self.jobs.contains_key(id) && progress.lender.is_none() {
                 self.closed.insert(*id, ClosedJob { state: progress.state, since: now.steady });
             }
         }
--- a/src/shard/summary.rs
+++ b/src/shard/summary.rs
@@ -92,7 +92,7 @@
 /// Milli-cores that the long-running tasks of a job reserve in this shard.
 fn long_running_milli_cores(job: &super::JobRun) -> u64 {
     let mut cores = 0;
-    for occurrence in &job.open {
+    for occurrence in &job.open_occurrences {
         for (step, run) in job.job.steps.iter().zip(&occurrence.steps) {
             if step.life == Life::Lasting && step.share == Share::Reserved {
                 let here = |task: &&Task| task.phase == TaskPhase::Open && task.lent.is_none();
@@ -112,7 +112,7 @@
 
 fn remaining_work(job: &super::JobRun) -> RemainingWork {
     let mut left = RemainingWork { leftover: 0, waiting: 0 };
-    for occurrence in &job.open {
+    for occurrence in &job.open_occurrences {
         for (step, run) in job.job.steps.iter().zip(&occurrence.steps) {
             if step.life == Life::Lasting {
                 continue;
