--- a/src/bin/waxwing/commands/trace.rs
+++ b/src/bin/waxwing/commands/trace.rs
@@ -1,4 +1,4 @@
-//! A job's story, from logs.
+//! The `trace` command: prints the trace of a job from logs.
 
 use super::print;
 use crate::app::Context;
@@ -10,12 +10,12 @@
 use std::path::Path;
 use std::time::Duration;
 use waxwingstall::job::JobId;
-use waxwingstall::trace::{Gap, Story, Tracer};
+use waxwingstall::trace::{Gap, JobTrace, Tracer};
 
 /// Names the standard input.
 const STDIN: &str = "-";
 
-/// Tells the story of the job that the command line names.
+/// Prints the trace of the job named on the command line.
 pub fn run(cx: &mut Context<'_, '_>, args: &ArgMatches) -> Result<()> {
     let job = *args.get_one::<JobId>("job").ok_or_else(|| eyre!("no job was given"))?;
     let mut logs: Vec<&str> =
@@ -28,9 +28,9 @@
         read(&mut tracer, log)?;
     }
     let missing = || output::not_found(&format!("line about job {job} in the logs"));
-    let story = tracer.finish().ok_or_else(missing)?;
-    let text = lines(&story);
-    print(cx, &story, text)
+    let trace = tracer.finish().ok_or_else(missing)?;
+    let text = lines(&trace);
+    print(cx, &trace, text)
 }
 
 fn read(tracer: &mut Tracer, log: &str) -> Result<()> {
@@ -52,18 +52,18 @@
     Ok(())
 }
 
-fn lines(story: &Story) -> Vec<String> {
-    let first = story.entries.first().map_or(Duration::ZERO, |entry| entry.at);
-    let width = story.entries.iter().map(|entry| entry.source.len()).max().unwrap_or(0);
-    let mut text = vec![format!("job {}, lines: {}", story.job, story.entries.len())];
-    text.extend(story.shifts.iter().map(|shift| {
+fn lines(trace: &JobTrace) -> Vec<String> {
+    let first = trace.entries.first().map_or(Duration::ZERO, |entry| entry.at);
+    let width = trace.entries.iter().map(|entry| entry.source.len()).max().unwrap_or(0);
+    let mut text = vec![format!("job {}, lines: {}", trace.job, trace.entries.len())];
+    text.extend(trace.shifts.iter().map(|shift| {
         format!("clock of {}: behind, {} ms were added", shift.source, shift.added_ms)
     }));
-    text.extend(story.entries.iter().map(|entry| {
+    text.extend(trace.entries.iter().map(|entry| {
         let since = entry.at.saturating_sub(first).as_secs_f64();
         format!("{since:>9.3} s  {:width$}  {} {}", entry.source, entry.event, entry.text)
     }));
-    text.extend(story.gaps.iter().map(|gap| format!("not told: {}", gap_text(gap))));
+    text.extend(trace.gaps.iter().map(|gap| format!("not told: {}", gap_text(gap))));
     text
 }
 
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -23,7 +23,7 @@
 
 /// The trace of a job.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Story {
+pub struct JobTrace {
     #[serde(serialize_with = "as_text")]
     pub job: JobId,
     /// Log lines about the job and the VMs that it ran on, sorted by time.
@@ -124,7 +124,7 @@
     }
 
     /// Builds the trace, or returns `None` if no line is about the job.
-    pub fn finish(mut self) -> Option<Story> {
+    pub fn finish(mut self) -> Option<JobTrace> {
         let shifts = self.shifts();
         for entry in
             self.job_entries.iter_mut().chain(&mut self.vm_entries).chain(&mut self.dropped)
@@ -145,7 +145,7 @@
         let mut entries = self.job_entries;
         entries.extend(vm_entries);
         entries.sort_by_key(|entry| entry.at);
-        Some(Story { job: self.job, entries, shifts, gaps })
+        Some(JobTrace { job: self.job, entries, shifts, gaps })
     }
 
     /// Sources whose clocks must be shifted so that no effect precedes its cause.
@@ -156,8 +156,8 @@
             if cause.source == effect.source || cause.at <= effect.at {
                 continue;
             }
-            let least = added.entry(&effect.source).or_default();
-            *least = (*least).max(cause.at - effect.at);
+            let shift = added.entry(&effect.source).or_default();
+            *shift = (*shift).max(cause.at - effect.at);
         }
         let shift = |(source, added): (&str, Duration)| {
             let added_ms = u64::try_from(added.as_millis()).unwrap_or(u64::MAX);
@@ -232,6 +232,6 @@
 
 /// The run event that precedes this one.
 fn preceding_event(event: &str) -> Option<&'static str> {
-    let place = RUN_EVENTS.iter().position(|known| *known == event)?;
-    place.checked_sub(1).map(|before| RUN_EVENTS[before])
+    let index = RUN_EVENTS.iter().position(|known| *known == event)?;
+    index.checked_sub(1).map(|before| RUN_EVENTS[before])
 }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,7 +1,7 @@
 //! Tests of tracing a job through the logs of several daemons.
 
 use waxwingstall::job::JobId;
-use waxwingstall::trace::{Gap, Story, Tracer};
+use waxwingstall::trace::{Gap, JobTrace, Tracer};
 
 const JOB: &str = "5c0e7a21d94b36f8";
 
@@ -9,7 +9,7 @@
     JOB.parse().expect("a job id")
 }
 
-fn trace(logs: &[(&str, &str)]) -> Option<Story> {
+fn trace(logs: &[(&str, &str)]) -> Option<JobTrace> {
     let mut tracer = Tracer::new(job());
     for (source, log) in logs {
         log.lines().for_each(|line| tracer.read(source, line));
@@ -17,8 +17,8 @@
     tracer.finish()
 }
 
-fn events(story: &Story) -> Vec<(&str, &str)> {
-    story.entries.iter().map(|entry| (entry.source.as_str(), entry.event.as_str())).collect()
+fn events(job_trace: &JobTrace) -> Vec<(&str, &str)> {
+    job_trace.entries.iter().map(|entry| (entry.source.as_str(), entry.event.as_str())).collect()
 }
 
 const ACCEPTING_LOG: &str = "\
@@ -42,8 +42,8 @@
     let front = "\
 ts=2026-12-03T05:00:00.104Z event=call-answered job=5c0e7a21d94b36f8 call=submit outcome=accepted
 ";
-    let story =
-        trace(&[("next", next), ("taker", ACCEPTING_LOG), ("front", front)]).expect("a story");
+    let job_trace =
+        trace(&[("next", next), ("taker", ACCEPTING_LOG), ("front", front)]).expect("a trace");
     let expected = [
         ("taker", "job-accepted"),
         ("front", "call-answered"),
@@ -53,9 +53,9 @@
         ("next", "task-ended"),
         ("next", "job-ended"),
     ];
-    assert_eq!(events(&story), expected);
-    assert_eq!(story.shifts, []);
-    assert_eq!(story.gaps, []);
+    assert_eq!(events(&job_trace), expected);
+    assert_eq!(job_trace.shifts, []);
+    assert_eq!(job_trace.gaps, []);
 }
 
 // The clock of the daemon that took the job over is two seconds behind, so the end of a run appears
@@ -67,10 +67,10 @@
 ts=2026-12-03T04:59:58.180Z event=task-ended task=5c0e7a21d94b36f8.0.0.1 run=1 vm=i-7 how=succeeded
 ts=2026-12-03T04:59:58.200Z event=job-ended job=5c0e7a21d94b36f8 queue=builds state=done
 ";
-    let story = trace(&[("behind", behind), ("taker", ACCEPTING_LOG)]).expect("a story");
-    assert_eq!(events(&story).last(), Some(&("behind", "job-ended")));
+    let job_trace = trace(&[("behind", behind), ("taker", ACCEPTING_LOG)]).expect("a trace");
+    assert_eq!(events(&job_trace).last(), Some(&("behind", "job-ended")));
     let shifts: Vec<(&str, u64)> =
-        story.shifts.iter().map(|shift| (shift.source.as_str(), shift.added_ms)).collect();
+        job_trace.shifts.iter().map(|shift| (shift.source.as_str(), shift.added_ms)).collect();
     assert_eq!(shifts, [("behind", 2000)]);
 }
 
@@ -86,7 +86,7 @@
 ts=2026-12-03T05:00:05.000Z event=lines-dropped dropped=17 event_kind=task-started
 ts=2026-12-03T05:00:09.000Z event=task-ended task=5c0e7a21d94b36f8.0.0.1 run=1 vm=i-7 how=succeeded
 ";
-    let story = trace(&[("cut", cut), ("busy", busy)]).expect("a story");
+    let job_trace = trace(&[("cut", cut), ("busy", busy)]).expect("a trace");
     let dropped =
         Gap::Dropped { source: "busy".to_owned(), event: "task-started".to_owned(), lines: 17 };
     let missing = Gap::Missing {
@@ -99,7 +99,7 @@
         what: "it ends before the job's last entry".to_owned(),
     };
     for gap in [dropped, missing, partial] {
-        assert!(story.gaps.contains(&gap), "{gap:?} in {:?}", story.gaps);
+        assert!(job_trace.gaps.contains(&gap), "{gap:?} in {:?}", job_trace.gaps);
     }
 }
 
@@ -109,8 +109,8 @@
 fn prefixes_of_a_log_collector_name_the_source() {
     let merged: String =
         ACCEPTING_LOG.lines().map(|line| format!("  12.3 front-1 {line}\n")).collect();
-    let story = trace(&[("-", &merged)]).expect("a story");
-    assert_eq!(events(&story)[0], ("front-1", "job-accepted"));
+    let job_trace = trace(&[("-", &merged)]).expect("a trace");
+    assert_eq!(events(&job_trace)[0], ("front-1", "job-accepted"));
     let mut nothing = Tracer::new(JobId(2));
     merged.lines().for_each(|line| nothing.read("-", line));
     assert_eq!(nothing.finish(), None);
