--- a/src/jobs/orders.rs
+++ b/src/jobs/orders.rs
@@ -6,10 +6,10 @@
 use super::Platform;
 use super::control::{Control, ExternalCallResult};
 use crate::clock::Clock;
-use crate::permit::{self, PermitPort, PermitReq, PermitResp};
+use crate::permit::{self, PermitApi, PermitReq, PermitResp};
 use crate::ring::RING_CAPACITY;
 use crate::shard::{Action, Event};
-use crate::vm::{Fence, VmPort};
+use crate::vm::{Fence, VmApi};
 use actix::prelude::*;
 use std::sync::Arc;
 
@@ -68,15 +68,15 @@
 
     fn handle(&mut self, msg: RequestPermits, _: &mut Self::Context) -> Self::Result {
         let permits = self.permits.clone();
-        Box::pin(async move { permits.ask(&msg.0).await })
+        Box::pin(async move { permits.request_permits(&msg.0).await })
     }
 }
 
-async fn call_vm(vms: &impl VmPort, action: Action, clock: &dyn Clock) -> Option<Event> {
+async fn call_vm(vms: &impl VmApi, action: Action, clock: &dyn Clock) -> Option<Event> {
     match action {
         Action::Poll { vm, req } => {
             let sent = clock.now();
-            let result = vms.look(&vm, req).await;
+            let result = vms.poll(&vm, req).await;
             Some(Event::Polled { vm: vm.id, sent, result })
         }
         Action::Start { vm, req } => {
@@ -89,7 +89,7 @@
             Some(Event::Stopped { vm: vm.id, task: req.task, run: req.run, result })
         }
         Action::Pace { vm, req } => {
-            let result = vms.pace(&vm, req).await;
+            let result = vms.set_pace(&vm, req).await;
             let (task, run, percent) = (req.task, req.run, req.percent);
             Some(Event::Paced { vm: vm.id, task, run, percent, result })
         }
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -1,7 +1,7 @@
 //! Interface to an external service that decides on which VMs a step may run.
 //!
 //! The decision for a step and a VM never changes, but the permit that it comes with is valid for
-//! only a few seconds and only for the same incarnation of the VM. The service handles one request
+//! only a few seconds and only for the same instance of the VM. The service handles one request
 //! at a time from each daemon, and takes longer the more VMs the request names.
 
 use crate::ids::VmId;
@@ -60,11 +60,11 @@
 pub struct PermitResp {
     pub permits: Vec<(VmId, Permit)>,
     /// How long the permits are valid.
-    pub valid: Duration,
+    pub validity: Duration,
 }
 
 /// Client of the permit service.
-pub trait PermitPort {
+pub trait PermitApi {
     /// Requests permits for one step.
-    fn ask(&self, req: &PermitReq) -> impl Future<Output = Result<PermitResp>>;
+    fn request_permits(&self, req: &PermitReq) -> impl Future<Output = Result<PermitResp>>;
 }
--- a/src/shard/compact.rs
+++ b/src/shard/compact.rs
@@ -17,7 +17,7 @@
 use super::vm_run::RunKey;
 use crate::ids::{ServiceName, VmId};
 use crate::job::{Life, Share, Step, TaskRef};
-use crate::note::{Ms, Note};
+use crate::note::{Millis, Note};
 use crate::units::{MilliCores, Resources};
 use std::time::Duration;
 
@@ -118,7 +118,7 @@
                 continue;
             };
             let fits = |room: &&mut VmCapacity| {
-                room.vm == reserved.vm && room.takes(&step, reserved.task.of_step())
+                room.vm == reserved.vm && room.takes(&step, reserved.task.step_ref())
             };
             if let Some(room) = pass.rooms.iter_mut().find(fits) {
                 self.bind(reserved.task, &step, room);
@@ -164,7 +164,7 @@
             task,
             vm: plan.vm.clone(),
             milli_cores: step.size.milli_cores.0,
-            waited_ms: Ms(waited),
+            waited_ms: Millis(waited),
             moved: plan.moved.len(),
             moved_milli_cores: plan.milli_cores(),
         });
@@ -200,7 +200,7 @@
 
     /// Returns the plan that moves the fewest milli-cores.
     fn plan(&self, task: TaskRef, step: &Step, rooms: &[&VmCapacity]) -> Option<MovePlan> {
-        if rooms.iter().any(|room| room.fits_without_finite(step, task.of_step())) {
+        if rooms.iter().any(|room| room.fits_without_finite(step, task.step_ref())) {
             // Only short tasks are in the way, and they end soon.
             return None;
         }
@@ -211,7 +211,7 @@
             let movable = self.movable(room, step, most);
             plan_for_vm(
                 &room.vm,
-                step.reserved(),
+                step.reserved_resources(),
                 room.capacity_beside_long_running(),
                 &movable,
                 &free_by_vm,
@@ -233,7 +233,7 @@
                 && smaller
                 && step.max_away.is_none()
                 && self.permits_of(key.task).is_none();
-            moves.then(|| MovableTask { key: *key, size: step.reserved() })
+            moves.then(|| MovableTask { key: *key, size: step.reserved_resources() })
         };
         vm.runs.iter().filter_map(may_move).collect()
     }
@@ -246,8 +246,8 @@
         && step.label.is_none()
         && step.rack.is_none()
         && step.per_vm == 0
-        && !step.members.as_one()
-        && !step.members.one_rack()
+        && !step.grouping.is_gang()
+        && !step.grouping.prefers_one_rack()
 }
 
 /// Returns the plan that moves the fewest milli-cores off a VM so that a task of `size` fits there.
--- a/src/shard/finish.rs
+++ b/src/shard/finish.rs
@@ -5,8 +5,8 @@
 use super::vm_run::{PendingStart, RunKey, Stage};
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
-use crate::job::{Checkpoint, JobId, RunNumber, ShownState, TaskRef};
-use crate::note::{Ms, Note, Word};
+use crate::job::{Checkpoint, JobId, JobState, RunNumber, TaskRef};
+use crate::note::{Millis, Note, StaticText};
 use crate::vm::EndKind;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub(super) struct RunEnd {
     pub vm: VmId,
     pub key: RunKey,
-    pub how: EndKind,
+    pub outcome: EndKind,
     pub checkpoint: Option<Checkpoint>,
     /// Number of the entry in the VM's list of ended runs.
     pub number: u64,
@@ -25,13 +25,14 @@
     pub(super) fn handle_run_end(&mut self, end: RunEnd) {
         let run = self.vms.get_mut(&end.vm).and_then(|vm| vm.runs.shift_remove(&end.key));
         let ran = run.and_then(|run| run.running_since);
-        let ran_ms = Ms(ran.map_or_else(Default::default, |at| self.now.steady.saturating_sub(at)));
+        let ran_ms =
+            Millis(ran.map_or_else(Default::default, |at| self.now.steady.saturating_sub(at)));
         let RunKey { task, run } = end.key;
         self.note(Note::TaskEnded {
             task,
             run,
             vm: end.vm.clone(),
-            how: end_kind_name(end.how),
+            how: end_kind_name(end.outcome),
             ran_ms,
         });
         let now = self.now.steady;
@@ -48,7 +49,7 @@
         }
         job.effects.push(Effect::Forget { vm: end.vm.clone(), number: end.number });
         self.log.mark_changed(task.job);
-        match end.how {
+        match end.outcome {
             EndKind::Succeeded => self.task_succeeded(&end.vm, task),
             EndKind::Failed if !state.is_final() => self.task_failed(&end.vm, end.key, ran_ms),
             _ => {}
@@ -66,7 +67,7 @@
         if is_long_running(&step) {
             return;
         }
-        if step.members.as_one() {
+        if step.grouping.is_gang() {
             // The success of one member is the success of the group.
             if let Some(run) = job.step_run_mut(task) {
                 run.tasks.iter_mut().for_each(|task| task.phase = TaskPhase::Succeeded);
@@ -85,7 +86,7 @@
         }
     }
 
-    fn task_failed(&mut self, vm: &VmId, key: RunKey, ran_ms: Ms) {
+    fn task_failed(&mut self, vm: &VmId, key: RunKey, ran_ms: Millis) {
         let task = key.task;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let Some(step) = job.step(task).cloned() else { return };
@@ -95,7 +96,7 @@
         let earlier = known.failed_on.replace(vm.clone());
         let own = known.failed;
         let whole = job.step_run(task).map_or(0, super::job_run::StepRun::failed);
-        let failed = if step.members.as_one() { whole } else { own };
+        let failed = if step.grouping.is_gang() { whole } else { own };
         let (run, vm_id) = (key.run, vm.clone());
         self.note(Note::TaskFailed { task, run, vm: vm_id, failed, attempts, ran_ms });
         self.record_failure(vm, earlier.as_ref(), task);
@@ -137,7 +138,7 @@
 
     pub(super) fn fail_job(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.state = ShownState::Failed;
+            job.state = JobState::Failed;
         }
         self.stop_job(id, "the job has failed");
     }
@@ -148,7 +149,7 @@
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.is_final() && !job.is_borrowed() && job.all_succeeded() {
-            job.state = ShownState::Done;
+            job.state = JobState::Done;
         }
         job.advance(now);
     }
@@ -156,25 +157,25 @@
     /// Starts the occurrences of repeated jobs that are due.
     pub(super) fn start_due_occurrences(&mut self) {
         let now = self.now;
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for job in self.jobs.values_mut() {
-            let before = job.begun;
+            let before = job.started_occurrences;
             while !job.is_final() && is_due(job, now.wall) {
                 job.begin_occurrence();
                 job.advance(now.steady);
             }
-            if job.begun > before {
-                begun.push(job.id());
+            if job.started_occurrences > before {
+                started.push(job.id());
             }
         }
-        if !begun.is_empty() {
+        if !started.is_empty() {
             self.request_schedule();
         }
-        begun.into_iter().for_each(|id| self.log.mark_changed(id));
+        started.into_iter().for_each(|id| self.log.mark_changed(id));
     }
 
     /// Stops a run by a decision of the scheduler.
-    pub(super) fn stop_run(&mut self, vm: &VmId, key: RunKey, reason: Word) {
+    pub(super) fn stop_run(&mut self, vm: &VmId, key: RunKey, reason: StaticText) {
         let now = self.now.steady;
         let Some(run) = self.vms.get_mut(vm).and_then(|vm| vm.runs.get_mut(&key)) else {
             return;
@@ -214,16 +215,16 @@
     }
 
     /// Removes a run that is certain to have ended on its VM, although the end was never reported.
-    pub(super) fn remove_vanished_run(&mut self, vm: &VmId, key: RunKey, proof: Word) {
+    pub(super) fn remove_vanished_run(&mut self, vm: &VmId, key: RunKey, proof: StaticText) {
         let RunKey { task, run } = key;
-        let worked_ms = Ms(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.running_time(key)));
+        let worked_ms = Millis(self.vms.get(vm).map_or(Duration::ZERO, |vm| vm.running_time(key)));
         self.note(Note::TaskGone { task, run, vm: vm.clone(), worked_ms, proof });
         self.drop_run(vm, key);
     }
 
     /// Abandons the start of a run: drops the run if no start command can still be carried out by
     /// the VM, and otherwise stops it, which also prevents a delayed start.
-    pub(super) fn abandon_start(&mut self, vm: &VmId, key: RunKey, reason: Word) {
+    pub(super) fn abandon_start(&mut self, vm: &VmId, key: RunKey, reason: StaticText) {
         let Some(run) = self.vms.get(vm).and_then(|vm| vm.runs.get(&key)) else { return };
         if run.pending_start == PendingStart::No {
             return self.drop_run(vm, key);
@@ -235,8 +236,8 @@
     pub(super) fn mark_started(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.started = super::job_run::Started::Yes;
-        if job.state == ShownState::Queued {
-            job.state = ShownState::Running;
+        if job.state == JobState::Queued {
+            job.state = JobState::Running;
         }
     }
 
@@ -250,13 +251,13 @@
 /// Returns whether the next occurrence of a job is due.
 fn is_due(job: &JobRun, wall: Duration) -> bool {
     !job.is_borrowed()
-        && job.begun < job.job.repeat.occurrences()
-        && job.job.repeat.due(job.begun).is_none_or(|due| wall >= due)
+        && job.started_occurrences < job.job.repeat.occurrences()
+        && job.job.repeat.due(job.started_occurrences).is_none_or(|due| wall >= due)
 }
 
 /// Name of an end kind in log lines.
-fn end_kind_name(how: EndKind) -> Word {
-    match how {
+fn end_kind_name(outcome: EndKind) -> StaticText {
+    match outcome {
         EndKind::Succeeded => "succeeded",
         EndKind::Failed => "failed",
         EndKind::Stopped => "stopped",
--- a/src/shard/look.rs
+++ b/src/shard/look.rs
@@ -10,8 +10,8 @@
 use crate::ids::VmId;
 use crate::job::progress::TaskPhase;
 use crate::job::{Share, TaskRef};
-use crate::note::{Ms, Note, Word};
-use crate::vm::{self, EndKind, EndedRun, LookReq, LookResp, RunningTask, VmTime};
+use crate::note::{Millis, Note, StaticText};
+use crate::vm::{self, EndKind, EndedRun, PollReq, PollResp, RunningTask, VmTime};
 use indexmap::IndexSet;
 use std::time::Duration;
 
@@ -35,9 +35,9 @@
                 vm.record_extension(now, keep);
             }
             let keep_until = keep_until.map(|clock| VmTime(clock.0 + keep));
-            let (forget, wait) = (vm.ended_runs.forget(), vm.poll_wait());
+            let (ack_up_to, wait) = (vm.ended_runs.ack_up_to(), vm.poll_wait());
             vm.contact.poll = PollState::InFlight;
-            let req = LookReq { fence, forget, keep_until, wait };
+            let req = PollReq { fence, ack_up_to, keep_until, wait };
             self.actions.push(Action::Poll { vm: vm.addr(), req });
         }
     }
@@ -46,7 +46,7 @@
         &mut self,
         id: &VmId,
         sent: Duration,
-        result: vm::Result<LookResp>,
+        result: vm::Result<PollResp>,
     ) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get_mut(id) else { return };
@@ -61,7 +61,7 @@
                     std::mem::replace(&mut vm.contact.responsiveness, Responsiveness::Responsive);
                 let met = before.is_none() || was != Responsiveness::Responsive;
                 if let Responsiveness::SilentSince(since) = was {
-                    let (runs, silent_ms) = (vm.runs.len(), Ms(now.saturating_sub(since)));
+                    let (runs, silent_ms) = (vm.runs.len(), Millis(now.saturating_sub(since)));
                     self.note(Note::VmHeard { vm: id.clone(), silent_ms, runs });
                 } else if before.is_none() {
                     let size = vm.entry.size;
@@ -80,7 +80,9 @@
                     }
                 }
             }
-            Err(vm::Error::OtherLife) => self.remove_vm_instance(id, "another life at its address"),
+            Err(vm::Error::InstanceChanged) => {
+                self.remove_vm_instance(id, "another life at its address")
+            }
             Err(vm::Error::Fenced) => {
                 vm.contact.next_poll = now + POLL_RETRY_DELAY;
                 self.handle_fenced(id);
@@ -102,7 +104,7 @@
         vm.contact.failing_since.get_or_insert(now);
         vm.schedule_poll(now);
         let last = vm.contact.last_successful_poll.unwrap_or(now);
-        let silent_ms = Ms(now.saturating_sub(last));
+        let silent_ms = Millis(now.saturating_sub(last));
         if vm.contact.responsiveness == Responsiveness::Responsive && silent_ms.0 >= SILENCE_TIMEOUT
         {
             vm.contact.responsiveness = Responsiveness::SilentSince(last);
@@ -111,7 +113,7 @@
         }
     }
 
-    fn apply_poll_response(&mut self, id: &VmId, sent: Duration, resp: LookResp) {
+    fn apply_poll_response(&mut self, id: &VmId, sent: Duration, resp: PollResp) {
         let complete = resp.ended.len() < MAX_LISTED_ENDS;
         let mut seen = IndexSet::new();
         for row in &resp.running {
@@ -143,7 +145,7 @@
                 (run.share == Share::Leftover).then(beside)
             })
             .collect();
-        for row in running.iter().filter(|row| row.percent == 100 && row.gauge > 0) {
+        for row in running.iter().filter(|row| row.percent == 100 && row.measurement > 0) {
             let image = self.image(row.task);
             let Some(job) = self.jobs.get_mut(&row.task.job) else { continue };
             let Some(target) = job.step(row.task).and_then(|step| step.tail_target) else {
@@ -177,7 +179,7 @@
         run.running_since.get_or_insert(now);
         let worked = run.running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         run.percent = row.percent;
-        run.gauge = row.gauge;
+        run.measurement = row.measurement;
         self.mark_started(row.task.job);
         self.reset_crash_counts(key, worked);
         let Some(job) = self.jobs.get_mut(&row.task.job) else { return };
@@ -204,12 +206,12 @@
         let Some(vm) = self.vms.get_mut(id) else { return };
         // The size of an unknown task is unknown too, so the whole VM counts as reserved until the
         // run has ended.
-        let size = step.map_or(vm.entry.size, |step| step.reserved());
+        let size = step.map_or(vm.entry.size, |step| step.reserved_resources());
         let share = step.map_or(Share::Reserved, |step| step.share);
         let mut run = Run::binding(size, 0, share, now);
         run.stage = Stage::Stopping { next_send: Some(now), answered: None };
         vm.runs.insert(key, run);
-        let reason: Word = "run is not bound to this VM";
+        let reason: StaticText = "run is not bound to this VM";
         let RunKey { task, run } = key;
         self.note(Note::TaskStopping { task, run, vm: id.clone(), reason });
     }
@@ -217,7 +219,7 @@
     fn update_ended(&mut self, id: &VmId, row: EndedRun) {
         if !self.has_queues() {
             // Without the queues, the consequences aren't known. The VM repeats the result until it
-            // is told to forget it.
+            // is told to discard it.
             return;
         }
         let key = RunKey { task: row.task, run: row.run };
@@ -227,9 +229,9 @@
             return;
         }
         let (bound, number) = (vm.runs.contains_key(&key), row.number);
-        if bound || (row.how == EndKind::Succeeded && known) {
-            let (vm, how, checkpoint) = (id.clone(), row.how, row.checkpoint);
-            self.handle_run_end(RunEnd { vm, key, how, checkpoint, number });
+        if bound || (row.outcome == EndKind::Succeeded && known) {
+            let (vm, outcome, checkpoint) = (id.clone(), row.outcome, row.checkpoint);
+            self.handle_run_end(RunEnd { vm, key, outcome, checkpoint, number });
         } else {
             vm.ended_runs.mark_durable(number);
         }
@@ -274,7 +276,7 @@
     }
 
     /// Removes all runs of a VM that is known to run nothing any more.
-    pub(super) fn remove_all_runs(&mut self, id: &VmId, proof: Word) {
+    pub(super) fn remove_all_runs(&mut self, id: &VmId, proof: StaticText) {
         let Some(vm) = self.vms.get(id) else { return };
         let keys: Vec<RunKey> = vm.runs.keys().copied().collect();
         for key in keys {
@@ -286,7 +288,7 @@
 /// What a run's absence from a VM's list implies.
 enum Absence {
     /// The run isn't running and never will be.
-    Proven(Word),
+    Proven(StaticText),
     /// The run should be listed.
     Unexpected,
 }
--- a/src/shard/order.rs
+++ b/src/shard/order.rs
@@ -94,7 +94,7 @@
     /// Returns the time after a job's acceptance by which it should be finished.
     pub(super) fn target_duration(&self, job: &JobRun) -> Duration {
         let (stretch, latency) =
-            self.queue(job).map_or((2.0, Duration::ZERO), |q| (q.stretch, q.latency));
+            self.queue(job).map_or((2.0, Duration::ZERO), |q| (q.target_stretch, q.target_latency));
         critical_path(job).mul_f64(stretch.max(0.0)) + latency
     }
 }
@@ -107,13 +107,13 @@
 /// Returns the tasks that can start.
 pub(super) fn waiting(job: &JobRun) -> Vec<TaskRef> {
     let mut waiting = Vec::new();
-    for occurrence in &job.open {
+    for occurrence in &job.open_occurrences {
         for (number, step) in occurrence.steps.iter().enumerate() {
             if step.ready.is_none() {
                 continue;
             }
-            let as_one = job.job.steps.get(number).is_some_and(|step| step.members.as_one());
-            let free = |index: &usize| as_one || !step.is_held_back(*index);
+            let is_gang = job.job.steps.get(number).is_some_and(|step| step.grouping.is_gang());
+            let free = |index: &usize| is_gang || !step.is_held_back(*index);
             let tasks = step.tasks.iter().enumerate().filter(|(_, task)| task.is_waiting());
             let free = tasks.map(|(index, _)| index).filter(free);
             waiting.extend(free.map(|index| job.task_ref(occurrence.number, number, index)));
@@ -145,5 +145,5 @@
         }
         until.into_iter().max().unwrap_or_default()
     };
-    job.open.iter().map(left).max().unwrap_or_default()
+    job.open_occurrences.iter().map(left).max().unwrap_or_default()
 }
--- a/src/shard/permits.rs
+++ b/src/shard/permits.rs
@@ -14,7 +14,7 @@
 use super::room::VmCapacity;
 use crate::ids::VmId;
 use crate::job::{QueueName, Step, StepRef, TaskRef};
-use crate::note::{Ms, Note};
+use crate::note::{Millis, Note};
 use crate::permit::{Error, MAX_VMS_PER_REQUEST, Permit, PermitReq, PermitResp, Result};
 use crate::queues::PermitTimes;
 use indexmap::IndexMap;
@@ -153,7 +153,7 @@
         let mut fitting = self
             .vms
             .values()
-            .filter(|vm| vm.takes_work(now) && step.reserved().fits_in(&vm.free()));
+            .filter(|vm| vm.takes_work(now) && step.reserved_resources().fits_in(&vm.free()));
         fitting.all(|vm| permits.is_denied(&vm.id))
     }
 
@@ -168,7 +168,7 @@
             else {
                 continue;
             };
-            for group in candidate.tasks.chunk_by(|a, b| a.of_step() == b.of_step()) {
+            for group in candidate.tasks.chunk_by(|a, b| a.step_ref() == b.step_ref()) {
                 if !self.permit_requests.may_send_request() {
                     return;
                 }
@@ -212,7 +212,7 @@
             return;
         }
         let grant_rate = self.permit_requests.grant_rate(&job.job.queue);
-        let affordable = times.base_time.as_micros() / times.each_vm.as_micros().max(1);
+        let affordable = times.base_time.as_micros() / times.time_per_vm.as_micros().max(1);
         let extra = usize::try_from(affordable).unwrap_or(MAX_VMS_PER_REQUEST)
             / EXTRA_TIME_DIVISOR as usize;
         let min_vms = extra.clamp(MIN_VMS_PER_REQUEST, MAX_VMS_PER_REQUEST);
@@ -221,8 +221,9 @@
         if vms.is_empty() {
             return;
         }
-        let step = group[0].of_step();
-        let time = times.base_time + times.each_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
+        let step = group[0].step_ref();
+        let time =
+            times.base_time + times.time_per_vm * u32::try_from(vms.len()).unwrap_or(u32::MAX);
         let timeout = time * TIMEOUT_FACTOR + TIMEOUT_MARGIN;
         if let Some(run) = self.step_run_mut(step) {
             run.permits.request = RequestState::InFlight;
@@ -296,7 +297,7 @@
         for vm in vms {
             run.permits.verdicts.insert(vm.clone(), Verdict::Denied);
         }
-        let until = sent + resp.valid;
+        let until = sent + resp.validity;
         let permitted = resp.permits.len();
         for (vm, permit) in resp.permits {
             run.permits.verdicts.insert(vm, Verdict::Permitted { permit, until });
@@ -304,7 +305,7 @@
         if let Some(queue) = queue {
             self.permit_requests.record_verdicts(queue, vms.len(), permitted);
         }
-        let took_ms = Ms(now.saturating_sub(sent));
+        let took_ms = Millis(now.saturating_sub(sent));
         let (job, step, asked) = (step.job, step.step, vms.len());
         self.note(Note::StepPermitted { job, step, asked, permitted, took_ms });
     }
@@ -324,13 +325,13 @@
 /// Returns the tasks of steps whose predecessors are all running and expected to end soon.
 fn upcoming_steps(job: &JobRun, times: PermitTimes) -> Vec<Vec<TaskRef>> {
     let mut next = Vec::new();
-    for occurrence in &job.open {
+    for occurrence in &job.open_occurrences {
         for (number, (step, run)) in job.job.steps.iter().zip(&occurrence.steps).enumerate() {
             let ends_soon = |after: &u16| {
                 let before = usize::from(*after);
                 let estimate = job.job.steps[before].estimate;
                 let runs = &occurrence.steps[before].tasks;
-                estimate < times.valid / 2 && runs.iter().all(|task| !task.is_waiting())
+                estimate < times.validity / 2 && runs.iter().all(|task| !task.is_waiting())
             };
             if run.ready.is_none() && step.after.iter().all(ends_soon) {
                 let tasks = 0..run.tasks.len();
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -10,7 +10,7 @@
 use crate::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use crate::job::progress::Progress;
 use crate::job::{Job, JobId};
-use crate::note::{Ms, Note};
+use crate::note::{Millis, Note};
 use crate::queues::Queues;
 use crate::units::Resources;
 use crate::vm::{Fence, VmEntry, VmState};
@@ -153,7 +153,7 @@
         self.apply_lapses(&lapses);
         for lapse in lapses {
             let Some(vm) = self.vms.get(&lapse.vm) else { continue };
-            let (runs, left_ms) = (vm.runs.len(), Ms(lapse.left));
+            let (runs, left_ms) = (vm.runs.len(), Millis(lapse.left));
             self.note(Note::VmLapseTold { vm: lapse.vm, left_ms, runs });
         }
     }
@@ -183,7 +183,7 @@
         // the current one. The list may have been read before the instance in the store came up,
         // and going by the list started work there a second time.
         for (id, progress) in progress {
-            if !self.jobs.contains_key(id) && progress.home.is_none() {
+            if !self.jobs.contains_key(id) && progress.lender.is_none() {
                 self.closed.insert(*id, ClosedJob { state: progress.state, since: now.steady });
             }
         }
@@ -194,7 +194,8 @@
         let Some(job) = self.jobs.get(&id) else { return };
         for (task, placed) in job.placed_runs() {
             let Some(step) = job.step(task) else { continue };
-            let mut run = Run::binding(step.reserved(), step.size.milli_cores.0, step.share, now);
+            let mut run =
+                Run::binding(step.reserved_resources(), step.size.milli_cores.0, step.share, now);
             run.stage = Stage::Recovered;
             let service = &job.job.service;
             let vm = self
--- a/src/shard/waiting.rs
+++ b/src/shard/waiting.rs
@@ -6,7 +6,7 @@
 use super::room::VmCapacity;
 use super::vm_run::Vm;
 use crate::job::{Life, Share, Step, TaskRef};
-use crate::note::{Ms, Note};
+use crate::note::{Millis, Note};
 use crate::units::Resources;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
         self.note(Note::LastingWaits {
             shard: self.name.clone(),
             tasks: tally.tasks,
-            oldest_ms: Ms(tally.oldest),
+            oldest_ms: Millis(tally.oldest),
             fit_here: tally.fit_here,
             fit_elsewhere: tally.fit_elsewhere,
             fit_later: tally.fit_later,
@@ -86,10 +86,10 @@
         tally.least_mib = Some(least.min(step.size.memory_mib.0));
         tally.max_milli_cores = tally.max_milli_cores.max(step.size.milli_cores.0);
         let here = |room: &VmCapacity| {
-            !room.is_reserved && room.takes(step, task.of_step()) && self.has_label(&room.vm, step)
+            !room.is_reserved && room.takes(step, task.step_ref()) && self.has_label(&room.vm, step)
         };
         let later = |room: &VmCapacity| {
-            room.fits_without_finite(step, task.of_step()) && self.has_label(&room.vm, step)
+            room.fits_without_finite(step, task.step_ref()) && self.has_label(&room.vm, step)
         };
         if rooms.iter().any(here) {
             tally.fit_here += 1;
--- a/src/vm.rs
+++ b/src/vm.rs
@@ -1,10 +1,10 @@
 //! Interface to the VMs that run jobs' tasks.
 //!
 //! A VM runs the tasks it is told to start until their lease (`keep_until`) expires. Each poll of
-//! the VM ([`VmPort::look`]) extends that lease and returns the tasks that run and the runs that
+//! the VM ([`VmApi::poll`]) extends that lease and returns the tasks that run and the runs that
 //! have ended. The VM remembers the highest fencing token it has seen and rejects lower ones.
 //!
-//! A [`VmId`] names one incarnation of a VM: after a restart the VM has a new id and no state.
+//! A [`VmId`] identifies one instance of a VM: after a restart the VM has a new id and no state.
 
 use crate::ids::{DomainId, RackId, ServiceName, VmId};
 use crate::job::{Checkpoint, Label, RunNumber, TaskRef};
@@ -63,22 +63,22 @@
     #[error(
         "the run is older than one that already ended on the VM; start it with a higher number"
     )]
-    OldRun,
+    StaleRun,
     /// `keep_until` is in the past on the VM's clock.
     #[error(
         "the order arrived after its lease time had expired; poll the VM's clock and send it again"
     )]
-    TooLate,
+    LeaseExpired,
     #[error("the VM has no room for the task; poll the VM to update its list of runs")]
     NoRoom,
     #[error("the step's permit for this VM has expired; request another")]
     NoPermit,
-    /// The VM has restarted; nothing from its previous incarnation runs.
+    /// The VM has restarted; nothing from its previous instance runs.
     #[error("the VM has restarted under another id; place its work again")]
-    OtherLife,
+    InstanceChanged,
     /// The VM refused the call without any effect and is unhealthy.
     #[error("the VM refused ({status}); place the work elsewhere")]
-    Unwell { status: u16 },
+    Unavailable { status: u16 },
     /// The call can never succeed as it is.
     #[error("the VM rejected the call as malformed ({status}); this is a bug in the scheduler")]
     Malformed { status: u16 },
@@ -92,10 +92,10 @@
 
 /// Extends the lease of a VM's runs and requests its status.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LookReq {
+pub struct PollReq {
     pub fence: Fence,
     /// Ended runs up to this number are durable; the VM may discard them.
-    pub forget: u64,
+    pub ack_up_to: u64,
     /// New lease time of all runs on the VM; `None` leaves it unchanged.
     pub keep_until: Option<VmTime>,
     /// How long the VM may delay its answer until a run ends.
@@ -104,10 +104,10 @@
 
 /// Status of a VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LookResp {
+pub struct PollResp {
     pub clock: VmTime,
     pub running: Vec<RunningTask>,
-    /// Ended runs in order of their numbers, repeated until acknowledged by [`LookReq::forget`].
+    /// Ended runs in order of their numbers, repeated until acknowledged by [`PollReq::ack_up_to`].
     pub ended: Vec<EndedRun>,
 }
 
@@ -121,29 +121,29 @@
     pub percent: u8,
     /// Approximate measurement over the last half second; its unit depends on the task, see
     /// [`RunningTask::tail`] and [`RunningTask::milli_cores`].
-    pub gauge: u32,
+    pub measurement: u32,
 }
 
 impl RunningTask {
     /// Tail response time, for a task with a tail target.
     pub fn tail(&self) -> Duration {
-        Duration::from_millis(u64::from(self.gauge))
+        Duration::from_millis(u64::from(self.measurement))
     }
 
     /// CPU in use, in thousandths of a core, for a task without a tail target.
     pub fn milli_cores(&self) -> u32 {
-        self.gauge
+        self.measurement
     }
 }
 
 /// An ended run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRun {
-    /// Sequence number of the end, increasing within one incarnation of the VM.
+    /// Sequence number of the end, increasing within one instance of the VM.
     pub number: u64,
     pub task: TaskRef,
     pub run: RunNumber,
-    pub how: EndKind,
+    pub outcome: EndKind,
     pub checkpoint: Option<Checkpoint>,
 }
 
@@ -203,9 +203,9 @@
 }
 
 /// Calls to VMs.
-pub trait VmPort {
+pub trait VmApi {
     /// Extends the lease of the VM's runs and returns its status.
-    fn look(&self, vm: &VmAddr, req: LookReq) -> impl Future<Output = Result<LookResp>>;
+    fn poll(&self, vm: &VmAddr, req: PollReq) -> impl Future<Output = Result<PollResp>>;
 
     /// Starts a run; succeeds if the run has already started.
     fn start(&self, vm: &VmAddr, req: StartReq) -> impl Future<Output = Result<VmTime>>;
@@ -214,5 +214,5 @@
     fn stop(&self, vm: &VmAddr, req: RunReq) -> impl Future<Output = Result<VmTime>>;
 
     /// Changes the speed limit of a run.
-    fn pace(&self, vm: &VmAddr, req: PaceReq) -> impl Future<Output = Result<VmTime>>;
+    fn set_pace(&self, vm: &VmAddr, req: PaceReq) -> impl Future<Output = Result<VmTime>>;
 }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -43,8 +43,8 @@
 /// Response times and permit lifetime of the permit service.
 const PERMIT_TIMES: PermitTimes = PermitTimes {
     base_time: Duration::from_millis(20),
-    each_vm: Duration::from_millis(2),
-    valid: Duration::from_secs(3),
+    time_per_vm: Duration::from_millis(2),
+    validity: Duration::from_secs(3),
 };
 /// Wall-clock time at the start of the simulation.
 const EPOCH: Duration = Duration::from_secs(1_700_000_000);
@@ -313,7 +313,7 @@
                 let there = self.vms[index].table.runs(self.now);
                 self.crash_vm(index, CRASH_DOWNTIME);
                 self.vms[index].refuses = true;
-                there.iter().for_each(|(task, ..)| self.end_group(task.of_step()));
+                there.iter().for_each(|(task, ..)| self.end_group(task.step_ref()));
             }
         }
     }
@@ -625,7 +625,7 @@
     fn trace(&self, number: u64, name: &str, note: &Note) {
         if self.traced {
             let mut line = String::new();
-            note.push_pairs(&mut line);
+            note.write_fields(&mut line);
             println!("{:?} {name}#{number} {}{line}", self.now, note.kind().event);
         }
     }
@@ -633,7 +633,8 @@
     fn request_permits(&mut self, number: u64, req: &PermitReq) {
         let (sent, step, vms) = (self.now, req.step, req.vms.clone());
         let named = u32::try_from(vms.len()).expect("a hundred at the most");
-        let mut after = 2 * NETWORK_DELAY + PERMIT_TIMES.base_time + PERMIT_TIMES.each_vm * named;
+        let mut after =
+            2 * NETWORK_DELAY + PERMIT_TIMES.base_time + PERMIT_TIMES.time_per_vm * named;
         let result = match self.faults.message_outcome(sent) {
             Outcome::Delivered => {
                 let table = self.permits.as_mut().expect("permits are requested only if required");
@@ -690,18 +691,18 @@
             return Err(VmError::NoAnswer { reason: "cut".to_owned() });
         }
         if vm.entry.id != addr.id {
-            return Err(VmError::OtherLife);
+            return Err(VmError::InstanceChanged);
         }
         if let (Action::Start { req, .. }, Some(permits)) = (action, &mut self.permits)
-            && !permits.check(now, req.task.of_step(), &addr.id, req.permit.as_ref())
+            && !permits.check(now, req.task.step_ref(), &addr.id, req.permit.as_ref())
         {
             return Err(VmError::NoPermit);
         }
         match action {
-            Action::Poll { req, .. } => vm.table.look(now, req).map(VmResponse::Polled),
+            Action::Poll { req, .. } => vm.table.poll(now, req).map(VmResponse::Polled),
             Action::Start { req, .. } => vm.table.start(now, req).map(VmResponse::Clock),
             Action::Stop { req, .. } => vm.table.stop(now, req).map(VmResponse::Clock),
-            Action::Pace { req, .. } => vm.table.pace(now, req).map(VmResponse::Clock),
+            Action::Pace { req, .. } => vm.table.set_pace(now, req).map(VmResponse::Clock),
             _ => Err(VmError::Malformed { status: 400 }),
         }
     }
@@ -754,7 +755,7 @@
 }
 
 enum VmResponse {
-    Polled(waxwingstall::vm::LookResp),
+    Polled(waxwingstall::vm::PollResp),
     Clock(waxwingstall::vm::VmTime),
 }
 
@@ -825,8 +826,8 @@
         service: ServiceName::new(SERVICE),
         priority: 0,
         attempts: 3,
-        stretch: 2.0,
-        latency: Duration::from_secs(1),
+        target_stretch: 2.0,
+        target_latency: Duration::from_secs(1),
         timeout: Duration::from_secs(3),
         permits: None,
     };
