--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -31,7 +31,7 @@
 use crate::worker::UsageReport;
 use eviction::Budget;
 use fit::Sizes;
-use hold::Holds;
+use hold::Reservations;
 use index::Fleet;
 use indexmap::{IndexMap, IndexSet};
 use interference::Interference;
@@ -70,7 +70,7 @@
     ladders: IndexMap<VmId, Ladder>,
     blame: Blame,
     budget: Budget,
-    holds: Holds,
+    reservations: Reservations,
     plans: Plans,
     asked: IndexMap<VmId, Asked>,
     /// Processors in use for each committed one, smoothed over all reports.
@@ -200,7 +200,7 @@
             ladders: IndexMap::new(),
             blame: Blame::default(),
             budget: Budget::default(),
-            holds: Holds::default(),
+            reservations: Reservations::default(),
             plans: Plans::default(),
             asked: IndexMap::new(),
             use_ratio: 1.0,
@@ -370,7 +370,7 @@
     ) {
         match choice {
             Choice::Place { vm } => {
-                self.holds.release(candidate.task);
+                self.reservations.release(candidate.task);
                 self.plans.forget(candidate.task);
                 if inputs.offers.iter().any(|offer| offer.vm == *vm && offer.probe) {
                     self.blame.probed(vm, now);
@@ -379,7 +379,7 @@
                     self.blame.retried(&candidate.spec.class, now);
                 }
             }
-            Choice::Never { .. } => self.holds.release(candidate.task),
+            Choice::Never { .. } => self.reservations.release(candidate.task),
             Choice::Wait { .. } => {}
         }
     }
--- a/src/core/policy/health.rs
+++ b/src/core/policy/health.rs
@@ -1,4 +1,4 @@
-//! Whether a VM takes new work, from its failures and its place on the ladder.
+//! Decides whether a VM accepts new work, from its failures and its escalation level.
 
 use super::Relief;
 use super::ladder::{self, Rung};
@@ -7,23 +7,23 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What the health of a VM is decided from.
+/// Inputs of a VM health decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inputs {
     pub at: Duration,
     pub vm: VmId,
     pub present: VmHealth,
-    /// Failures blamed on the VM, fading, in parts.
+    /// Decaying count of failures attributed to the VM, in ppm.
     pub blame: i64,
     /// Time since the quarantine began.
     pub quarantined_for: Option<Duration>,
     pub rung: Rung,
-    /// The step that led to this rung.
+    /// Inputs of the last step that changed the VM's health.
     pub ladder: Option<ladder::Inputs>,
 }
 
 impl Inputs {
-    /// The change that follows from the inputs, if one is due.
+    /// Returns the change of health that the inputs call for, if any.
     pub fn decide(&self) -> Option<Relief> {
         let health = self.health();
         let due = self.present != VmHealth::Leaving && self.present != health;
--- a/src/core/policy/hold.rs
+++ b/src/core/policy/hold.rs
@@ -1,8 +1,8 @@
-//! VMs kept for one task until it fits.
+//! Reservations: VMs that accept no other work until a particular task fits.
 //!
-//! A large task is starved when each processor that becomes free goes to a small one. After a while
-//! one VM takes nothing new until the task fits there. Few VMs are held at a time, and none for
-//! long, so that the cost of it is bounded.
+//! A large task starves when small tasks take every core as it becomes free. Once it has waited
+//! long enough, one VM is reserved and drains until the task fits. The number and duration of
+//! reservations are limited to bound the capacity that they leave idle.
 
 use super::Candidate;
 use super::index::{Fleet, Vm, allowed};
@@ -12,86 +12,95 @@
 use crate::units::Resources;
 use std::time::Duration;
 
-/// Wait after which a VM is held for a large task.
-pub const HOLD_AFTER: Duration = Duration::from_secs(30);
+/// Time a large task waits before a VM is reserved for it.
+pub const RESERVE_AFTER: Duration = Duration::from_secs(30);
 
-/// Longest hold for a large task.
-const HOLD_FOR: Duration = Duration::from_secs(900);
+/// Longest reservation for a large task.
+const MAX_RESERVATION: Duration = Duration::from_secs(900);
 
-/// Longest hold for an urgent task while others are evicted for it.
-pub const HOLD_FOR_URGENT: Duration = Duration::from_secs(20);
+/// Longest reservation for an urgent task while other tasks are evicted for it.
+pub const MAX_URGENT_RESERVATION: Duration = Duration::from_secs(20);
 
-/// A hold whose task was not asked for this long ends: the task was cancelled or placed elsewhere.
-const ASKED_WITHIN: Duration = Duration::from_secs(60);
+/// A reservation ends if no placement of its task is attempted for this long, because the task was
+/// cancelled or placed elsewhere.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One VM in so many is held at a time, but at least one.
-const VMS_FOR_EACH_HOLD: usize = 32;
+/// Number of VMs for each concurrent reservation; at least one reservation is always allowed.
+const VMS_PER_RESERVATION: usize = 32;
 
-/// A task is large if it needs more than this part of a VM.
+/// A task is large if it needs more than `1 / LARGE_DIVISOR` of a VM.
 const LARGE_DIVISOR: u32 = 4;
 
 #[derive(Clone, Debug)]
-struct Hold {
+struct Reservation {
     task: TaskId,
     vm: VmId,
     until: Duration,
-    asked: Duration,
+    last_attempt: Duration,
 }
 
-/// The VMs that are held.
+/// Active reservations.
 #[derive(Clone, Debug, Default)]
-pub struct Holds {
-    holds: Vec<Hold>,
-    /// VMs held for a task in vain; another is tried next.
-    tried: Vec<(TaskId, VmId)>,
+pub struct Reservations {
+    reservations: Vec<Reservation>,
+    /// Reservations that expired before the task fit; the next one uses another VM.
+    expired_on: Vec<(TaskId, VmId)>,
 }
 
-impl Holds {
-    /// Ends what is over, and notes that the task still waits.
+impl Reservations {
+    /// Drops expired reservations and those of unavailable VMs, and marks the task as still waiting.
     pub fn refresh(&mut self, task: TaskId, fleet: &Fleet, now: Duration) {
-        let tried = &mut self.tried;
-        self.holds.retain(|hold| {
-            let expired = now >= hold.until;
+        let expired_on = &mut self.expired_on;
+        self.reservations.retain(|reservation| {
+            let expired = now >= reservation.until;
             if expired {
-                tried.push((hold.task, hold.vm.clone()));
+                expired_on.push((reservation.task, reservation.vm.clone()));
             }
-            let open = fleet.get(&hold.vm).is_some_and(|vm| vm.view.health == VmHealth::Open);
-            !expired && open && (hold.task == task || now < hold.asked + ASKED_WITHIN)
+            let open =
+                fleet.get(&reservation.vm).is_some_and(|vm| vm.view.health == VmHealth::Open);
+            !expired
+                && open
+                && (reservation.task == task || now < reservation.last_attempt + IDLE_TIMEOUT)
         });
-        if tried.len() > VMS_FOR_EACH_HOLD {
-            tried.remove(0);
+        if expired_on.len() > VMS_PER_RESERVATION {
+            expired_on.remove(0);
         }
-        if let Some(hold) = self.holds.iter_mut().find(|hold| hold.task == task) {
-            hold.asked = now;
+        if let Some(reservation) =
+            self.reservations.iter_mut().find(|reservation| reservation.task == task)
+        {
+            reservation.last_attempt = now;
         }
     }
 
-    /// The VM held for the task.
-    pub fn of(&self, task: TaskId) -> Option<&VmId> {
-        self.holds.iter().find(|hold| hold.task == task).map(|hold| &hold.vm)
+    /// The VM reserved for the task.
+    pub fn vm_for(&self, task: TaskId) -> Option<&VmId> {
+        self.reservations
+            .iter()
+            .find(|reservation| reservation.task == task)
+            .map(|reservation| &reservation.vm)
     }
 
-    /// VMs held for other tasks.
-    pub fn for_others(&self, task: TaskId) -> Vec<VmId> {
-        let others = self.holds.iter().filter(|hold| hold.task != task);
-        others.map(|hold| hold.vm.clone()).collect()
+    /// VMs reserved for other tasks.
+    pub fn reserved_for_others(&self, task: TaskId) -> Vec<VmId> {
+        let others = self.reservations.iter().filter(|reservation| reservation.task != task);
+        others.map(|reservation| reservation.vm.clone()).collect()
     }
 
-    /// The task needs no hold any more.
+    /// Drops the task's reservation and its record of expired ones.
     pub fn release(&mut self, task: TaskId) {
-        self.holds.retain(|hold| hold.task != task);
-        self.tried.retain(|(other, _)| *other != task);
+        self.reservations.retain(|reservation| reservation.task != task);
+        self.expired_on.retain(|(other, _)| *other != task);
     }
 
-    /// Holds a VM for an urgent task for which others are being evicted.
-    pub fn hold(&mut self, task: TaskId, vm: &VmId, now: Duration) {
+    /// Reserves a VM for an urgent task while other tasks are evicted for it.
+    pub fn reserve(&mut self, task: TaskId, vm: &VmId, now: Duration) {
         self.release(task);
-        let until = now + HOLD_FOR_URGENT;
-        self.holds.push(Hold { task, vm: vm.clone(), until, asked: now });
+        let until = now + MAX_URGENT_RESERVATION;
+        self.reservations.push(Reservation { task, vm: vm.clone(), until, last_attempt: now });
     }
 
-    /// Holds the VM that has most of the room for a large task that has waited for long.
-    pub fn hold_if_starved(
+    /// Reserves the VM with the smallest shortfall if the task is large and has waited too long.
+    pub fn reserve_if_starved(
         &mut self,
         candidate: &Candidate,
         fleet: &Fleet,
@@ -99,12 +108,12 @@
         over_quota: &[DomainId],
         now: Duration,
     ) {
-        let most = (fleet.len() / VMS_FOR_EACH_HOLD).max(1);
-        let due = candidate.waited >= HOLD_AFTER && self.of(candidate.task).is_none();
-        if !due || self.holds.len() >= most {
+        let limit = (fleet.len() / VMS_PER_RESERVATION).max(1);
+        let eligible = candidate.waited >= RESERVE_AFTER && self.vm_for(candidate.task).is_none();
+        if !eligible || self.reservations.len() >= limit {
             return;
         }
-        let free = |vm: &&Vm| {
+        let usable = |vm: &&Vm| {
             let view = &vm.view;
             view.health == VmHealth::Open
                 && allowed(pool, &view.domain)
@@ -112,22 +121,26 @@
                 && pool.is_none_or(|pool| pool.min_size.fits_in(&view.size))
                 && candidate.spec.resources.fits_in(&view.size)
                 && is_large(&candidate.spec.resources, &view.size)
-                && !self.holds.iter().any(|hold| hold.vm == view.vm)
-                && !self.tried.contains(&(candidate.task, view.vm.clone()))
+                && !self.reservations.iter().any(|reservation| reservation.vm == view.vm)
+                && !self.expired_on.contains(&(candidate.task, view.vm.clone()))
         };
         let missing = |vm: &&Vm| {
             let missing = candidate.spec.resources.saturating_sub(&vm.view.free);
             (missing.accelerators, missing.milli_cores, missing.memory_mib, vm.view.vm.clone())
         };
-        let best = fleet.iter().filter(free).min_by_key(missing);
-        if let Some(best) = best {
+        if let Some(best) = fleet.iter().filter(usable).min_by_key(missing) {
             let vm = best.view.vm.clone();
-            self.holds.push(Hold { task: candidate.task, vm, until: now + HOLD_FOR, asked: now });
+            self.reservations.push(Reservation {
+                task: candidate.task,
+                vm,
+                until: now + MAX_RESERVATION,
+                last_attempt: now,
+            });
         }
     }
 }
 
-/// Whether the amount is more than a quarter of the size, of any kind of resource.
+/// Whether the need exceeds a quarter of the VM's size in any resource.
 fn is_large(need: &Resources, size: &Resources) -> bool {
     need.milli_cores.0 > size.milli_cores.0 / LARGE_DIVISOR
         || need.memory_mib.0 > size.memory_mib.0 / LARGE_DIVISOR
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -31,8 +31,8 @@
 
 impl Policy {
     pub(super) fn gather(&mut self, candidate: &Candidate, now: Duration) -> Inputs {
-        self.holds.refresh(candidate.task, &self.fleet, now);
-        let held_back = self.holds.for_others(candidate.task);
+        self.reservations.refresh(candidate.task, &self.fleet, now);
+        let held_back = self.reservations.reserved_for_others(candidate.task);
         let config = self.config.clone();
         let spec = &candidate.spec;
         let pool = config.pools.get(&spec.pool);
@@ -51,7 +51,7 @@
         let nowhere = offers.is_empty();
         let feasibility = self.feasibility(candidate, pool, now);
         if nowhere && feasibility == Feasibility::Possible {
-            self.holds.hold_if_starved(candidate, &self.fleet, pool, &over_quota, now);
+            self.reservations.reserve_if_starved(candidate, &self.fleet, pool, &over_quota, now);
         }
         let passed_over = passed_over(&found);
         let mut inputs = Inputs {
@@ -135,7 +135,7 @@
 
     /// The offer of the VM that is held for the task, which the sample may have left out.
     fn held_offer(&self, candidate: &Candidate, offers: &[Offer], now: Duration) -> Option<Offer> {
-        let held = self.holds.of(candidate.task)?;
+        let held = self.reservations.vm_for(candidate.task)?;
         let vm = self.fleet.get(held)?;
         let view = &vm.view;
         let fits = view.health == VmHealth::Open && candidate.spec.resources.fits_in(&view.free);
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -190,7 +190,7 @@
         let relief = inputs.decide()?;
         let best = inputs.best()?.clone();
         self.plans.carried_out(candidate.task, &best, now);
-        self.holds.hold(candidate.task, &best.vm, now);
+        self.reservations.reserve(candidate.task, &best.vm, now);
         Some(self.decided(relief, &Recorded::Room(inputs), now))
     }
 
