--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -30,7 +30,7 @@
 use crate::units::Resources;
 use crate::worker::UsageReport;
 use eviction::Budget;
-use fit::Sizes;
+use fit::VmSizes;
 use hold::Reservations;
 use index::Fleet;
 use indexmap::{IndexMap, IndexSet};
@@ -63,7 +63,7 @@
     /// Classes whose tasks are instances of a service.
     services: IndexSet<ClassName>,
     fleet: Fleet,
-    sizes: Sizes,
+    sizes: VmSizes,
     quotas: Quotas,
     model: Interference,
     reports: IndexMap<VmId, Reports>,
@@ -193,7 +193,7 @@
             services: score::services(&config),
             config,
             fleet: Fleet::default(),
-            sizes: Sizes::default(),
+            sizes: VmSizes::default(),
             quotas,
             model: Interference::new(),
             reports: IndexMap::new(),
--- a/src/core/policy/fit.rs
+++ b/src/core/policy/fit.rs
@@ -1,4 +1,4 @@
-//! Whether a task could ever run, and the nearest size that could.
+//! Checks whether a task could ever run, and finds the nearest size that could.
 
 use super::index::allowed;
 use super::quota::{Allowances, minimum};
@@ -9,26 +9,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a size is remembered after the last VM of that size left. VMs are restarted and
-/// replaced all day; a task that needs the one large VM must not be refused while it restarts.
-const REMEMBER: Duration = Duration::from_secs(1800);
+/// How long a size is kept after the last VM of that size left. VMs are restarted and replaced all
+/// day, and a task that needs the only large VM must not be refused while that VM restarts.
+const SIZE_RETENTION: Duration = Duration::from_secs(1800);
 
-/// Distinct sizes remembered; beyond it the longest gone are forgotten first.
+/// Number of distinct sizes above which those past their retention are dropped.
 const MAX_SIZES: usize = 4096;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct SizeRecord {
     count: u32,
-    last: Duration,
+    last_seen: Duration,
 }
 
-/// Sizes of VMs, by failure domain.
+/// Known VM sizes by failure domain.
 #[derive(Clone, Debug, Default)]
-pub struct Sizes {
-    seen: BTreeMap<(DomainId, SizeKey), Seen>,
+pub struct VmSizes {
+    sizes: BTreeMap<(DomainId, SizeKey), SizeRecord>,
 }
 
-/// A size in an order that sorts by processors first.
+/// A size as an ordered key: processors, memory, accelerators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SizeKey(u32, u32, u32);
 
@@ -42,55 +42,56 @@
     }
 }
 
-impl Sizes {
+impl VmSizes {
     pub fn add(&mut self, view: &VmView, now: Duration) {
-        let seen = self.seen.entry((view.domain.clone(), SizeKey::of(&view.size))).or_default();
-        seen.count += 1;
-        seen.last = now;
-        self.forget(now);
+        let record = self.sizes.entry((view.domain.clone(), SizeKey::of(&view.size))).or_default();
+        record.count += 1;
+        record.last_seen = now;
+        self.prune(now);
     }
 
     pub fn remove(&mut self, view: &VmView, now: Duration) {
         let key = (view.domain.clone(), SizeKey::of(&view.size));
-        if let Some(seen) = self.seen.get_mut(&key) {
-            seen.count = seen.count.saturating_sub(1);
-            seen.last = now;
+        if let Some(record) = self.sizes.get_mut(&key) {
+            record.count = record.count.saturating_sub(1);
+            record.last_seen = now;
         }
     }
 
-    fn forget(&mut self, now: Duration) {
-        if self.seen.len() > MAX_SIZES {
-            self.seen.retain(|_, seen| seen.count > 0 || seen.last + REMEMBER > now);
+    fn prune(&mut self, now: Duration) {
+        if self.sizes.len() > MAX_SIZES {
+            self.sizes
+                .retain(|_, record| record.count > 0 || record.last_seen + SIZE_RETENTION > now);
         }
     }
 
-    /// Whether no VM was ever known.
+    /// Whether no VM size is known.
     pub fn is_empty(&self) -> bool {
-        self.seen.is_empty()
+        self.sizes.is_empty()
     }
 
-    /// Sizes in the pool that are there, or were lately.
+    /// Sizes of the pool's current and recent VMs.
     fn in_pool<'a>(
         &'a self,
         pool: Option<&'a Pool>,
         now: Duration,
     ) -> impl Iterator<Item = (&'a DomainId, Resources)> {
-        self.seen
+        self.sizes
             .iter()
-            .filter(move |(_, seen)| seen.count > 0 || seen.last + REMEMBER > now)
+            .filter(move |(_, record)| record.count > 0 || record.last_seen + SIZE_RETENTION > now)
             .filter(move |((domain, _), _)| allowed(pool, domain))
             .map(|((domain, key), _)| (domain, key.size()))
             .filter(move |(_, size)| pool.is_none_or(|pool| pool.min_size.fits_in(size)))
     }
 
-    /// Whether a VM and an allowance could hold the task when they are empty.
-    pub fn verdict(
+    /// Checks whether the task fits an empty VM and an unused allowance.
+    pub fn check(
         &self,
         need: &Resources,
         pool: Option<&Pool>,
         allowances: Option<&Allowances>,
         now: Duration,
-    ) -> Verdict {
+    ) -> SizeCheck {
         let mut nearest: Option<Resources> = None;
         for (domain, size) in self.in_pool(pool, now) {
             let room = match allowances {
@@ -98,34 +99,36 @@
                 None => size,
             };
             if need.fits_in(&room) {
-                return Verdict::Fits;
+                return SizeCheck::Fits;
             }
             let fitting = minimum(need, &room);
-            if nearest.is_none_or(|best| kept(need, &fitting) > kept(need, &best)) {
+            if nearest
+                .is_none_or(|best| fitting_fraction(need, &fitting) > fitting_fraction(need, &best))
+            {
                 nearest = Some(fitting);
             }
         }
-        nearest.map_or(Verdict::NoVm, Verdict::TooLarge)
+        nearest.map_or(SizeCheck::NoVm, SizeCheck::TooLarge)
     }
 }
 
-/// Whether a task could ever run.
+/// Result of checking a task against the known VM sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SizeCheck {
     Fits,
-    /// The nearest size that would fit.
+    /// Fits nowhere; holds the nearest size that would fit.
     TooLarge(Resources),
-    /// No VM in the pool is known.
+    /// The pool has no known VM.
     NoVm,
 }
 
-/// How much of a declared size is left, in millionths; all kinds of resources count alike.
-fn kept(need: &Resources, fitting: &Resources) -> u64 {
-    part(fitting.milli_cores.0, need.milli_cores.0)
-        * part(fitting.memory_mib.0, need.memory_mib.0)
-        * part(fitting.accelerators.0, need.accelerators.0)
+/// Fraction of the requested size that fits, in ppm; all resources have equal weight.
+fn fitting_fraction(need: &Resources, fitting: &Resources) -> u64 {
+    percent_fitting(fitting.milli_cores.0, need.milli_cores.0)
+        * percent_fitting(fitting.memory_mib.0, need.memory_mib.0)
+        * percent_fitting(fitting.accelerators.0, need.accelerators.0)
 }
 
-fn part(fitting: u32, need: u32) -> u64 {
+fn percent_fitting(fitting: u32, need: u32) -> u64 {
     if need == 0 { 100 } else { 1 + u64::from(fitting) * 99 / u64::from(need) }
 }
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -1,7 +1,7 @@
 //! Gathers what a placement is decided from, and learns from reports.
 
 use super::decide::{ClassState, Feasibility, Inputs, Offer, PassedOver, Shares};
-use super::fit::Verdict;
+use super::fit::SizeCheck;
 use super::index::{Found, Search, Vm, allowed};
 use super::interference::{Band, Neighbours};
 use super::ladder::{Ladder, to_parts};
@@ -93,17 +93,17 @@
         }
         let need = &candidate.spec.resources;
         let allowances = self.quotas.of(&candidate.spec.team);
-        let verdict = self.sizes.verdict(need, pool, allowances, now);
+        let verdict = self.sizes.check(need, pool, allowances, now);
         // A daemon that is cut off from all VMs knows nothing of what could run.
         let known = self.settled(now) && !self.sizes.is_empty();
-        if verdict != Verdict::Fits && !known {
+        if verdict != SizeCheck::Fits && !known {
             return Feasibility::NotYetKnown;
         }
         match verdict {
-            Verdict::Fits => Feasibility::Possible,
-            Verdict::NoVm => Feasibility::EmptyPool,
-            Verdict::TooLarge(nearest) => match self.sizes.verdict(need, pool, None, now) {
-                Verdict::Fits => Feasibility::OverQuota { nearest },
+            SizeCheck::Fits => Feasibility::Possible,
+            SizeCheck::NoVm => Feasibility::EmptyPool,
+            SizeCheck::TooLarge(nearest) => match self.sizes.check(need, pool, None, now) {
+                SizeCheck::Fits => Feasibility::OverQuota { nearest },
                 _ => Feasibility::TooLarge { nearest },
             },
         }
