--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -39,7 +39,7 @@
 use quarantine::Blame;
 use quota::{Allowances, Quotas};
 use relieve::Asked;
-use reports::Reports;
+use reports::VmReports;
 use room::Plans;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -66,7 +66,7 @@
     sizes: VmSizes,
     quotas: Quotas,
     model: Interference,
-    reports: IndexMap<VmId, Reports>,
+    reports: IndexMap<VmId, VmReports>,
     ladders: IndexMap<VmId, Ladder>,
     blame: Blame,
     budget: Budget,
@@ -285,7 +285,7 @@
         self.tick(now);
         let ladder = self.ladders.entry(vm.clone()).or_default();
         let reports = self.reports.entry(vm.clone()).or_default();
-        if reports.take(report, |task| ladder.share(task), now).is_err() {
+        if reports.accept(report, |task| ladder.share(task), now).is_err() {
             return;
         }
         let measured_at = reports.measured_at;
