--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -276,7 +276,7 @@
         let inputs = self.gather(candidate, now);
         let choice = inputs.decide();
         self.note_choice(candidate, &inputs, &choice, now);
-        let record = explain::placement(candidate, inputs, &choice, &self.config);
+        let record = explain::placement_record(candidate, inputs, &choice, &self.config);
         Decided { choice, record }
     }
 
--- a/src/core/policy/decide.rs
+++ b/src/core/policy/decide.rs
@@ -1,8 +1,8 @@
-//! The choice itself, as a function of recorded inputs alone.
+//! The placement decision, a pure function of recorded inputs.
 //!
-//! Everything that a placement rests on is first gathered into [`Inputs`], in whole numbers; the
-//! record of the decision keeps them. So the same function that decided can be run again on a
-//! record, and an explanation can't leave out what mattered.
+//! Everything that affects a placement is first collected into [`Inputs`] as integers, which are
+//! stored in the decision record. The same function can therefore be run again on a record, and an
+//! explanation can't omit anything that affected the decision.
 
 use super::Choice;
 use crate::ids::VmId;
@@ -12,42 +12,42 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Offers kept in a record, the best of those scored.
+/// Number of the best offers that a record keeps.
 pub const RECORDED_OFFERS: usize = 6;
 
-/// Parts in one, for figures kept as whole numbers.
-pub const PARTS: f64 = 1_000_000.0;
+/// One in parts per million, the unit of fractions that are stored as integers.
+pub const PPM: f64 = 1_000_000.0;
 
-/// A placement that raises a service's excess slowdown by less than this, in parts, is harmless.
-const HARMLESS: i64 = 20_000;
+/// A rise of a service's excess slowdown below this, in ppm, is negligible.
+const NEGLIGIBLE_RISE: i64 = 20_000;
 
-/// Part of the trigger, in thousandths, that a new task may fill, and that one may which waited for
-/// [`PATIENCE`].
-const FIRST_LIMIT: i64 = 700;
-const LAST_LIMIT: i64 = 1000;
-const PATIENCE: Duration = Duration::from_secs(300);
+/// Share of the trigger, in thousandths, up to which a new task may slow a service, and up to which
+/// a task that waited for [`LIMIT_RAMP`] may.
+const INITIAL_LIMIT: i64 = 700;
+const FINAL_LIMIT: i64 = 1000;
+const LIMIT_RAMP: Duration = Duration::from_secs(300);
 
-/// Part of the trigger, in thousandths, that is batch's however much services slow each other.
-const BATCH_PART: i64 = 400;
+/// Share of the trigger, in thousandths, left to batch tasks however much services slow each other.
+const MIN_BATCH_SHARE: i64 = 400;
 
-/// Wait after which a task may push one VM over the trigger, with equal weights.
-const OVERDUE: Duration = Duration::from_secs(600);
+/// Wait after which a task may push a VM over the trigger, with equal weights.
+const OVERDUE_AFTER: Duration = Duration::from_secs(600);
 
-/// Operators' weights as thousandths of their sum.
+/// The operator's weights, normalized to thousandths of their sum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shares {
+pub struct NormalizedWeights {
     pub tail: i64,
     pub evictions: i64,
     pub throughput: i64,
 }
 
-impl Shares {
-    /// Shares of the weights; equal ones where they make no sense.
+impl NormalizedWeights {
+    /// Normalizes the weights; uses equal ones if they are invalid.
     pub fn of(weights: &Weights) -> Self {
         let all = [weights.tail, weights.evictions, weights.throughput];
         let sum: f64 = all.iter().sum();
-        let sane = sum.is_finite() && sum > 0.0 && all.iter().all(|weight| *weight >= 0.0);
-        if !sane {
+        let valid = sum.is_finite() && sum > 0.0 && all.iter().all(|weight| *weight >= 0.0);
+        if !valid {
             return Self { tail: 334, evictions: 333, throughput: 333 };
         }
         let share = |weight: f64| (weight / sum * 1000.0).round() as i64;
@@ -59,45 +59,45 @@
     }
 }
 
-/// What placing the task on one VM would cost, in parts.
+/// The predicted cost of placing the task on one VM, in ppm.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     pub vm: VmId,
-    /// Added suffering of the services there; grows faster than their slowdown.
+    /// Added tail cost of the services there; grows faster than their slowdown.
     pub tail: i64,
-    /// Chance that the task, or one beside it, is evicted for it.
+    /// Probability that the placement causes an eviction, weighted by its cost.
     pub risk: i64,
-    /// Predicted excess slowdown by batch tasks, before and after, of the service there that
-    /// suffers most.
+    /// Predicted excess slowdown by batch tasks of the most affected service there, before and
+    /// after the placement.
     pub before: i64,
     pub after: i64,
-    /// Predicted excess slowdown that services there cause each other.
+    /// Predicted excess slowdown that the services there cause each other.
     pub by_services: i64,
-    /// Slowdown of the task itself.
+    /// Predicted excess slowdown of the task itself.
     pub own: i64,
-    /// Slowdown of the batch tasks there.
+    /// Predicted excess slowdown added to the batch tasks there.
     pub others: i64,
-    /// Room left over, and room left over in unlike proportion.
+    /// Cost of leftover and unbalanced free resources, and of using a VM without services.
     pub left: i64,
-    /// Instances of the same service nearby, and failures of the VM.
+    /// Cost of nearby instances of the same service and of failures attributed to the VM.
     pub penalty: i64,
-    /// Decides between equal scores; differs from task to task, so that writers which decide at
-    /// once from the same views don't all choose the same VM.
+    /// Tie-breaker between equal scores. It differs between tasks, so that writers that decide at
+    /// the same time from the same views don't all choose the same VM.
     pub order: u64,
-    /// The VM is quarantined, and this would be its probe.
+    /// Whether the VM is quarantined and the task would be its probe.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub probe: bool,
 }
 
 impl Offer {
-    /// Orders offers from the best.
-    pub fn compare(&self, other: &Self, shares: &Shares) -> Ordering {
+    /// Compares offers; the best sorts first.
+    pub fn compare(&self, other: &Self, shares: &NormalizedWeights) -> Ordering {
         let key = |offer: &Self| (offer.score(shares), offer.order);
         key(self).cmp(&key(other)).then_with(|| self.vm.cmp(&other.vm))
     }
 
-    /// The operators' objective; less is better.
-    pub fn score(&self, shares: &Shares) -> i64 {
+    /// The weighted cost; lower is better.
+    pub fn score(&self, shares: &NormalizedWeights) -> i64 {
         shares.tail * self.tail
             + shares.evictions * self.risk
             + shares.throughput * (self.own + self.others)
@@ -110,23 +110,23 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Feasibility {
     Possible,
-    /// Too large for every VM in the pool, with the nearest size that fits.
+    /// Too large for every VM in the pool; holds the nearest size that fits.
     TooLarge {
         nearest: Resources,
     },
-    /// Within the size of a VM but over the team's allowance, with the nearest size that fits.
+    /// Fits a VM but exceeds the team's allowance; holds the nearest size that fits.
     OverQuota {
         nearest: Resources,
     },
     /// The pool has no VM.
     EmptyPool,
-    /// The configuration names no such pool.
+    /// The pool is not in the configuration.
     UnknownPool,
-    /// Too few VMs are known yet to tell.
+    /// Too few VMs are known yet to decide.
     NotYetKnown,
 }
 
-/// VMs that were passed over, by reason.
+/// Counts of the VMs that were not chosen, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PassedOver {
     pub outside_pool: u32,
@@ -139,14 +139,14 @@
     pub held_back: u32,
     pub tried_before: u32,
     pub not_sampled: u32,
-    /// Scored, and services there would suffer too much.
+    /// Scored, but services there would be slowed too much.
     pub harmful: u32,
-    /// Scored, and worse than the offers that were kept.
+    /// Scored, but worse than the offers that were kept.
     pub worse: u32,
 }
 
 impl PassedOver {
-    /// Each reason in words, with its count.
+    /// The text of each reason with its count.
     pub fn reasons(&self) -> [(&'static str, u32); 12] {
         [
             ("outside the pool", self.outside_pool),
@@ -164,32 +164,32 @@
         ]
     }
 
-    /// The reason of most VMs that can't take the task.
-    fn foremost(&self) -> Option<(&'static str, u32)> {
+    /// The most frequent reason why VMs in the pool can't run the task.
+    fn most_common(&self) -> Option<(&'static str, u32)> {
         let blocking = self.reasons().into_iter().skip(1).filter(|(_, count)| *count > 0);
         blocking.max_by_key(|(_, count)| *count)
     }
 }
 
-/// Limits on starts of a class that fails wherever it runs.
+/// Whether a class fails on every VM, which limits its starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClassState {
     #[default]
     Sound,
-    /// Failed on several VMs that run other classes well; tried again at this time.
+    /// Failed on several VMs and recently succeeded on none; retried at this time.
     FailsEverywhere { retry_at: Duration },
 }
 
-/// What a placement is decided from.
+/// Inputs of a placement decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Inputs {
     pub at: Duration,
     pub need: Resources,
     pub urgency: Urgency,
     pub waited: Duration,
-    pub shares: Shares,
-    /// Excess slowdown at which a service is helped, in parts.
+    pub shares: NormalizedWeights,
+    /// Excess slowdown above which a service is relieved, in ppm.
     pub trigger: i64,
     pub feasibility: Feasibility,
     pub class: ClassState,
@@ -199,10 +199,10 @@
 }
 
 impl Inputs {
-    /// The choice that follows from the inputs.
+    /// Returns the choice that follows from the inputs.
     pub fn decide(&self) -> Choice {
-        if let Some(never) = self.never() {
-            return never;
+        if let Some(choice) = self.infeasible() {
+            return choice;
         }
         if let ClassState::FailsEverywhere { retry_at } = self.class
             && self.at < retry_at
@@ -214,24 +214,24 @@
         }
         match self.best() {
             Some(best) => Choice::Place { vm: best.vm.clone() },
-            None if self.offers.is_empty() => wait(self.why_nowhere()),
+            None if self.offers.is_empty() => wait(self.wait_reason()),
             None => wait(format!(
                 "services on every VM with room would suffer too much; a calm VM takes it at the \
                  latest {} s after acceptance",
-                self.overdue().as_secs()
+                self.overdue_after().as_secs()
             )),
         }
     }
 
-    /// Keeps the best offers and counts the others.
-    pub fn shorten(&mut self) {
+    /// Keeps the best offers and counts the others by reason.
+    pub fn truncate(&mut self) {
         let mut offers = std::mem::take(&mut self.offers);
         offers.sort_by(|l, r| {
-            let harmful = |offer: &Offer| !self.bearable(offer);
+            let harmful = |offer: &Offer| !self.acceptable(offer);
             harmful(l).cmp(&harmful(r)).then_with(|| l.compare(r, &self.shares))
         });
         for offer in offers.split_off(offers.len().min(RECORDED_OFFERS)) {
-            let reason = match self.bearable(&offer) {
+            let reason = match self.acceptable(&offer) {
                 true => &mut self.passed_over.worse,
                 false => &mut self.passed_over.harmful,
             };
@@ -240,14 +240,14 @@
         self.offers = offers;
     }
 
-    /// The offer with the least score of those that services bear; of equal ones that of the least
-    /// order, then of the name that sorts first.
+    /// The acceptable offer with the lowest score. Ties go to the lowest `order`, then to the first
+    /// VM by id.
     pub fn best(&self) -> Option<&Offer> {
-        let bearable = self.offers.iter().filter(|offer| self.bearable(offer));
-        bearable.min_by(|l, r| l.compare(r, &self.shares))
+        let acceptable = self.offers.iter().filter(|offer| self.acceptable(offer));
+        acceptable.min_by(|l, r| l.compare(r, &self.shares))
     }
 
-    fn never(&self) -> Option<Choice> {
+    fn infeasible(&self) -> Option<Choice> {
         let (reason, nearest) = match self.feasibility {
             Feasibility::Possible | Feasibility::NotYetKnown => return None,
             Feasibility::TooLarge { nearest } => {
@@ -263,39 +263,41 @@
         Some(Choice::Never { reason, nearest })
     }
 
-    /// Whether the services on the VM stay below the trigger. Placing more would only call for a
-    /// throttle or an eviction. A task that is overdue may push one over it that is calm now: so
-    /// waits end, and a queue of overdue tasks doesn't end up on the same VM. Urgent tasks go where
-    /// there is room: others were evicted for it.
-    pub fn bearable(&self, offer: &Offer) -> bool {
+    /// Whether the placement keeps the services on the VM below the trigger; above it, a placement
+    /// would only lead to a throttle or an eviction.
+    ///
+    /// An overdue task may push a VM over the trigger if the VM is below it now. That bounds waits,
+    /// and a queue of overdue tasks doesn't end up on the same VM. Urgent tasks are placed wherever
+    /// they fit, because other tasks were evicted to make room for them.
+    pub fn acceptable(&self, offer: &Offer) -> bool {
         let trigger = batch_trigger(self.trigger, offer.by_services);
-        let calm = offer.before <= trigger;
-        let overdue = self.urgency >= Urgency::High || self.waited >= self.overdue();
+        let below_trigger = offer.before <= trigger;
+        let overdue = self.urgency >= Urgency::High || self.waited >= self.overdue_after();
         self.urgency == Urgency::Urgent
             || offer.after <= self.limit(trigger)
-            || offer.after - offer.before < HARMLESS
+            || offer.after - offer.before < NEGLIGIBLE_RISE
             || offer.probe
-            || (overdue && calm)
+            || (overdue && below_trigger)
     }
 
-    /// Predicted excess slowdown that the task may bring a service to, in parts.
+    /// The excess slowdown up to which the task may slow a service, in ppm; it rises with the wait.
     fn limit(&self, trigger: i64) -> i64 {
-        let waited = self.waited.min(PATIENCE).as_millis() as i64;
-        let grown = (LAST_LIMIT - FIRST_LIMIT) * waited / PATIENCE.as_millis() as i64;
-        trigger * (FIRST_LIMIT + grown) / 1000
+        let waited = self.waited.min(LIMIT_RAMP).as_millis() as i64;
+        let increase = (FINAL_LIMIT - INITIAL_LIMIT) * waited / LIMIT_RAMP.as_millis() as i64;
+        trigger * (INITIAL_LIMIT + increase) / 1000
     }
 
-    /// The more the tail weighs, the later.
-    fn overdue(&self) -> Duration {
+    /// Wait after which the task is overdue; it increases with the weight of tail latency.
+    fn overdue_after(&self) -> Duration {
         let tail = u32::try_from(self.shares.tail).unwrap_or(0).max(100);
-        OVERDUE * tail / 333
+        OVERDUE_AFTER * tail / 333
     }
 
-    fn why_nowhere(&self) -> String {
+    fn wait_reason(&self) -> String {
         if self.feasibility == Feasibility::NotYetKnown {
             return "too few VMs are known yet".to_owned();
         }
-        match self.passed_over.foremost() {
+        match self.passed_over.most_common() {
             Some((reason, count)) => {
                 format!("no VM can take it now; most were passed over as: {reason} ({count} VMs)")
             }
@@ -304,10 +306,10 @@
     }
 }
 
-/// Slowdown that batch may cause where services cause each other some already, in parts: what is
-/// left of the trigger, but never so little that batch is kept away for ever.
+/// Slowdown that batch tasks may cause, in ppm, where services already slow each other: the rest of
+/// the trigger, but at least a fixed share of it, so that batch tasks are never excluded for good.
 pub fn batch_trigger(trigger: i64, by_services: i64) -> i64 {
-    (trigger - by_services).max(trigger * BATCH_PART / 1000)
+    (trigger - by_services).max(trigger * MIN_BATCH_SHARE / 1000)
 }
 
 fn wait(reason: String) -> Choice {
--- a/src/core/policy/eviction.rs
+++ b/src/core/policy/eviction.rs
@@ -1,7 +1,7 @@
 //! The cost of evicting a task, and the rate limit on evictions.
 
 use super::Resident;
-use super::decide::{PARTS, Shares};
+use super::decide::{NormalizedWeights, PPM};
 use crate::model::{Idempotency, Resumption};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     };
     let expected = resident.spec.expected.max(RESTART_COST).as_secs_f64();
     let lost = (lost + RESTART_COST).as_secs_f64() / expected;
-    Some(((lost.min(10.0) + 0.1) * PARTS).round() as i64)
+    Some(((lost.min(10.0) + 0.1) * PPM).round() as i64)
 }
 
 /// Whether the task will finish so soon that evicting it gains nothing.
@@ -70,13 +70,13 @@
 impl Budget {
     /// Refills the bucket and returns the evictions allowed now, in ppm. The refill slows as the
     /// weight of evictions grows relative to the weight of tail latency.
-    pub fn available(&mut self, shares: &Shares, now: Duration) -> i64 {
+    pub fn available(&mut self, shares: &NormalizedWeights, now: Duration) -> i64 {
         let ratio = shares.tail.max(1) as f64 / shares.evictions.max(1) as f64;
         let rate = ratio.clamp(0.1, 4.0) / REFILL_INTERVAL.as_secs_f64();
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed * rate).min(MAX_BURST);
         self.refilled_at = self.refilled_at.max(now);
-        (self.tokens * PARTS) as i64
+        (self.tokens * PPM) as i64
     }
 
     pub fn spend(&mut self) {
--- a/src/core/policy/explain.rs
+++ b/src/core/policy/explain.rs
@@ -1,6 +1,6 @@
-//! Records of decisions, their text, and deciding them again.
+//! Decision records: building them, rendering them as text, and replaying them.
 
-use super::decide::{self, Inputs, Offer, PARTS};
+use super::decide::{self, Inputs, Offer, PPM};
 use super::{Candidate, Choice, DecisionRecord, Relief, Subject, health, ladder, room};
 use crate::model::Config;
 use crate::peer::VmHealth;
@@ -9,54 +9,54 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Name of the input that holds everything the decision rests on.
+/// Name of the record input that holds the serialized inputs of the decision.
 pub const REPLAY: &str = "replay";
 
 /// Result of reading a record.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A record that can't be decided again.
+/// Why a record can't be replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("the record has no input `{REPLAY}`; ask the daemon that decided for its whole record")]
+    #[error("the record has no `{REPLAY}` input; get the full record from the daemon that made it")]
     NoInputs,
-    #[error("the record's inputs can't be read ({0}); ask a daemon of the version that wrote it")]
+    #[error("can't parse the record's inputs ({0}); replay it with the version that wrote it")]
     Unreadable(#[from] serde_json::Error),
 }
 
-/// Everything that a decision rests on, as kept in its record.
+/// All inputs of a decision, as stored in its record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum Recorded {
+pub(super) enum RecordedInputs {
     Placement(decide::Inputs),
     Ladder(ladder::Inputs),
     Health(health::Inputs),
     Room(room::Inputs),
 }
 
-/// What a record decides when it is decided again.
+/// The result of replaying a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Replayed {
     Choice(Choice),
-    /// A step, or none.
+    /// A relief step, or none.
     Relief(Option<Relief>),
 }
 
-/// Decides again from a record alone.
+/// Repeats a decision from its record alone.
 pub fn replay(record: &DecisionRecord) -> Result<Replayed> {
     let text = record.inputs.get(REPLAY).ok_or(Error::NoInputs)?;
     Ok(match serde_json::from_str(text)? {
-        Recorded::Placement(inputs) => Replayed::Choice(inputs.decide()),
-        Recorded::Ladder(inputs) => Replayed::Relief(inputs.decide()),
-        Recorded::Health(inputs) => Replayed::Relief(inputs.decide()),
-        Recorded::Room(inputs) => Replayed::Relief(inputs.decide()),
+        RecordedInputs::Placement(inputs) => Replayed::Choice(inputs.decide()),
+        RecordedInputs::Ladder(inputs) => Replayed::Relief(inputs.decide()),
+        RecordedInputs::Health(inputs) => Replayed::Relief(inputs.decide()),
+        RecordedInputs::Room(inputs) => Replayed::Relief(inputs.decide()),
     })
 }
 
-/// The record of a step.
-pub(super) fn relief(
+/// Builds the record of a relief step.
+pub(super) fn relief_record(
     relief: &Relief,
-    recorded: &Recorded,
+    recorded: &RecordedInputs,
     config: &Config,
     now: Duration,
 ) -> DecisionRecord {
@@ -66,12 +66,12 @@
     };
     let mut inputs = IndexMap::new();
     match recorded {
-        Recorded::Placement(_) => {}
-        Recorded::Ladder(ladder) => show_ladder(&mut inputs, ladder),
-        Recorded::Health(health) => show_health(&mut inputs, health),
-        Recorded::Room(room) => show_room(&mut inputs, room),
+        RecordedInputs::Placement(_) => {}
+        RecordedInputs::Ladder(ladder) => describe_ladder(&mut inputs, ladder),
+        RecordedInputs::Health(health) => describe_health(&mut inputs, health),
+        RecordedInputs::Room(room) => describe_room(&mut inputs, room),
     }
-    keep(&mut inputs, recorded);
+    insert_replay(&mut inputs, recorded);
     DecisionRecord {
         at: now,
         subject,
@@ -84,9 +84,9 @@
     }
 }
 
-fn relief_verdict(relief: &Relief, recorded: &Recorded) -> String {
+fn relief_verdict(relief: &Relief, recorded: &RecordedInputs) -> String {
     match (relief, recorded) {
-        (Relief::Evict { vm, .. }, Recorded::Room(room)) => {
+        (Relief::Evict { vm, .. }, RecordedInputs::Room(room)) => {
             format!("evicted from {vm} to make room for urgent task {}", room.task)
         }
         (Relief::Evict { vm, .. }, _) => format!(
@@ -110,61 +110,61 @@
     }
 }
 
-fn show_ladder(shown: &mut IndexMap<String, String>, ladder: &ladder::Inputs) {
-    let mut show = |name: &str, value: String| shown.insert(name.to_owned(), value);
-    show("slowdown of the service that suffers most", percent(ladder.excess));
-    show("helped from a slowdown of", percent(ladder.trigger));
-    show("reports since the last step", ladder.reports.to_string());
-    show("age of the newest", format!("{:.1} s", ladder.age.as_secs_f64()));
-    show("calm for", format!("{:.0} s", ladder.calm.as_secs_f64()));
-    show("calm needed for a step back", format!("{:.0} s", ladder.calm_needed.as_secs_f64()));
-    show("evictions in the budget", percent(ladder.budget / 100).replace('%', ""));
+fn describe_ladder(fields: &mut IndexMap<String, String>, ladder: &ladder::Inputs) {
+    let mut add = |name: &str, value: String| fields.insert(name.to_owned(), value);
+    add("slowdown of the service that suffers most", percent(ladder.excess));
+    add("helped from a slowdown of", percent(ladder.trigger));
+    add("reports since the last step", ladder.reports.to_string());
+    add("age of the newest", format!("{:.1} s", ladder.age.as_secs_f64()));
+    add("calm for", format!("{:.0} s", ladder.calm.as_secs_f64()));
+    add("calm needed for a step back", format!("{:.0} s", ladder.calm_needed.as_secs_f64()));
+    add("evictions in the budget", percent(ladder.budget / 100).replace('%', ""));
     for culprit in &ladder.culprits {
         let loss = culprit.loss.map_or("not evicted".to_owned(), |loss| {
             format!("its eviction loses {} of its run time", percent(loss))
         });
         let (harm, share) = (percent(culprit.harm), percent(culprit.share));
-        show(
+        add(
             &format!("task {}", culprit.task),
             format!("slows services by {harm}; has {share} of its processors; {loss}"),
         );
     }
 }
 
-fn show_health(shown: &mut IndexMap<String, String>, health: &health::Inputs) {
-    let mut show = |name: &str, value: String| shown.insert(name.to_owned(), value);
-    show("failures blamed on the VM", format!("{:.1}", health.blame as f64 / PARTS));
+fn describe_health(fields: &mut IndexMap<String, String>, health: &health::Inputs) {
+    let mut add = |name: &str, value: String| fields.insert(name.to_owned(), value);
+    add("failures blamed on the VM", format!("{:.1}", health.blame as f64 / PPM));
     if let Some(time) = health.quarantined_for {
-        show("quarantined for", format!("{} s", time.as_secs()));
+        add("quarantined for", format!("{} s", time.as_secs()));
     }
     if let Some(ladder) = &health.ladder {
-        show_ladder(shown, ladder);
+        describe_ladder(fields, ladder);
     }
 }
 
-fn show_room(shown: &mut IndexMap<String, String>, room: &room::Inputs) {
-    let mut show = |name: &str, value: String| shown.insert(name.to_owned(), value);
-    show("urgent task", room.task.to_string());
-    show("needs", room.need.to_string());
+fn describe_room(fields: &mut IndexMap<String, String>, room: &room::Inputs) {
+    let mut add = |name: &str, value: String| fields.insert(name.to_owned(), value);
+    add("urgent task", room.task.to_string());
+    add("needs", room.need.to_string());
     for plan in &room.plans {
         let tasks: Vec<_> = plan.victims.iter().map(|victim| victim.task.to_string()).collect();
-        show(
+        add(
             &format!("room on {}", plan.vm),
             format!("evict {}; loses {} of a run time", tasks.join(", "), percent(plan.loss())),
         );
     }
 }
 
-fn keep(shown: &mut IndexMap<String, String>, recorded: &Recorded) {
+fn insert_replay(fields: &mut IndexMap<String, String>, recorded: &RecordedInputs) {
     let (name, value) = match serde_json::to_string(recorded) {
         Ok(text) => (REPLAY, text),
         Err(err) => ("replay lost", err.to_string()),
     };
-    shown.insert(name.to_owned(), value);
+    fields.insert(name.to_owned(), value);
 }
 
-/// The record of a placement, a wait or a refusal.
-pub(super) fn placement(
+/// Builds the record of a placement, a wait or a refusal.
+pub(super) fn placement_record(
     candidate: &Candidate,
     inputs: Inputs,
     choice: &Choice,
@@ -176,8 +176,8 @@
         counted.map(|(reason, count)| (reason.to_owned(), count)).collect();
     let offers = u32::try_from(inputs.offers.len()).unwrap_or(u32::MAX);
     let (at, verdict) = (inputs.at, verdict(&inputs, choice));
-    let mut shown = shown(candidate, &inputs);
-    keep(&mut shown, &Recorded::Placement(inputs));
+    let mut fields = placement_fields(candidate, &inputs);
+    insert_replay(&mut fields, &RecordedInputs::Placement(inputs));
     DecisionRecord {
         at,
         subject: Subject::Task(candidate.task),
@@ -186,14 +186,14 @@
         verdict,
         considered: passed_over.values().sum::<u32>() + offers,
         passed_over,
-        inputs: shown,
+        inputs: fields,
     }
 }
 
 fn verdict(inputs: &Inputs, choice: &Choice) -> String {
     match choice {
         Choice::Place { vm } => {
-            let why = inputs.offers.iter().find(|offer| offer.vm == *vm).map(foremost_cost);
+            let why = inputs.offers.iter().find(|offer| offer.vm == *vm).map(cost_summary);
             format!("placed on {vm}: {}", why.unwrap_or_default())
         }
         Choice::Wait { reason } => format!("waits: {reason}"),
@@ -204,7 +204,7 @@
     }
 }
 
-fn foremost_cost(offer: &Offer) -> String {
+fn cost_summary(offer: &Offer) -> String {
     if offer.probe {
         return "a probe, to see whether the VM works again".to_owned();
     }
@@ -217,23 +217,23 @@
     )
 }
 
-fn percent(parts: i64) -> String {
-    let tenths = parts / 1000;
+fn percent(ppm: i64) -> String {
+    let tenths = ppm / 1000;
     format!("{}.{}%", tenths / 10, (tenths % 10).abs())
 }
 
-fn shown(candidate: &Candidate, inputs: &Inputs) -> IndexMap<String, String> {
-    let mut shown = IndexMap::new();
-    let mut show = |name: &str, value: String| shown.insert(name.to_owned(), value);
-    show("class", candidate.spec.class.to_string());
-    show("team", candidate.spec.team.to_string());
-    show("pool", candidate.spec.pool.to_string());
-    show("needs", inputs.need.to_string());
-    show("waited", format!("{} s", inputs.waited.as_secs()));
+fn placement_fields(candidate: &Candidate, inputs: &Inputs) -> IndexMap<String, String> {
+    let mut fields = IndexMap::new();
+    let mut add = |name: &str, value: String| fields.insert(name.to_owned(), value);
+    add("class", candidate.spec.class.to_string());
+    add("team", candidate.spec.team.to_string());
+    add("pool", candidate.spec.pool.to_string());
+    add("needs", inputs.need.to_string());
+    add("waited", format!("{} s", inputs.waited.as_secs()));
     for (place, offer) in inputs.offers.iter().take(3).enumerate() {
-        show(&format!("offer {}", place + 1), offer_text(offer, inputs));
+        add(&format!("offer {}", place + 1), offer_text(offer, inputs));
     }
-    shown
+    fields
 }
 
 fn offer_text(offer: &Offer, inputs: &Inputs) -> String {
@@ -251,7 +251,7 @@
     )
 }
 
-/// The record as text for an operator.
+/// Renders the record as text for operators.
 pub fn text(record: &DecisionRecord) -> String {
     let mut out = String::new();
     let subject = match &record.subject {
--- a/src/core/policy/ladder.rs
+++ b/src/core/policy/ladder.rs
@@ -5,7 +5,7 @@
 //! doubles the calm that the next step back needs.
 
 use super::Relief;
-use super::decide::{PARTS, Shares};
+use super::decide::{NormalizedWeights, PPM};
 use crate::ids::{Attempt, ClassName, TaskId, VmId};
 use crate::peer::VmHealth;
 use indexmap::IndexMap;
@@ -92,7 +92,7 @@
     pub at: Duration,
     pub vm: VmId,
     pub rung: Rung,
-    pub shares: Shares,
+    pub shares: NormalizedWeights,
     /// Excess slowdown at which a service is helped, in parts.
     pub trigger: i64,
     /// Smoothed excess slowdown of the service that suffers most, in parts.
@@ -144,12 +144,12 @@
     }
 
     fn throttle(&self) -> Option<Relief> {
-        let least = to_parts(LEAST_SHARE);
+        let least = to_ppm(LEAST_SHARE);
         let open = |culprit: &&Culprit| {
             culprit.share > least && culprit.harm >= self.excess / CULPRIT_DIVISOR
         };
         let worst = self.culprits.iter().filter(open).max_by_key(|culprit| culprit.harm)?;
-        let share = (worst.share as f64 / PARTS * THROTTLE_STEP).max(LEAST_SHARE);
+        let share = (worst.share as f64 / PPM * THROTTLE_STEP).max(LEAST_SHARE);
         Some(Relief::Throttle { vm: self.vm.clone(), task: worst.task, share })
     }
 
@@ -159,7 +159,7 @@
 
     /// Evicts the task that gives most relief for its loss, if that is worth it by the weights.
     fn evict(&self) -> Option<Relief> {
-        if self.budget < to_parts(1.0) {
+        if self.budget < to_ppm(1.0) {
             return None;
         }
         let worth = |culprit: &&Culprit| self.gain(culprit) > 0;
@@ -173,7 +173,7 @@
     }
 
     fn step_back(&self) -> Option<Relief> {
-        let whole = to_parts(1.0);
+        let whole = to_ppm(1.0);
         let limit = (self.trigger as f64 * RESTORE_PART) as i64;
         let throttled = self.culprits.iter().filter(|culprit| culprit.share < whole);
         let rise = |culprit: &Culprit| {
@@ -186,7 +186,7 @@
             let silent = self.age > SILENT;
             let long_calm = self.calm >= self.calm_needed * 4;
             let safe = silent || long_calm || self.excess + rise(least) < limit;
-            let share = (least.share as f64 / PARTS / THROTTLE_STEP).min(1.0);
+            let share = (least.share as f64 / PPM / THROTTLE_STEP).min(1.0);
             let task = least.task;
             return safe.then(|| Relief::Throttle { vm: self.vm.clone(), task, share });
         }
@@ -196,8 +196,8 @@
 }
 
 /// An amount in parts.
-pub fn to_parts(amount: f64) -> i64 {
-    (amount.clamp(-1e6, 1e6) * PARTS).round() as i64
+pub fn to_ppm(amount: f64) -> i64 {
+    (amount.clamp(-1e6, 1e6) * PPM).round() as i64
 }
 
 /// Smoothed slowdown of one service.
@@ -297,7 +297,13 @@
         self.throttled.get(task).copied().unwrap_or(1.0)
     }
 
-    pub fn inputs(&self, vm: &VmId, shares: Shares, trigger: f64, now: Duration) -> Inputs {
+    pub fn inputs(
+        &self,
+        vm: &VmId,
+        shares: NormalizedWeights,
+        trigger: f64,
+        now: Duration,
+    ) -> Inputs {
         let measured = self.measured_at;
         let calm = self.calm_since.map_or(Duration::ZERO, |since| measured.saturating_sub(since));
         Inputs {
@@ -305,9 +311,9 @@
             vm: vm.clone(),
             rung: self.rung,
             shares,
-            trigger: to_parts(trigger),
-            excess: to_parts(self.suffering()),
-            surely: to_parts(self.surely()),
+            trigger: to_ppm(trigger),
+            excess: to_ppm(self.suffering()),
+            surely: to_ppm(self.surely()),
             reports: self.reports,
             age: now.saturating_sub(self.measured_at),
             since_step: self.stepped_at.map_or(Duration::MAX, |at| now.saturating_sub(at)),
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -1,10 +1,10 @@
 //! Gathers what a placement is decided from, and learns from reports.
 
-use super::decide::{ClassState, Feasibility, Inputs, Offer, PassedOver, Shares};
+use super::decide::{ClassState, Feasibility, Inputs, NormalizedWeights, Offer, PassedOver};
 use super::fit::SizeCheck;
 use super::index::{Found, Search, Vm, allowed};
 use super::interference::{Band, Neighbours};
-use super::ladder::{Ladder, to_parts};
+use super::ladder::{Ladder, to_ppm};
 use super::score::{Known, Scorer, without_self};
 use super::{Candidate, Policy};
 use crate::ids::{DomainId, VmId};
@@ -60,18 +60,18 @@
             urgency: spec.urgency,
             waited: candidate.waited,
             shares: self.shares(),
-            trigger: to_parts(self.trigger()),
+            trigger: to_ppm(self.trigger()),
             feasibility,
             class: self.blame.class_state(&spec.class, now),
             passed_over,
             offers,
         };
-        inputs.shorten();
+        inputs.truncate();
         inputs
     }
 
-    pub(super) fn shares(&self) -> Shares {
-        Shares::of(&self.config.weights)
+    pub(super) fn shares(&self) -> NormalizedWeights {
+        NormalizedWeights::of(&self.config.weights)
     }
 
     /// Excess slowdown at which a service is helped, by the operators' weights.
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -1,10 +1,10 @@
 //! Gathers what a step on one VM is decided from, and notes what was decided.
 
-use super::decide::{PARTS, batch_trigger};
-use super::explain::{self, Recorded};
+use super::decide::{PPM, batch_trigger};
+use super::explain::{self, RecordedInputs};
 use super::index::allowed;
 use super::interference::{Band, Neighbours};
-use super::ladder::{self, Culprit, Ladder, Rung, dwell, to_parts};
+use super::ladder::{self, Culprit, Ladder, Rung, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
 use super::score::without_self;
 use super::{Candidate, Decided, Policy, Relief, Resident, eviction, health};
@@ -41,15 +41,15 @@
         {
             self.note_step(vm, &relief, &inputs, now);
             if !matches!(relief, Relief::Health { .. }) {
-                steps.push(self.decided(relief, &Recorded::Ladder(inputs), now));
+                steps.push(self.decided(relief, &RecordedInputs::Ladder(inputs), now));
             }
         }
         steps.extend(self.health_step(vm, now));
         steps
     }
 
-    fn decided(&self, relief: Relief, recorded: &Recorded, now: Duration) -> Decided<Relief> {
-        let record = explain::relief(&relief, recorded, &self.config, now);
+    fn decided(&self, relief: Relief, recorded: &RecordedInputs, now: Duration) -> Decided<Relief> {
+        let record = explain::relief_record(&relief, recorded, &self.config, now);
         Decided { choice: relief, record }
     }
 
@@ -99,9 +99,9 @@
         let excess = |(index, service): (usize, &Neighbours<'_>)| {
             self.model.excess(service.class, &without_self(&services, index), band)
         };
-        let by_services = to_parts(services.iter().enumerate().map(excess).fold(0.0, f64::max));
-        let for_batch = batch_trigger(to_parts(trigger), by_services);
-        (for_batch + by_services) as f64 / PARTS
+        let by_services = to_ppm(services.iter().enumerate().map(excess).fold(0.0, f64::max));
+        let for_batch = batch_trigger(to_ppm(trigger), by_services);
+        (for_batch + by_services) as f64 / PPM
     }
 
     fn culprits(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Culprit> {
@@ -128,8 +128,8 @@
         Culprit {
             task: resident.task,
             attempt: resident.attempt,
-            harm: to_parts(harm),
-            share: to_parts(share),
+            harm: to_ppm(harm),
+            share: to_ppm(share),
             loss: eviction::cost(resident, now).filter(|_| evictable),
         }
     }
@@ -153,7 +153,7 @@
             return None;
         }
         self.asked.insert(vm.clone(), Asked { health, at: now });
-        Some(self.decided(relief, &Recorded::Health(inputs), now))
+        Some(self.decided(relief, &RecordedInputs::Health(inputs), now))
     }
 
     fn health_inputs(&self, vm: &VmId, now: Duration) -> Option<health::Inputs> {
@@ -163,7 +163,7 @@
             at: now,
             vm: vm.clone(),
             present: self.fleet.get(vm)?.view.health,
-            blame: to_parts(self.blame.of(vm)),
+            blame: to_ppm(self.blame.of(vm)),
             quarantined_for: quarantine.map(|quarantine| now.saturating_sub(quarantine.since)),
             rung: ladder.map_or(Rung::Calm, |ladder| ladder.rung),
             ladder: ladder.and_then(Ladder::reason).cloned(),
@@ -186,12 +186,12 @@
         };
         let need = candidate.spec.resources;
         let mut inputs = room::Inputs { at: now, task: candidate.task, need, plans };
-        inputs.shorten();
+        inputs.truncate();
         let relief = inputs.decide()?;
         let best = inputs.best()?.clone();
         self.plans.carried_out(candidate.task, &best, now);
         self.reservations.reserve(candidate.task, &best.vm, now);
-        Some(self.decided(relief, &Recorded::Room(inputs), now))
+        Some(self.decided(relief, &RecordedInputs::Room(inputs), now))
     }
 
     fn room_plans(
--- a/src/core/policy/room.rs
+++ b/src/core/policy/room.rs
@@ -71,7 +71,7 @@
     }
 
     /// Keeps the cheapest plans.
-    pub fn shorten(&mut self) {
+    pub fn truncate(&mut self) {
         self.plans.sort_by(|l, r| (l.loss(), &l.vm).cmp(&(r.loss(), &r.vm)));
         self.plans.truncate(RECORDED_PLANS);
     }
--- a/src/core/policy/score.rs
+++ b/src/core/policy/score.rs
@@ -1,6 +1,6 @@
 //! What placing a task on a VM would cost.
 
-use super::decide::{Offer, PARTS};
+use super::decide::{Offer, PPM};
 use super::index::{Fleet, Vm};
 use super::interference::{self as model, Band, Interference, Neighbours};
 use crate::ids::ClassName;
@@ -276,5 +276,5 @@
 }
 
 fn parts(amount: f64) -> i64 {
-    (amount.clamp(-1e6, 1e6) * PARTS).round() as i64
+    (amount.clamp(-1e6, 1e6) * PPM).round() as i64
 }
