--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -273,7 +273,7 @@
     /// Chooses a VM for a task. The caller reports the effect by [`Policy::upsert_vm`].
     pub fn choose(&mut self, candidate: &Candidate, now: Duration) -> Decided<Choice> {
         self.tick(now);
-        let inputs = self.gather(candidate, now);
+        let inputs = self.placement_inputs(candidate, now);
         let choice = inputs.decide();
         self.note_choice(candidate, &inputs, &choice, now);
         let record = explain::placement_record(candidate, inputs, &choice, &self.config);
@@ -290,7 +290,7 @@
         }
         let measured_at = reports.measured_at;
         if ladder.unchanged_since(measured_at) {
-            self.learn(vm);
+            self.train(vm);
         }
         let trigger = self.trigger_on(vm);
         if let (Some(reports), Some(ladder)) = (self.reports.get(vm), self.ladders.get_mut(vm)) {
--- a/src/core/policy/fit.rs
+++ b/src/core/policy/fit.rs
@@ -1,6 +1,6 @@
 //! Checks whether a task could ever run, and finds the nearest size that could.
 
-use super::index::allowed;
+use super::index::pool_includes;
 use super::quota::{Allowances, minimum};
 use crate::ids::DomainId;
 use crate::model::Pool;
@@ -79,7 +79,7 @@
         self.sizes
             .iter()
             .filter(move |(_, record)| record.count > 0 || record.last_seen + SIZE_RETENTION > now)
-            .filter(move |((domain, _), _)| allowed(pool, domain))
+            .filter(move |((domain, _), _)| pool_includes(pool, domain))
             .map(|((domain, key), _)| (domain, key.size()))
             .filter(move |(_, size)| pool.is_none_or(|pool| pool.min_size.fits_in(size)))
     }
--- a/src/core/policy/hold.rs
+++ b/src/core/policy/hold.rs
@@ -5,7 +5,7 @@
 //! reservations are limited to bound the capacity that they leave idle.
 
 use super::Candidate;
-use super::index::{Fleet, Vm, allowed};
+use super::index::{Fleet, Vm, pool_includes};
 use crate::ids::{DomainId, TaskId, VmId};
 use crate::model::Pool;
 use crate::peer::VmHealth;
@@ -116,7 +116,7 @@
         let usable = |vm: &&Vm| {
             let view = &vm.view;
             view.health == VmHealth::Open
-                && allowed(pool, &view.domain)
+                && pool_includes(pool, &view.domain)
                 && !over_quota.contains(&view.domain)
                 && pool.is_none_or(|pool| pool.min_size.fits_in(&view.size))
                 && candidate.spec.resources.fits_in(&view.size)
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -1,11 +1,11 @@
-//! Gathers what a placement is decided from, and learns from reports.
+//! Collects the inputs of a placement, and trains the interference model from reports.
 
 use super::decide::{ClassState, Feasibility, Inputs, NormalizedWeights, Offer, PassedOver};
 use super::fit::SizeCheck;
-use super::index::{Found, Search, Vm, allowed};
+use super::index::{Search, SearchResult, Vm, pool_includes};
 use super::interference::{Band, Neighbours};
 use super::ladder::{Ladder, to_ppm};
-use super::score::{Known, Scorer, without_self};
+use super::score::{Scorer, VmStats, without_self};
 use super::{Candidate, Policy};
 use crate::ids::{DomainId, VmId};
 use crate::model::{Idempotency, Pool, Urgency};
@@ -13,26 +13,26 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Excess slowdown of a service at which it is helped, with equal weights.
-const TRIGGER: f64 = 0.35;
+/// Excess slowdown above which a service is relieved, with equal weights.
+const BASE_TRIGGER: f64 = 0.35;
 
-/// The trigger for operators who weigh the tail most, and for those who weigh it least.
-const TRIGGER_LEAST: f64 = 0.12;
-const TRIGGER_MOST: f64 = 1.2;
+/// Bounds of the trigger, reached with the highest and the lowest weight of tail latency.
+const MIN_TRIGGER: f64 = 0.12;
+const MAX_TRIGGER: f64 = 1.2;
 
-/// A measurement is of use in placing for this long.
-const FRESH: Duration = Duration::from_secs(60);
+/// How long a measurement is used for placements.
+const MEASUREMENT_TTL: Duration = Duration::from_secs(60);
 
-/// What makes a due probe come before every other VM, in parts.
+/// Score bonus, in ppm, that ranks a due probe before every other VM.
 const PROBE_BONUS: i64 = 1_000_000_000;
 
-/// Share of a new report in the smoothed ratio of used to committed processors.
-const USE_GAIN: f64 = 0.02;
+/// Weight of a new report in the smoothed ratio of used to committed processors.
+const USE_RATIO_GAIN: f64 = 0.02;
 
 impl Policy {
-    pub(super) fn gather(&mut self, candidate: &Candidate, now: Duration) -> Inputs {
+    pub(super) fn placement_inputs(&mut self, candidate: &Candidate, now: Duration) -> Inputs {
         self.reservations.refresh(candidate.task, &self.fleet, now);
-        let held_back = self.reservations.reserved_for_others(candidate.task);
+        let reserved = self.reservations.reserved_for_others(candidate.task);
         let config = self.config.clone();
         let spec = &candidate.spec;
         let pool = config.pools.get(&spec.pool);
@@ -41,16 +41,16 @@
             need: &spec.resources,
             pool,
             avoid: &candidate.avoid,
-            held_back: &held_back,
+            reserved: &reserved,
             over_quota: &over_quota,
             seed: seed(candidate),
         });
         let mut offers = self.offers(candidate, &found, now);
-        offers.extend(self.held_offer(candidate, &offers, now));
+        offers.extend(self.reserved_offer(candidate, &offers, now));
         offers.extend(self.probe_offer(candidate, pool, &over_quota, now));
-        let nowhere = offers.is_empty();
+        let no_offers = offers.is_empty();
         let feasibility = self.feasibility(candidate, pool, now);
-        if nowhere && feasibility == Feasibility::Possible {
+        if no_offers && feasibility == Feasibility::Possible {
             self.reservations.reserve_if_starved(candidate, &self.fleet, pool, &over_quota, now);
         }
         let passed_over = passed_over(&found);
@@ -74,12 +74,12 @@
         NormalizedWeights::of(&self.config.weights)
     }
 
-    /// Excess slowdown at which a service is helped, by the operators' weights.
+    /// Excess slowdown above which a service is relieved, from the operator's weights.
     pub(super) fn trigger(&self) -> f64 {
         let shares = self.shares();
         let tail = (shares.tail.max(1)) as f64;
         let rest = (shares.evictions + shares.throughput) as f64 / 2.0;
-        (TRIGGER * (rest / tail).sqrt()).clamp(TRIGGER_LEAST, TRIGGER_MOST)
+        (BASE_TRIGGER * (rest / tail).sqrt()).clamp(MIN_TRIGGER, MAX_TRIGGER)
     }
 
     fn feasibility(
@@ -94,7 +94,7 @@
         let need = &candidate.spec.resources;
         let allowances = self.quotas.of(&candidate.spec.team);
         let verdict = self.sizes.check(need, pool, allowances, now);
-        // A daemon that is cut off from all VMs knows nothing of what could run.
+        // A daemon that is cut off from all VMs can't tell what could run.
         let known = self.settled(now) && !self.sizes.is_empty();
         if verdict != SizeCheck::Fits && !known {
             return Feasibility::NotYetKnown;
@@ -118,9 +118,9 @@
         self.fleet.domains().filter(full).cloned().collect()
     }
 
-    fn offers(&self, candidate: &Candidate, found: &Found<'_>, now: Duration) -> Vec<Offer> {
+    fn offers(&self, candidate: &Candidate, found: &SearchResult<'_>, now: Duration) -> Vec<Offer> {
         let scorer = self.scorer(candidate);
-        let offer = |vm: &&Vm| scorer.offer(vm, self.known(&vm.view.vm, now));
+        let offer = |vm: &&Vm| scorer.offer(vm, self.vm_stats(&vm.view.vm, now));
         found.sample.iter().map(offer).collect()
     }
 
@@ -133,17 +133,22 @@
         scorer
     }
 
-    /// The offer of the VM that is held for the task, which the sample may have left out.
-    fn held_offer(&self, candidate: &Candidate, offers: &[Offer], now: Duration) -> Option<Offer> {
-        let held = self.reservations.vm_for(candidate.task)?;
-        let vm = self.fleet.get(held)?;
+    /// The offer of the VM reserved for the task, which the sample may not include.
+    fn reserved_offer(
+        &self,
+        candidate: &Candidate,
+        offers: &[Offer],
+        now: Duration,
+    ) -> Option<Offer> {
+        let reserved = self.reservations.vm_for(candidate.task)?;
+        let vm = self.fleet.get(reserved)?;
         let view = &vm.view;
         let fits = view.health == VmHealth::Open && candidate.spec.resources.fits_in(&view.free);
-        let missing = fits && offers.iter().all(|offer| offer.vm != *held);
-        missing.then(|| self.scorer(candidate).offer(vm, self.known(held, now)))
+        let missing = fits && offers.iter().all(|offer| offer.vm != *reserved);
+        missing.then(|| self.scorer(candidate).offer(vm, self.vm_stats(reserved, now)))
     }
 
-    /// The offer of a quarantined VM whose probe is due, for a task that bears a failure.
+    /// The offer of a quarantined VM whose probe is due, if the task can tolerate a failure.
     fn probe_offer(
         &self,
         candidate: &Candidate,
@@ -152,46 +157,47 @@
         now: Duration,
     ) -> Option<Offer> {
         let spec = &candidate.spec;
-        let bears_failure = spec.idempotency == Idempotency::Idempotent
+        let tolerates_failure = spec.idempotency == Idempotency::Idempotent
             && spec.urgency <= Urgency::Normal
             && spec.max_failures > 1
             && candidate.avoid.is_empty()
             && self.blame.class_state(&spec.class, now) == ClassState::Sound;
-        if !bears_failure {
+        if !tolerates_failure {
             return None;
         }
         let due = |vm: &&Vm| {
             let view = &vm.view;
-            allowed(pool, &view.domain)
+            pool_includes(pool, &view.domain)
                 && !over_quota.contains(&view.domain)
                 && pool.is_none_or(|pool| pool.min_size.fits_in(&view.size))
                 && spec.resources.fits_in(&view.free)
                 && self.blame.probe_due(&view.vm, now)
         };
         let vm = self.fleet.quarantined().find(due)?;
-        let offer = self.scorer(candidate).offer(vm, self.known(&vm.view.vm, now));
+        let offer = self.scorer(candidate).offer(vm, self.vm_stats(&vm.view.vm, now));
         Some(Offer { probe: true, penalty: -PROBE_BONUS, ..offer })
     }
 
-    fn known(&self, vm: &VmId, now: Duration) -> Known {
+    fn vm_stats(&self, vm: &VmId, now: Duration) -> VmStats {
         let blame = self.blame.of(vm);
-        let reports = self.reports.get(vm).filter(|reports| reports.measured_at + FRESH > now);
-        let Some(reports) = reports else { return Known { blame, ..Known::default() } };
-        Known {
+        let reports =
+            self.reports.get(vm).filter(|reports| reports.measured_at + MEASUREMENT_TTL > now);
+        let Some(reports) = reports else { return VmStats { blame, ..VmStats::default() } };
+        VmStats {
             load: Some(reports.load),
             suffering: self.ladders.get(vm).map(Ladder::suffering),
             blame,
         }
     }
 
-    /// Learns from the last report taken of a VM.
-    pub(super) fn learn(&mut self, vm: &VmId) {
+    /// Trains the model from the last accepted report of a VM.
+    pub(super) fn train(&mut self, vm: &VmId) {
         let Some(reports) = self.reports.get(vm) else { return };
         if let Some(vm) = self.fleet.get(vm)
             && vm.committed() > 0.05
         {
             let ratio = (reports.load / vm.committed()).clamp(0.1, 1.5);
-            self.use_ratio += (ratio - self.use_ratio) * USE_GAIN;
+            self.use_ratio += (ratio - self.use_ratio) * USE_RATIO_GAIN;
         }
         let band = Band::of(reports.load);
         let neighbours: Vec<_> = reports
@@ -207,7 +213,7 @@
     }
 }
 
-/// A number that differs from task to task, and from attempt to attempt.
+/// A hash that differs between tasks and between attempts.
 fn seed(candidate: &Candidate) -> u64 {
     let mut bytes = [0; 14];
     bytes[..2].copy_from_slice(&candidate.task.partition.0.to_le_bytes());
@@ -216,16 +222,16 @@
     xxh3_64(&bytes)
 }
 
-fn passed_over(found: &Found<'_>) -> PassedOver {
+fn passed_over(found: &SearchResult<'_>) -> PassedOver {
     PassedOver {
-        outside_pool: found.outside,
+        outside_pool: found.outside_pool,
         over_quota: found.over_quota,
         too_small: found.too_small,
         quarantined: found.quarantined,
         avoided: found.avoided,
         leaving: found.leaving,
         no_room: found.no_room,
-        held_back: found.held_back,
+        held_back: found.reserved,
         tried_before: found.tried_before,
         not_sampled: found.not_sampled,
         harmful: 0,
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -2,7 +2,7 @@
 
 use super::decide::{PPM, batch_trigger};
 use super::explain::{self, RecordedInputs};
-use super::index::allowed;
+use super::index::pool_includes;
 use super::interference::{Band, Neighbours};
 use super::ladder::{self, Culprit, Ladder, Rung, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
@@ -208,7 +208,7 @@
             let Some(vm) = self.fleet.get(id) else { continue };
             let view = &vm.view;
             let usable = view.health == VmHealth::Open
-                && allowed(pool, &view.domain)
+                && pool_includes(pool, &view.domain)
                 && pool.is_none_or(|pool| pool.min_size.fits_in(&view.size))
                 && need.fits_in(&view.size)
                 && !over_quota.contains(&view.domain)
--- a/src/core/policy/score.rs
+++ b/src/core/policy/score.rs
@@ -39,7 +39,7 @@
 
 /// What is known of a VM beside its view.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Known {
+pub struct VmStats {
     /// Measured load, where the VM is held here.
     pub load: Option<f64>,
     /// Measured excess slowdown of the services there.
@@ -95,7 +95,7 @@
     }
 
     /// The cost of placing the task on a VM that has room for it.
-    pub fn offer(&self, vm: &Vm, known: Known) -> Offer {
+    pub fn offer(&self, vm: &Vm, known: VmStats) -> Offer {
         let mut cost = Cost::default();
         self.add_slowdowns(vm, known, &mut cost);
         let penalty = self.spread(vm) + known.blame * BLAMED_FAILURE;
@@ -115,7 +115,7 @@
         }
     }
 
-    fn add_slowdowns(&self, vm: &Vm, known: Known, cost: &mut Cost) {
+    fn add_slowdowns(&self, vm: &Vm, known: VmStats, cost: &mut Cost) {
         let (before, after) = self.bands(vm, known);
         let tenants: Vec<_> = vm.view.classes.iter().map(|entry| self.tenant(entry)).collect();
         for (index, tenant) in tenants.iter().enumerate() {
@@ -168,7 +168,7 @@
         suffered
     }
 
-    fn bands(&self, vm: &Vm, known: Known) -> (Band, Band) {
+    fn bands(&self, vm: &Vm, known: VmStats) -> (Band, Band) {
         let size = f64::from(vm.view.size.milli_cores.0.max(1));
         let added = f64::from(self.spec.resources.milli_cores.0) / size * self.use_ratio;
         let load = known.load.unwrap_or(vm.committed() * self.use_ratio);
@@ -212,7 +212,7 @@
         }
         let Some(spread) = self.fleet.spread(class) else { return 0.0 };
         let total = f64::from(spread.total.max(1));
-        let (in_domain, in_rack) = spread.beside(&vm.view);
+        let (in_domain, in_rack) = spread.counts_near(&vm.view);
         let here = vm.view.classes.iter().find(|entry| entry.class == *class);
         let on_vm = here.map_or(0, |entry| entry.count);
         SAME_DOMAIN * f64::from(in_domain) / total
