--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -295,7 +295,7 @@
         let trigger = self.trigger_on(vm);
         if let (Some(reports), Some(ladder)) = (self.reports.get(vm), self.ladders.get_mut(vm)) {
             let services = reports.services(|class| self.services.contains(class));
-            ladder.measured(services, trigger, measured_at);
+            ladder.observe(services, trigger, measured_at);
         }
     }
 
--- a/src/core/policy/explain.rs
+++ b/src/core/policy/explain.rs
@@ -119,13 +119,13 @@
     add("calm for", format!("{:.0} s", ladder.calm.as_secs_f64()));
     add("calm needed for a step back", format!("{:.0} s", ladder.calm_needed.as_secs_f64()));
     add("evictions in the budget", percent(ladder.budget / 100).replace('%', ""));
-    for culprit in &ladder.culprits {
-        let loss = culprit.loss.map_or("not evicted".to_owned(), |loss| {
+    for aggressor in &ladder.culprits {
+        let loss = aggressor.loss.map_or("not evicted".to_owned(), |loss| {
             format!("its eviction loses {} of its run time", percent(loss))
         });
-        let (harm, share) = (percent(culprit.harm), percent(culprit.share));
+        let (harm, share) = (percent(aggressor.harm), percent(aggressor.share));
         add(
-            &format!("task {}", culprit.task),
+            &format!("task {}", aggressor.task),
             format!("slows services by {harm}; has {share} of its processors; {loss}"),
         );
     }
--- a/src/core/policy/health.rs
+++ b/src/core/policy/health.rs
@@ -1,7 +1,7 @@
 //! Decides whether a VM accepts new work, from its failures and its escalation level.
 
 use super::Relief;
-use super::ladder::{self, Rung};
+use super::ladder::{self, EscalationLevel};
 use crate::ids::VmId;
 use crate::peer::VmHealth;
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
     pub blame: i64,
     /// Time since the quarantine began.
     pub quarantined_for: Option<Duration>,
-    pub rung: Rung,
+    pub rung: EscalationLevel,
     /// Inputs of the last step that changed the VM's health.
     pub ladder: Option<ladder::Inputs>,
 }
@@ -35,8 +35,8 @@
             return VmHealth::Quarantined;
         }
         match self.rung {
-            Rung::Avoided => VmHealth::Avoided,
-            Rung::Calm | Rung::Throttled => VmHealth::Open,
+            EscalationLevel::Avoided => VmHealth::Avoided,
+            EscalationLevel::Calm | EscalationLevel::Throttled => VmHealth::Open,
         }
     }
 }
--- a/src/core/policy/ladder.rs
+++ b/src/core/policy/ladder.rs
@@ -1,8 +1,8 @@
-//! Steps against a service's suffering: throttle, avoid, evict, and back.
+//! The escalation ladder that relieves slowed services: throttle, avoid, evict, and back.
 //!
-//! Reports lag, so a step is judged only by measurements taken after it; without that one late
-//! measurement would be punished twice. A step back is taken after a longer calm, and each relapse
-//! doubles the calm that the next step back needs.
+//! Reports lag, so a step is evaluated only by measurements taken after it; otherwise one late
+//! measurement would cause two steps. De-escalation requires a longer calm period, and each relapse
+//! doubles the calm period that the next de-escalation requires.
 
 use super::Relief;
 use super::decide::{NormalizedWeights, PPM};
@@ -12,144 +12,148 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Reports measured after a step before the next.
-const REPORTS_FOR_STEP: u32 = 2;
+/// Reports measured after a step that are required before the next step.
+const MIN_REPORTS_PER_STEP: u32 = 2;
 
-/// Least time between two steps; also several times the reports' lag.
-const LEAST_DWELL: Duration = Duration::from_secs(5);
-const LAGS_FOR_DWELL: u32 = 2;
+/// Minimum time between two steps, which is also at least a multiple of the report lag.
+const MIN_DWELL: Duration = Duration::from_secs(5);
+const DWELL_LAG_FACTOR: u32 = 2;
 
-/// A measurement older than this calls for no step.
-const OLD: Duration = Duration::from_secs(60);
+/// Age above which a measurement triggers no step.
+const MAX_MEASUREMENT_AGE: Duration = Duration::from_secs(60);
 
-/// A VM that sent no report for this long is led back step by step: nothing would ever end a
-/// throttle there otherwise.
-const SILENT: Duration = Duration::from_secs(600);
+/// A VM that sent no report for this long is de-escalated step by step; otherwise nothing would
+/// ever lift a throttle there.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Calm before the first step back, and the longest.
-const FIRST_CALM: Duration = Duration::from_secs(30);
-const LONGEST_CALM: Duration = Duration::from_secs(600);
+/// Bounds of the calm period required before a de-escalation.
+const MIN_CALM: Duration = Duration::from_secs(30);
+const MAX_CALM: Duration = Duration::from_secs(600);
 
-/// Calm is slowdown below this part of the trigger.
-const CALM_PART: f64 = 0.6;
+/// Fraction of the trigger below which slowdown counts as calm.
+const CALM_RATIO: f64 = 0.6;
 
-/// A step back must not be expected to bring slowdown above this part of the trigger.
-const RESTORE_PART: f64 = 0.85;
+/// Fraction of the trigger that the slowdown predicted after a de-escalation must stay below.
+const RESTORE_RATIO: f64 = 0.85;
 
-/// Least share of a new report in the smoothed slowdown, and in its smoothed variance.
-const GAIN: f64 = 0.3;
+/// Minimum weight of a new report in the smoothed slowdown, and its weight in the variance.
+const MIN_MEAN_GAIN: f64 = 0.3;
 const VARIANCE_GAIN: f64 = 0.1;
 
-/// Variance of one report before any was taken.
-const FIRST_VARIANCE: f64 = 0.01;
+/// Assumed variance of a report before any was received.
+const INITIAL_VARIANCE: f64 = 0.01;
 
-/// A service suffers when its smoothed slowdown is over the trigger by so many standard errors:
-/// else the noise of reports alone calls for steps on one VM or another all the time.
-const ERRORS: f64 = 1.0;
+/// Number of standard errors by which the smoothed slowdown must exceed the trigger. Without this
+/// margin, noise in the reports alone would cause steps on one VM or another all the time.
+const CONFIDENCE_ERRORS: f64 = 1.0;
 
-/// Each throttling leaves this part of a task's processors.
-const THROTTLE_STEP: f64 = 0.5;
+/// Factor applied to a task's CPU share by each throttling step.
+const THROTTLE_FACTOR: f64 = 0.5;
 
-/// The least share that a task is throttled to.
-const LEAST_SHARE: f64 = 0.25;
+/// Lowest CPU share that a task is throttled to.
+const MIN_SHARE: f64 = 0.25;
 
-/// A task that causes less than this part of the slowdown is no culprit.
-const CULPRIT_DIVISOR: i64 = 10;
+/// A task is throttled only if it causes at least `1 / MIN_HARM_DIVISOR` of the slowdown.
+const MIN_HARM_DIVISOR: i64 = 10;
 
-/// If all batch tasks together cause less than this part of the slowdown, no step helps: the
-/// services slow each other, and a VM would be avoided for ever.
-const BATCH_DIVISOR: i64 = 5;
+/// If all batch tasks together cause less than `1 / MIN_BATCH_DIVISOR` of the slowdown, no step
+/// helps: the services slow each other, and the VM would be avoided for good.
+const MIN_BATCH_DIVISOR: i64 = 5;
 
-/// How much the relief of a service counts against the loss of an eviction.
-const RELIEF_FACTOR: i64 = 4;
+/// Weight of a service's relief relative to the work lost by an eviction.
+const RELIEF_WEIGHT: i64 = 4;
 
-/// How far a VM is on the ladder.
+/// Escalation level of a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Rung {
+pub enum EscalationLevel {
     #[default]
     Calm,
     Throttled,
     Avoided,
 }
 
-/// A batch task beside suffering services, with what it is thought to cause.
+/// A batch task on a VM with slowed services, and its estimated effect on them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Culprit {
+pub struct Aggressor {
     pub task: TaskId,
     pub attempt: Attempt,
-    /// Slowdown of the services there that it causes as it is throttled now, in parts.
+    /// Slowdown that it causes to the services there at its current CPU share, in ppm.
     pub harm: i64,
-    /// Share of its processors that it has, in parts.
+    /// Current CPU share, in ppm.
     pub share: i64,
-    /// What evicting it would lose, in parts; nothing if it is not to be evicted.
+    /// Work lost by evicting it, in ppm; `None` if it must not be evicted.
     pub loss: Option<i64>,
 }
 
-/// What a step is decided from.
+/// Inputs of an escalation decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inputs {
     pub at: Duration,
     pub vm: VmId,
-    pub rung: Rung,
+    pub rung: EscalationLevel,
     pub shares: NormalizedWeights,
-    /// Excess slowdown at which a service is helped, in parts.
+    /// Excess slowdown above which a service is relieved, in ppm.
     pub trigger: i64,
-    /// Smoothed excess slowdown of the service that suffers most, in parts.
+    /// Smoothed excess slowdown of the most affected service, in ppm.
     pub excess: i64,
-    /// The same less a margin for the noise of reports.
+    /// Lower confidence bound of the highest excess slowdown, in ppm.
     pub surely: i64,
     /// Measurements since the last step, and the age of the newest.
     pub reports: u32,
     pub age: Duration,
     pub since_step: Duration,
     pub dwell: Duration,
-    /// Time below the trigger by a margin, and how much of it a step back needs.
+    /// Time spent calm, and the time required for a de-escalation.
     pub calm: Duration,
     pub calm_needed: Duration,
-    /// Evictions allowed, in parts.
+    /// Evictions allowed, in ppm.
     pub budget: i64,
-    /// Batch tasks there, in the order of their ids.
-    pub culprits: Vec<Culprit>,
+    /// Batch tasks on the VM, ordered by id.
+    pub culprits: Vec<Aggressor>,
 }
 
 impl Inputs {
-    /// The step that follows from the inputs, if one is due.
+    /// Returns the step that the inputs call for, if any.
     pub fn decide(&self) -> Option<Relief> {
-        if self.age > SILENT && self.since_step > SILENT {
-            return self.step_back();
+        if self.age > SILENCE_TIMEOUT && self.since_step > SILENCE_TIMEOUT {
+            return self.de_escalate();
         }
-        if self.since_step < self.dwell || self.reports < REPORTS_FOR_STEP || self.age > OLD {
+        if self.since_step < self.dwell
+            || self.reports < MIN_REPORTS_PER_STEP
+            || self.age > MAX_MEASUREMENT_AGE
+        {
             return None;
         }
         if self.surely > self.trigger {
-            return self.step_up();
+            return self.escalate();
         }
         if self.calm >= self.calm_needed {
-            return self.step_back();
+            return self.de_escalate();
         }
         None
     }
 
-    fn step_up(&self) -> Option<Relief> {
-        let harm: i64 = self.culprits.iter().map(|culprit| culprit.harm).sum();
-        if harm < self.excess / BATCH_DIVISOR {
+    fn escalate(&self) -> Option<Relief> {
+        let harm: i64 = self.culprits.iter().map(|aggressor| aggressor.harm).sum();
+        if harm < self.excess / MIN_BATCH_DIVISOR {
             return None;
         }
         match self.rung {
-            Rung::Calm => self.throttle().or_else(|| self.avoid()),
-            Rung::Throttled => self.avoid(),
-            Rung::Avoided => self.throttle().or_else(|| self.evict()),
+            EscalationLevel::Calm => self.throttle().or_else(|| self.avoid()),
+            EscalationLevel::Throttled => self.avoid(),
+            EscalationLevel::Avoided => self.throttle().or_else(|| self.evict()),
         }
     }
 
     fn throttle(&self) -> Option<Relief> {
-        let least = to_ppm(LEAST_SHARE);
-        let open = |culprit: &&Culprit| {
-            culprit.share > least && culprit.harm >= self.excess / CULPRIT_DIVISOR
+        let least = to_ppm(MIN_SHARE);
+        let throttleable = |aggressor: &&Aggressor| {
+            aggressor.share > least && aggressor.harm >= self.excess / MIN_HARM_DIVISOR
         };
-        let worst = self.culprits.iter().filter(open).max_by_key(|culprit| culprit.harm)?;
-        let share = (worst.share as f64 / PPM * THROTTLE_STEP).max(LEAST_SHARE);
+        let worst =
+            self.culprits.iter().filter(throttleable).max_by_key(|aggressor| aggressor.harm)?;
+        let share = (worst.share as f64 / PPM * THROTTLE_FACTOR).max(MIN_SHARE);
         Some(Relief::Throttle { vm: self.vm.clone(), task: worst.task, share })
     }
 
@@ -157,68 +161,69 @@
         Some(Relief::Health { vm: self.vm.clone(), health: VmHealth::Avoided })
     }
 
-    /// Evicts the task that gives most relief for its loss, if that is worth it by the weights.
+    /// Evicts the task with the highest net gain, if the weights make any eviction worthwhile.
     fn evict(&self) -> Option<Relief> {
         if self.budget < to_ppm(1.0) {
             return None;
         }
-        let worth = |culprit: &&Culprit| self.gain(culprit) > 0;
-        let best = self.culprits.iter().filter(worth).max_by_key(|culprit| self.gain(culprit))?;
+        let worthwhile = |aggressor: &&Aggressor| self.gain(aggressor) > 0;
+        let best =
+            self.culprits.iter().filter(worthwhile).max_by_key(|aggressor| self.gain(aggressor))?;
         Some(Relief::Evict { vm: self.vm.clone(), task: best.task, attempt: best.attempt })
     }
 
-    fn gain(&self, culprit: &Culprit) -> i64 {
-        let Some(loss) = culprit.loss else { return 0 };
-        self.shares.tail * culprit.harm * RELIEF_FACTOR - self.shares.evictions * loss
+    fn gain(&self, aggressor: &Aggressor) -> i64 {
+        let Some(loss) = aggressor.loss else { return 0 };
+        self.shares.tail * aggressor.harm * RELIEF_WEIGHT - self.shares.evictions * loss
     }
 
-    fn step_back(&self) -> Option<Relief> {
+    fn de_escalate(&self) -> Option<Relief> {
         let whole = to_ppm(1.0);
-        let limit = (self.trigger as f64 * RESTORE_PART) as i64;
-        let throttled = self.culprits.iter().filter(|culprit| culprit.share < whole);
-        let rise = |culprit: &Culprit| {
-            let full = culprit.harm * whole / culprit.share.max(1);
-            let next = (culprit.share * 2).min(whole);
-            full * next / whole - culprit.harm
+        let limit = (self.trigger as f64 * RESTORE_RATIO) as i64;
+        let throttled = self.culprits.iter().filter(|aggressor| aggressor.share < whole);
+        let rise = |aggressor: &Aggressor| {
+            let full = aggressor.harm * whole / aggressor.share.max(1);
+            let next = (aggressor.share * 2).min(whole);
+            full * next / whole - aggressor.harm
         };
-        let least = throttled.min_by_key(|culprit| (rise(culprit), culprit.task));
+        let least = throttled.min_by_key(|aggressor| (rise(aggressor), aggressor.task));
         if let Some(least) = least {
-            let silent = self.age > SILENT;
+            let silent = self.age > SILENCE_TIMEOUT;
             let long_calm = self.calm >= self.calm_needed * 4;
             let safe = silent || long_calm || self.excess + rise(least) < limit;
-            let share = (least.share as f64 / PPM / THROTTLE_STEP).min(1.0);
+            let share = (least.share as f64 / PPM / THROTTLE_FACTOR).min(1.0);
             let task = least.task;
             return safe.then(|| Relief::Throttle { vm: self.vm.clone(), task, share });
         }
-        let opens = self.rung != Rung::Calm;
+        let opens = self.rung != EscalationLevel::Calm;
         opens.then(|| Relief::Health { vm: self.vm.clone(), health: VmHealth::Open })
     }
 }
 
-/// An amount in parts.
+/// Converts a fraction to ppm.
 pub fn to_ppm(amount: f64) -> i64 {
     (amount.clamp(-1e6, 1e6) * PPM).round() as i64
 }
 
-/// Smoothed slowdown of one service.
+/// Exponentially smoothed slowdown of one service.
 #[derive(Clone, Copy, Debug)]
-struct Smoothed {
+struct SmoothedSlowdown {
     mean: f64,
     variance: f64,
     /// Reports since the last step.
     count: u32,
 }
 
-impl Default for Smoothed {
+impl Default for SmoothedSlowdown {
     fn default() -> Self {
-        Self { mean: 0.0, variance: FIRST_VARIANCE, count: 0 }
+        Self { mean: 0.0, variance: INITIAL_VARIANCE, count: 0 }
     }
 }
 
-impl Smoothed {
-    fn take(&mut self, excess: f64) {
+impl SmoothedSlowdown {
+    fn update(&mut self, excess: f64) {
         self.count += 1;
-        let gain = (1.0 / f64::from(self.count)).max(GAIN);
+        let gain = (1.0 / f64::from(self.count)).max(MIN_MEAN_GAIN);
         let deviation = excess - self.mean;
         if self.count > 1 {
             self.variance += (deviation * deviation - self.variance) * VARIANCE_GAIN;
@@ -227,37 +232,37 @@
     }
 
     /// Standard error of the mean.
-    fn error(&self) -> f64 {
-        let steady = GAIN / (2.0 - GAIN);
+    fn standard_error(&self) -> f64 {
+        let steady = MIN_MEAN_GAIN / (2.0 - MIN_MEAN_GAIN);
         let share = (1.0 / f64::from(self.count.max(1))).max(steady);
         (self.variance * share).sqrt()
     }
 
-    /// Excess slowdown that is surely there.
-    fn surely(&self) -> f64 {
-        (self.mean - ERRORS * self.error()).max(0.0)
+    /// Lower confidence bound of the excess slowdown.
+    fn lower_bound(&self) -> f64 {
+        (self.mean - CONFIDENCE_ERRORS * self.standard_error()).max(0.0)
     }
 }
 
-/// Where one VM is on the ladder.
+/// Escalation state of one VM.
 #[derive(Clone, Debug, Default)]
 pub struct Ladder {
-    pub rung: Rung,
-    /// Shares that tasks were throttled to.
+    pub rung: EscalationLevel,
+    /// CPU shares of throttled tasks.
     pub throttled: IndexMap<TaskId, f64>,
     stepped_at: Option<Duration>,
     reports: u32,
-    services: IndexMap<ClassName, Smoothed>,
+    services: IndexMap<ClassName, SmoothedSlowdown>,
     measured_at: Duration,
     calm_since: Option<Duration>,
     calm_needed: Duration,
-    stepped_back_at: Option<Duration>,
-    reason: Option<Box<Inputs>>,
+    de_escalated_at: Option<Duration>,
+    last_health_step: Option<Box<Inputs>>,
 }
 
 impl Ladder {
-    /// Takes the excess slowdowns of the services there, as measured at `at`.
-    pub fn measured<'a>(
+    /// Updates the excess slowdowns of the services on the VM with a measurement taken at `at`.
+    pub fn observe<'a>(
         &mut self,
         services: impl Iterator<Item = (&'a ClassName, f64)>,
         trigger: f64,
@@ -267,32 +272,32 @@
             return;
         }
         for (class, excess) in services {
-            self.services.entry(class.clone()).or_default().take(excess);
+            self.services.entry(class.clone()).or_default().update(excess);
         }
         self.reports += 1;
         self.measured_at = at;
-        if self.suffering() >= trigger * CALM_PART {
+        if self.worst_excess() >= trigger * CALM_RATIO {
             self.calm_since = None;
         } else {
             self.calm_since.get_or_insert(at);
         }
     }
 
-    /// Smoothed excess slowdown of the service that suffers most.
-    pub fn suffering(&self) -> f64 {
+    /// Smoothed excess slowdown of the most affected service.
+    pub fn worst_excess(&self) -> f64 {
         self.services.values().map(|service| service.mean).fold(0.0, f64::max)
     }
 
-    fn surely(&self) -> f64 {
-        self.services.values().map(Smoothed::surely).fold(0.0, f64::max)
+    fn lower_bound(&self) -> f64 {
+        self.services.values().map(SmoothedSlowdown::lower_bound).fold(0.0, f64::max)
     }
 
-    /// Forgets throttles of tasks that left.
+    /// Drops the throttles of tasks that left the VM.
     pub fn retain(&mut self, present: impl Fn(&TaskId) -> bool) {
         self.throttled.retain(|task, _| present(task));
     }
 
-    /// Share of its processors that the task has.
+    /// CPU share of the task.
     pub fn share(&self, task: &TaskId) -> f64 {
         self.throttled.get(task).copied().unwrap_or(1.0)
     }
@@ -312,50 +317,52 @@
             rung: self.rung,
             shares,
             trigger: to_ppm(trigger),
-            excess: to_ppm(self.suffering()),
-            surely: to_ppm(self.surely()),
+            excess: to_ppm(self.worst_excess()),
+            surely: to_ppm(self.lower_bound()),
             reports: self.reports,
             age: now.saturating_sub(self.measured_at),
             since_step: self.stepped_at.map_or(Duration::MAX, |at| now.saturating_sub(at)),
-            dwell: LEAST_DWELL,
+            dwell: MIN_DWELL,
             calm,
-            calm_needed: self.calm_needed.max(FIRST_CALM),
+            calm_needed: self.calm_needed.max(MIN_CALM),
             budget: 0,
             culprits: Vec::new(),
         }
     }
 
-    /// What the step to this rung was decided from.
-    pub fn reason(&self) -> Option<&Inputs> {
-        self.reason.as_deref()
+    /// Inputs of the last step that changed the VM's health.
+    pub fn last_health_step(&self) -> Option<&Inputs> {
+        self.last_health_step.as_deref()
     }
 
-    /// Whether the throttles in force are those at the time of a measurement.
+    /// Whether the throttles have not changed since a measurement was taken.
     pub fn unchanged_since(&self, at: Duration) -> bool {
         self.stepped_at.is_none_or(|stepped| at > stepped)
     }
 
-    /// Notes a step that was decided.
-    pub fn stepped(&mut self, relief: &Relief, inputs: &Inputs, now: Duration) {
+    /// Records a step that was decided.
+    pub fn record_step(&mut self, relief: &Relief, inputs: &Inputs, now: Duration) {
         if matches!(relief, Relief::Health { .. }) {
-            self.reason = Some(Box::new(inputs.clone()));
+            self.last_health_step = Some(Box::new(inputs.clone()));
         }
-        let back = self.is_back(relief);
+        let de_escalated = self.is_de_escalation(relief);
         match relief {
             Relief::Throttle { task, share, .. } if *share >= 1.0 => {
                 self.throttled.shift_remove(task);
             }
             Relief::Throttle { task, share, .. } => {
                 self.throttled.insert(*task, *share);
-                self.rung = self.rung.max(Rung::Throttled);
+                self.rung = self.rung.max(EscalationLevel::Throttled);
             }
-            Relief::Health { health: VmHealth::Avoided, .. } => self.rung = Rung::Avoided,
-            Relief::Health { .. } => self.rung = Rung::Calm,
+            Relief::Health { health: VmHealth::Avoided, .. } => {
+                self.rung = EscalationLevel::Avoided
+            }
+            Relief::Health { .. } => self.rung = EscalationLevel::Calm,
             Relief::Evict { task, .. } => {
                 self.throttled.shift_remove(task);
             }
         }
-        self.pace(back, now);
+        self.adjust_calm(de_escalated, now);
         self.stepped_at = Some(now);
         self.reports = 0;
         for service in self.services.values_mut() {
@@ -364,7 +371,7 @@
         self.calm_since = None;
     }
 
-    fn is_back(&self, relief: &Relief) -> bool {
+    fn is_de_escalation(&self, relief: &Relief) -> bool {
         match relief {
             Relief::Throttle { task, share, .. } => *share > self.share(task),
             Relief::Health { health, .. } => *health == VmHealth::Open,
@@ -372,19 +379,19 @@
         }
     }
 
-    /// Doubles the calm that is needed when a step back turns out to have been too early.
-    fn pace(&mut self, back: bool, now: Duration) {
-        if back {
-            self.stepped_back_at = Some(now);
+    /// Doubles the required calm period if the last de-escalation was too early; else resets it.
+    fn adjust_calm(&mut self, de_escalated: bool, now: Duration) {
+        if de_escalated {
+            self.de_escalated_at = Some(now);
             return;
         }
-        let needed = self.calm_needed.max(FIRST_CALM);
-        let relapse = self.stepped_back_at.is_some_and(|at| now < at + needed * 2);
-        self.calm_needed = if relapse { (needed * 2).min(LONGEST_CALM) } else { FIRST_CALM };
+        let needed = self.calm_needed.max(MIN_CALM);
+        let relapse = self.de_escalated_at.is_some_and(|at| now < at + needed * 2);
+        self.calm_needed = if relapse { (needed * 2).min(MAX_CALM) } else { MIN_CALM };
     }
 }
 
-/// Time between two steps on a VM whose reports lag by so much.
+/// Minimum time between two steps on a VM whose reports have this lag.
 pub fn dwell(lag: Duration) -> Duration {
-    (lag * LAGS_FOR_DWELL).max(LEAST_DWELL)
+    (lag * DWELL_LAG_FACTOR).max(MIN_DWELL)
 }
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -4,7 +4,7 @@
 use super::explain::{self, RecordedInputs};
 use super::index::pool_includes;
 use super::interference::{Band, Neighbours};
-use super::ladder::{self, Culprit, Ladder, Rung, dwell, to_ppm};
+use super::ladder::{self, Aggressor, EscalationLevel, Ladder, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
 use super::score::without_self;
 use super::{Candidate, Decided, Policy, Relief, Resident, eviction, health};
@@ -55,7 +55,7 @@
 
     fn note_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
         if let Some(ladder) = self.ladders.get_mut(vm) {
-            ladder.stepped(relief, inputs, now);
+            ladder.record_step(relief, inputs, now);
         }
         if let Relief::Evict { .. } = relief {
             self.budget.spend();
@@ -104,7 +104,7 @@
         (for_batch + by_services) as f64 / PPM
     }
 
-    fn culprits(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Culprit> {
+    fn culprits(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Aggressor> {
         let Some(reports) = self.reports.get(vm) else { return Vec::new() };
         let Some(ladder) = self.ladders.get(vm) else { return Vec::new() };
         let band = Band::of(reports.load);
@@ -121,11 +121,11 @@
         ladder: &Ladder,
         band: Band,
         now: Duration,
-    ) -> Culprit {
+    ) -> Aggressor {
         let share = ladder.share(&resident.task);
         let harm = self.harm(vm, &resident.spec.class, band) * share;
         let evictable = !eviction::nearly_done(resident, now);
-        Culprit {
+        Aggressor {
             task: resident.task,
             attempt: resident.attempt,
             harm: to_ppm(harm),
@@ -165,8 +165,8 @@
             present: self.fleet.get(vm)?.view.health,
             blame: to_ppm(self.blame.of(vm)),
             quarantined_for: quarantine.map(|quarantine| now.saturating_sub(quarantine.since)),
-            rung: ladder.map_or(Rung::Calm, |ladder| ladder.rung),
-            ladder: ladder.and_then(Ladder::reason).cloned(),
+            rung: ladder.map_or(EscalationLevel::Calm, |ladder| ladder.rung),
+            ladder: ladder.and_then(Ladder::last_health_step).cloned(),
         })
     }
 
