--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -245,7 +245,7 @@
 
     /// Learns of a VM, or of a change to it. The classes of the view include service instances.
     pub fn upsert_vm(&mut self, view: VmView) {
-        self.quotas.learn_domain(&view.domain, &self.config);
+        self.quotas.add_domain(&view.domain, &self.config);
         count_usage(&mut self.quotas, &self.config, &view, Quotas::commit);
         self.sizes.add(&view, self.now);
         if let Some(old) = self.fleet.upsert(view) {
--- a/src/core/policy/interference.rs
+++ b/src/core/policy/interference.rs
@@ -1,71 +1,71 @@
-//! How much one class slows another, learned from reports.
+//! Interference model: how much one class slows another, learned online from reports.
 //!
-//! The excess slowdown of a class is taken as a sum over its neighbours. Each neighbour's effect is
-//! a sum of terms from the general to the particular: of all classes, of the victim's class, of the
-//! aggressor's, of the pair, and of the pair in one band of load. An error is shared out over the
-//! terms, more to the general ones while the particular ones have seen little; so a pair that was
-//! rarely measured is predicted from its classes' means. The gains never fall below a floor, so
-//! that what was learned before a shift is forgotten.
+//! The excess slowdown of a class is modelled as a sum over its neighbours. The effect of each
+//! neighbour is a sum of terms of increasing specificity: global, victim class, aggressor class,
+//! pair, and pair within a load band. The prediction error is distributed over the terms, with
+//! larger corrections to the general ones while the specific ones have few observations, so a
+//! rarely measured pair is predicted from its classes' means. Learning rates never fall below a
+//! minimum, so that the model forgets what it learned before a change.
 
 use crate::ids::ClassName;
 use indexmap::IndexMap;
 
-/// Classes told apart; later ones are predicted by the general term alone.
+/// Maximum number of classes with terms of their own; later classes have none.
 const MAX_CLASSES: usize = 1024;
 
-/// Pairs remembered; beyond it a little-seen one makes room.
+/// Maximum number of pairs; above it a rarely observed pair is evicted for each new one.
 const MAX_PAIRS: usize = 8192;
 
-/// Pairs looked at to find one that makes room.
+/// Number of pairs examined to choose the one to evict.
 const PAIR_SCAN: usize = 16;
 
-/// Bands of load.
+/// Number of load bands.
 pub const BANDS: usize = 4;
 
-/// Lowest load of each band but the first.
+/// Lower bound of each load band except the first.
 const BAND_EDGES: [f64; BANDS - 1] = [0.4, 0.6, 0.8];
 
-/// One report's error counts at most this much, so that one broken measurement teaches little.
+/// Limit on the error of one report, so that one broken measurement has little effect.
 const MAX_ERROR: f64 = 1.0;
 
-/// Largest effect of one neighbour.
+/// Upper bound of the effect of one neighbour.
 const MAX_EFFECT: f64 = 4.0;
 
-/// Share of an error that a term takes when it is new, and at the least.
+/// Learning rate of a term: the fraction of an error that it absorbs at first, and at least.
 #[derive(Clone, Copy, Debug)]
-struct Gain {
-    first: f64,
-    floor: f64,
+struct LearningRate {
+    initial: f64,
+    min: f64,
 }
 
-const GENERAL: Gain = Gain { first: 0.10, floor: 0.002 };
-const CLASS: Gain = Gain { first: 0.20, floor: 0.01 };
-const PAIR: Gain = Gain { first: 0.30, floor: 0.03 };
-const CELL: Gain = Gain { first: 0.20, floor: 0.02 };
+const GLOBAL_RATE: LearningRate = LearningRate { initial: 0.10, min: 0.002 };
+const CLASS_RATE: LearningRate = LearningRate { initial: 0.20, min: 0.01 };
+const PAIR_RATE: LearningRate = LearningRate { initial: 0.30, min: 0.03 };
+const BAND_RATE: LearningRate = LearningRate { initial: 0.20, min: 0.02 };
 
-/// A band of load.
+/// A load band.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Band(usize);
 
 impl Band {
-    /// The band of a load of 0 to 1.
+    /// The band that contains a load between 0 and 1.
     pub fn of(load: f64) -> Self {
         Self(BAND_EDGES.iter().filter(|edge| load >= **edge).count())
     }
 }
 
-/// One learned term.
+/// One learned term of the model.
 #[derive(Clone, Copy, Debug, Default)]
 struct Term {
     value: f64,
-    seen: f64,
+    observations: f64,
 }
 
 impl Term {
-    fn learn(&mut self, error: f64, gain: Gain) {
-        let share = (gain.first * 4.0 / (4.0 + self.seen)).max(gain.floor);
+    fn learn(&mut self, error: f64, rate: LearningRate) {
+        let share = (rate.initial * 4.0 / (4.0 + self.observations)).max(rate.min);
         self.value += error * share;
-        self.seen += 1.0;
+        self.observations += 1.0;
     }
 }
 
@@ -77,11 +77,11 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Pair {
-    all: Term,
-    cells: [Term; BANDS],
+    all_bands: Term,
+    bands: [Term; BANDS],
 }
 
-/// Whether reports change the model.
+/// Whether reports update the model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Learning {
     #[default]
@@ -89,89 +89,89 @@
     Off,
 }
 
-/// A class as the model knows it.
+/// The index of a class in the model; `None` if the model doesn't know the class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known(Option<u32>);
+pub struct ClassIndex(Option<u32>);
 
-/// Tasks of one class beside each other.
+/// The tasks of one class on a VM.
 #[derive(Clone, Copy, Debug)]
 pub struct Neighbours<'a> {
     pub class: &'a ClassName,
-    /// Number of tasks; a throttled one counts by its share.
+    /// Number of tasks; a throttled one counts by its CPU share.
     pub weight: f64,
 }
 
-/// The learned effects.
+/// The interference model.
 #[derive(Clone, Debug, Default)]
 pub struct Interference {
     learning: Learning,
-    general: Term,
+    global: Term,
     classes: IndexMap<ClassName, ClassTerms>,
     pairs: IndexMap<(u32, u32), Pair>,
-    hand: usize,
+    eviction_cursor: usize,
 }
 
 impl Interference {
-    /// A model that knows nothing yet.
+    /// Creates a model without observations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether reports change the model.
+    /// Sets whether reports update the model.
     pub fn with_learning(mut self, learning: Learning) -> Self {
         self.learning = learning;
         self
     }
 
-    /// Sets the effect of a pair in one band, as known from elsewhere.
+    /// Sets the effect of a pair in one band from an external source.
     pub fn set(&mut self, victim: &ClassName, aggressor: &ClassName, band: Band, effect: f64) {
-        let general = self.general.value;
+        let global = self.global.value;
         let (Some(v), Some(a)) = (self.intern(victim), self.intern(aggressor)) else { return };
-        let prior = general + self.victim_term(v) + self.aggressor_term(a);
+        let prior = global + self.victim_term(v) + self.aggressor_term(a);
         let pair = self.pair_mut(v, a);
-        let rest = effect - prior - pair.all.value;
-        pair.cells[band.0].value = rest;
+        let correction = effect - prior - pair.all_bands.value;
+        pair.bands[band.0].value = correction;
     }
 
-    /// Looks a class up, once for many effects.
-    pub fn known(&self, class: &ClassName) -> Known {
-        Known(self.classes.get_index_of(class).and_then(index))
+    /// Looks up a class, to be reused for many effects.
+    pub fn lookup(&self, class: &ClassName) -> ClassIndex {
+        ClassIndex(self.classes.get_index_of(class).and_then(index))
     }
 
-    /// Excess slowdown that one task of `aggressor` causes to one of `victim`.
+    /// Predicted excess slowdown that one task of `aggressor` causes to one of `victim`.
     pub fn effect(&self, victim: &ClassName, aggressor: &ClassName, band: Band) -> f64 {
-        self.effect_of(self.known(victim), self.known(aggressor), band)
+        self.effect_of(self.lookup(victim), self.lookup(aggressor), band)
     }
 
-    /// The same of classes that were looked up.
-    pub fn effect_of(&self, victim: Known, aggressor: Known, band: Band) -> f64 {
-        let raw = match (victim.0, aggressor.0) {
-            (Some(v), Some(a)) => self.raw(v, a, band),
-            (Some(v), None) => self.general.value + self.victim_term(v),
-            (None, Some(a)) => self.general.value + self.aggressor_term(a),
-            (None, None) => self.general.value,
+    /// Same as [`effect`](Self::effect), for classes that were already looked up.
+    pub fn effect_of(&self, victim: ClassIndex, aggressor: ClassIndex, band: Band) -> f64 {
+        let unclamped_effect = match (victim.0, aggressor.0) {
+            (Some(v), Some(a)) => self.unclamped_effect(v, a, band),
+            (Some(v), None) => self.global.value + self.victim_term(v),
+            (None, Some(a)) => self.global.value + self.aggressor_term(a),
+            (None, None) => self.global.value,
         };
-        raw.clamp(0.0, MAX_EFFECT)
+        unclamped_effect.clamp(0.0, MAX_EFFECT)
     }
 
-    /// Excess slowdown of a class beside its neighbours.
+    /// Predicted excess slowdown of a class beside its neighbours.
     pub fn excess(&self, victim: &ClassName, neighbours: &[Neighbours<'_>], band: Band) -> f64 {
         neighbours.iter().map(|n| n.weight * self.effect(victim, n.class, band)).sum()
     }
 
-    /// Times that a pair was measured, in any band.
-    pub fn seen(&self, victim: &ClassName, aggressor: &ClassName) -> f64 {
-        let (v, a) = (self.known(victim).0, self.known(aggressor).0);
+    /// Number of measurements of a pair, over all bands.
+    pub fn observations(&self, victim: &ClassName, aggressor: &ClassName) -> f64 {
+        let (v, a) = (self.lookup(victim).0, self.lookup(aggressor).0);
         let pair = v.zip(a).and_then(|key| self.pairs.get(&key));
-        pair.map_or(0.0, |pair| pair.all.seen)
+        pair.map_or(0.0, |pair| pair.all_bands.observations)
     }
 
-    /// Pairs that are remembered.
+    /// Number of pairs in the model.
     pub fn pairs(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Learns from one measured slowdown of a class beside its neighbours.
+    /// Updates the model with one measured slowdown of a class beside its neighbours.
     pub fn learn(
         &mut self,
         victim: &ClassName,
@@ -188,23 +188,23 @@
         let Some(v) = self.intern(victim) else { return };
         for n in neighbours {
             let Some(a) = self.intern(n.class) else { continue };
-            self.share_out(v, a, band, error * n.weight / norm);
+            self.distribute_error(v, a, band, error * n.weight / norm);
         }
     }
 
-    fn share_out(&mut self, v: u32, a: u32, band: Band, error: f64) {
-        self.general.learn(error, GENERAL);
-        self.class_mut(v).victim.learn(error, CLASS);
-        self.class_mut(a).aggressor.learn(error, CLASS);
+    fn distribute_error(&mut self, v: u32, a: u32, band: Band, error: f64) {
+        self.global.learn(error, GLOBAL_RATE);
+        self.class_mut(v).victim.learn(error, CLASS_RATE);
+        self.class_mut(a).aggressor.learn(error, CLASS_RATE);
         let pair = self.pair_mut(v, a);
-        pair.all.learn(error, PAIR);
-        pair.cells[band.0].learn(error, CELL);
+        pair.all_bands.learn(error, PAIR_RATE);
+        pair.bands[band.0].learn(error, BAND_RATE);
     }
 
-    fn raw(&self, v: u32, a: u32, band: Band) -> f64 {
-        let prior = self.general.value + self.victim_term(v) + self.aggressor_term(a);
+    fn unclamped_effect(&self, v: u32, a: u32, band: Band) -> f64 {
+        let prior = self.global.value + self.victim_term(v) + self.aggressor_term(a);
         match self.pairs.get(&(v, a)) {
-            Some(pair) => prior + pair.all.value + pair.cells[band.0].value,
+            Some(pair) => prior + pair.all_bands.value + pair.bands[band.0].value,
             None => prior,
         }
     }
@@ -238,19 +238,19 @@
 
     fn pair_mut(&mut self, v: u32, a: u32) -> &mut Pair {
         if !self.pairs.contains_key(&(v, a)) && self.pairs.len() >= MAX_PAIRS {
-            self.drop_little_seen();
+            self.evict_rarely_observed();
         }
         self.pairs.entry((v, a)).or_default()
     }
 
-    fn drop_little_seen(&mut self) {
+    fn evict_rarely_observed(&mut self) {
         let len = self.pairs.len();
-        let scan = (0..PAIR_SCAN).map(|step| (self.hand + step) % len);
+        let scan = (0..PAIR_SCAN).map(|step| (self.eviction_cursor + step) % len);
         let least = scan.min_by(|left, right| {
-            let seen = |index: &usize| self.pairs[*index].all.seen;
-            seen(left).total_cmp(&seen(right))
+            let observations = |index: &usize| self.pairs[*index].all_bands.observations;
+            observations(left).total_cmp(&observations(right))
         });
-        self.hand = (self.hand + PAIR_SCAN) % len;
+        self.eviction_cursor = (self.eviction_cursor + PAIR_SCAN) % len;
         if let Some(least) = least {
             self.pairs.swap_remove_index(least);
         }
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -112,8 +112,8 @@
     pub(super) fn domains_over_quota(&self, candidate: &Candidate) -> Vec<DomainId> {
         let spec = &candidate.spec;
         let full = |domain: &&DomainId| {
-            let room = self.quotas.room(&spec.team, domain);
-            room.is_some_and(|room| !spec.resources.fits_in(&room))
+            let unused = self.quotas.unused(&spec.team, domain);
+            unused.is_some_and(|unused| !spec.resources.fits_in(&unused))
         };
         self.fleet.domains().filter(full).cloned().collect()
     }
--- a/src/core/policy/quota.rs
+++ b/src/core/policy/quota.rs
@@ -1,8 +1,8 @@
-//! Teams' quotas, split into one allowance for each failure domain.
+//! Team quotas, split into one allowance per failure domain.
 //!
-//! A failure domain that is cut off goes on with its own allowances, so the sum over all domains
-//! stays within the quota without a message. Unused allowance moves slowly: a move takes from what
-//! is unused first and gives afterwards, so that a reader of the older state gives out less, never
+//! A partitioned failure domain keeps using its own allowances, so the total over all domains stays
+//! within the quota without communication. Unused allowance is moved gradually: a transfer takes
+//! from the unused part first and gives afterwards, so a reader of older state grants less, never
 //! more.
 
 use crate::ids::{DomainId, TeamName};
@@ -12,13 +12,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Part of the unused allowance that one move may take, as a divisor.
-const MOVE_DIVISOR: u32 = 4;
+/// One transfer moves `1 / TRANSFER_DIVISOR` of the unused allowance.
+const TRANSFER_DIVISOR: u32 = 4;
 
-/// Committed resources of one team in one failure domain.
+/// Committed resources of one team by failure domain.
 pub type Usage = BTreeMap<DomainId, Resources>;
 
-/// What one team may commit in each failure domain.
+/// The resources that one team may commit in each failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Allowances {
     by_domain: BTreeMap<DomainId, Resources>,
@@ -27,10 +27,10 @@
 impl Allowances {
     /// Splits a quota over failure domains.
     ///
-    /// The parts are equal unless an equal part would not hold the team's largest task: then as
-    /// many domains as possible get the size of that task, starting at one that depends on the
-    /// team, and the remainder goes to the first of them. An equal split would otherwise keep that
-    /// task waiting for ever although the quota allows it.
+    /// The allowances are equal unless an equal allowance is too small for the team's largest task.
+    /// Then as many domains as possible get an allowance that fits that task, starting at a domain
+    /// that depends on the team, and the remainder goes to the first of them. With an equal split
+    /// that task would wait forever although the quota allows it.
     pub fn split(
         team: &TeamName,
         quota: &Resources,
@@ -41,17 +41,18 @@
         if count == 0 {
             return Self::default();
         }
-        let parts = parts(quota, largest, count);
+        let allowance_count = allowance_count(quota, largest, count);
         let start = xxh3_64(team.as_str().as_bytes()) % u64::from(count);
         let start = usize::try_from(start).unwrap_or(0);
         let order = domains.iter().cycle().skip(start).take(domains.len());
-        let part = divide(quota, parts);
+        let part = divide(quota, allowance_count);
         let mut by_domain = BTreeMap::new();
         for (index, domain) in order.enumerate() {
             let index = u32::try_from(index).unwrap_or(u32::MAX);
             let allowance = match index {
-                0 => part.saturating_add(&quota.saturating_sub(&part.saturating_mul(parts))),
-                _ if index < parts => part,
+                0 => part
+                    .saturating_add(&quota.saturating_sub(&part.saturating_mul(allowance_count))),
+                _ if index < allowance_count => part,
                 _ => Resources::ZERO,
             };
             by_domain.insert(domain.clone(), allowance);
@@ -59,31 +60,31 @@
         Self { by_domain }
     }
 
-    /// What may be committed in the domain, by all that is committed there already.
+    /// The domain's allowance, including what is already committed there.
     pub fn of(&self, domain: &DomainId) -> Resources {
         self.by_domain.get(domain).copied().unwrap_or(Resources::ZERO)
     }
 
-    /// The largest task that some domain's allowance holds.
+    /// The largest allowance of any domain, by processors, then memory, then accelerators.
     pub fn largest(&self) -> Resources {
         let by_cores = |room: &&Resources| (room.milli_cores, room.memory_mib, room.accelerators);
         self.by_domain.values().max_by_key(by_cores).copied().unwrap_or(Resources::ZERO)
     }
 
-    /// Whether some domain's allowance holds a task of this size.
-    pub fn ever_hold(&self, need: &Resources) -> bool {
+    /// Whether any domain's allowance fits a task of this size.
+    pub fn fits_any_domain(&self, need: &Resources) -> bool {
         self.by_domain.values().any(|allowance| need.fits_in(allowance))
     }
 
-    /// The sum over all domains.
+    /// The total over all domains.
     pub fn total(&self) -> Resources {
         self.by_domain.values().fold(Resources::ZERO, |sum, part| sum.saturating_add(part))
     }
 
-    /// Moves a quarter of what `from` leaves unused to `to`; returns what was moved.
-    pub fn shift(&mut self, from: &DomainId, to: &DomainId, usage: &Usage) -> Resources {
+    /// Moves a quarter of the unused allowance of `from` to `to`; returns the amount moved.
+    pub fn transfer(&mut self, from: &DomainId, to: &DomainId, usage: &Usage) -> Resources {
         let used = usage.get(from).copied().unwrap_or(Resources::ZERO);
-        let moved = divide(&self.of(from).saturating_sub(&used), MOVE_DIVISOR);
+        let moved = divide(&self.of(from).saturating_sub(&used), TRANSFER_DIVISOR);
         if from == to || !self.by_domain.contains_key(to) {
             return Resources::ZERO;
         }
@@ -95,20 +96,23 @@
     }
 }
 
-/// Number of domains that get a part: all, or as many as can hold the largest task.
-fn parts(quota: &Resources, largest: &Resources, domains: u32) -> u32 {
-    let mut parts = domains;
-    while parts > 1 && largest.fits_in(quota) && !largest.fits_in(&divide(quota, parts)) {
-        parts -= 1;
+/// Number of domains that get an allowance: all, or as many as can fit the largest task.
+fn allowance_count(quota: &Resources, largest: &Resources, domains: u32) -> u32 {
+    let mut allowance_count = domains;
+    while allowance_count > 1
+        && largest.fits_in(quota)
+        && !largest.fits_in(&divide(quota, allowance_count))
+    {
+        allowance_count -= 1;
     }
-    parts
+    allowance_count
 }
 
 fn divide(amount: &Resources, by: u32) -> Resources {
     Resources::new(amount.milli_cores.0 / by, amount.memory_mib.0 / by, amount.accelerators.0 / by)
 }
 
-/// Each team's allowances and what it has committed.
+/// The allowances and committed resources of all teams.
 #[derive(Clone, Debug, Default)]
 pub struct Quotas {
     domains: BTreeSet<DomainId>,
@@ -117,7 +121,7 @@
 }
 
 impl Quotas {
-    /// Splits the quotas anew after a change of configuration.
+    /// Splits the quotas again after a configuration change.
     pub fn configure(&mut self, config: &Config) {
         let mut largest: IndexMap<&TeamName, Resources> = IndexMap::new();
         for class in config.batch.values() {
@@ -132,16 +136,16 @@
         }
     }
 
-    /// Learns of a failure domain. Domains are never forgotten here: one that is cut off still uses
-    /// its allowances, and giving them to the others would exceed the quota.
-    pub fn learn_domain(&mut self, domain: &DomainId, config: &Config) {
+    /// Adds a failure domain. Domains are never removed: a partitioned domain still uses its
+    /// allowances, and giving them to the others would exceed the quota.
+    pub fn add_domain(&mut self, domain: &DomainId, config: &Config) {
         if !self.domains.contains(domain) {
             self.domains.insert(domain.clone());
             self.configure(config);
         }
     }
 
-    /// Puts allowances in force that were moved.
+    /// Replaces a team's allowances after a transfer.
     pub fn replace(&mut self, team: &TeamName, allowances: Allowances) {
         self.allowances.insert(team.clone(), allowances);
     }
@@ -150,7 +154,7 @@
         self.allowances.get(team)
     }
 
-    /// Forgets all usage, before it is counted anew.
+    /// Clears all usage before it is counted again.
     pub fn reset_usage(&mut self) {
         self.usage.clear();
     }
@@ -166,19 +170,20 @@
         }
     }
 
-    /// What the team has committed in each domain.
+    /// The team's committed resources by domain.
     pub fn usage(&self, team: &TeamName) -> Option<&Usage> {
         self.usage.get(team)
     }
 
-    /// Room left in the domain, or `None` if the team has no quota.
-    pub fn room(&self, team: &TeamName, domain: &DomainId) -> Option<Resources> {
+    /// Unused allowance in the domain, or `None` if the team has no quota.
+    pub fn unused(&self, team: &TeamName, domain: &DomainId) -> Option<Resources> {
         let allowance = self.allowances.get(team)?.of(domain);
         let used = self.usage.get(team).and_then(|usage| usage.get(domain));
         Some(allowance.saturating_sub(used.unwrap_or(&Resources::ZERO)))
     }
 
-    /// Largest part of the quota that is used, over the kinds of resources; 0 without a quota.
+    /// Largest used fraction of the quota over all resources (as in dominant resource fairness); 0
+    /// without a quota.
     pub fn dominant_share(&self, team: &TeamName) -> f64 {
         let Some(allowances) = self.allowances.get(team) else { return 0.0 };
         let Some(usage) = self.usage.get(team) else { return 0.0 };
@@ -202,7 +207,7 @@
     }
 }
 
-/// The smaller of each amount.
+/// The element-wise minimum.
 pub fn minimum(left: &Resources, right: &Resources) -> Resources {
     Resources {
         milli_cores: left.milli_cores.min(right.milli_cores),
--- a/src/core/policy/score.rs
+++ b/src/core/policy/score.rs
@@ -61,7 +61,7 @@
     pub trigger: f64,
     /// Differs from task to task.
     pub seed: u64,
-    class: model::Known,
+    class: model::ClassIndex,
     /// Cost of taking a VM without services.
     spared: f64,
 }
@@ -74,23 +74,23 @@
         model: &'a Interference,
         spec: &'a TaskSpec,
     ) -> Self {
-        let class = model.known(&spec.class);
+        let class = model.lookup(&spec.class);
         let (use_ratio, trigger, seed, spared) = (1.0, 1.0, 0, 0.0);
         Self { fleet, services, model, spec, use_ratio, trigger, seed, class, spared }
     }
 
     /// Compares the task with what the mean class does to services.
     pub fn with_classes(mut self, config: &Config) -> Self {
-        let harms = config.batch.keys().map(|class| self.harm(self.model.known(class)));
+        let harms = config.batch.keys().map(|class| self.harm(self.model.lookup(class)));
         let mean = harms.sum::<f64>() / config.batch.len().max(1) as f64;
         self.spared = SPARED_VM * (mean - self.harm(self.class)).max(0.0);
         self
     }
 
     /// Slowdown that one task of the class causes to the service that it disturbs most.
-    fn harm(&self, class: model::Known) -> f64 {
+    fn harm(&self, class: model::ClassIndex) -> f64 {
         let band = Band::of(TYPICAL_LOAD);
-        let services = self.services.iter().map(|service| self.model.known(service));
+        let services = self.services.iter().map(|service| self.model.lookup(service));
         services.map(|service| self.model.effect_of(service, class, band)).fold(0.0, f64::max)
     }
 
@@ -145,7 +145,7 @@
 
     fn tenant(&self, entry: &ClassCount) -> Tenant {
         Tenant {
-            class: self.model.known(&entry.class),
+            class: self.model.lookup(&entry.class),
             count: f64::from(entry.count),
             service: self.services.contains(&entry.class),
         }
@@ -224,7 +224,7 @@
 /// The tasks of one class on a VM.
 #[derive(Clone, Copy, Debug)]
 struct Tenant {
-    class: model::Known,
+    class: model::ClassIndex,
     count: f64,
     service: bool,
 }
--- a/src/core/policy/tests/quotas.rs
+++ b/src/core/policy/tests/quotas.rs
@@ -37,7 +37,7 @@
     let used = Resources::new(20_000, 90_000, 3);
     let usage = Usage::from([(names[0].clone(), used)]);
     for _ in 0..40 {
-        split.shift(&names[0], &names[1], &usage);
+        split.transfer(&names[0], &names[1], &usage);
         assert_eq!(split.total(), quota);
         assert!(used.fits_in(&split.of(&names[0])));
     }
