--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -36,7 +36,7 @@
 use indexmap::{IndexMap, IndexSet};
 use interference::Interference;
 use ladder::Ladder;
-use quarantine::Blame;
+use quarantine::FailureRecords;
 use quota::{Allowances, Quotas};
 use relieve::Asked;
 use reports::VmReports;
@@ -68,7 +68,7 @@
     model: Interference,
     reports: IndexMap<VmId, VmReports>,
     ladders: IndexMap<VmId, Ladder>,
-    blame: Blame,
+    blame: FailureRecords,
     budget: Budget,
     reservations: Reservations,
     plans: Plans,
@@ -198,7 +198,7 @@
             model: Interference::new(),
             reports: IndexMap::new(),
             ladders: IndexMap::new(),
-            blame: Blame::default(),
+            blame: FailureRecords::default(),
             budget: Budget::default(),
             reservations: Reservations::default(),
             plans: Plans::default(),
@@ -302,7 +302,7 @@
     /// Learns how an attempt ended on a VM.
     pub fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
         self.tick(now);
-        self.blame.ended(vm, class, outcome, now);
+        self.blame.record_outcome(vm, class, outcome, now);
     }
 
     /// Steps due on a VM held by this daemon, given the batch tasks there.
@@ -371,12 +371,12 @@
         match choice {
             Choice::Place { vm } => {
                 self.reservations.release(candidate.task);
-                self.plans.forget(candidate.task);
+                self.plans.remove(candidate.task);
                 if inputs.offers.iter().any(|offer| offer.vm == *vm && offer.probe) {
-                    self.blame.probed(vm, now);
+                    self.blame.record_probe(vm, now);
                 }
                 if inputs.class != decide::ClassState::Sound {
-                    self.blame.retried(&candidate.spec.class, now);
+                    self.blame.record_retry(&candidate.spec.class, now);
                 }
             }
             Choice::Never { .. } => self.reservations.release(candidate.task),
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -179,7 +179,7 @@
     }
 
     fn vm_stats(&self, vm: &VmId, now: Duration) -> VmStats {
-        let blame = self.blame.of(vm);
+        let blame = self.blame.of_vm(vm);
         let reports =
             self.reports.get(vm).filter(|reports| reports.measured_at + MEASUREMENT_TTL > now);
         let Some(reports) = reports else { return VmStats { blame, ..VmStats::default() } };
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -163,7 +163,7 @@
             at: now,
             vm: vm.clone(),
             present: self.fleet.get(vm)?.view.health,
-            blame: to_ppm(self.blame.of(vm)),
+            blame: to_ppm(self.blame.of_vm(vm)),
             quarantined_for: quarantine.map(|quarantine| now.saturating_sub(quarantine.since)),
             rung: ladder.map_or(EscalationLevel::Calm, |ladder| ladder.rung),
             ladder: ladder.and_then(Ladder::last_health_step).cloned(),
@@ -189,7 +189,7 @@
         inputs.truncate();
         let relief = inputs.decide()?;
         let best = inputs.best()?.clone();
-        self.plans.carried_out(candidate.task, &best, now);
+        self.plans.record_eviction(candidate.task, &best, now);
         self.reservations.reserve(candidate.task, &best.vm, now);
         Some(self.decided(relief, &RecordedInputs::Room(inputs), now))
     }
@@ -213,7 +213,7 @@
                 && need.fits_in(&view.size)
                 && !over_quota.contains(&view.domain)
                 && !candidate.avoid.contains(id)
-                && !self.plans.concerns(id);
+                && !self.plans.targets(id);
             if usable {
                 plans.extend(room::plan(id, &view.free, need, residents, now));
             }
--- a/src/core/policy/room.rs
+++ b/src/core/policy/room.rs
@@ -1,8 +1,8 @@
-//! Room for an urgent task: whom to evict, and from which VM.
+//! Preemption for urgent tasks: which tasks to evict, and from which VM.
 //!
-//! A plan names all tasks that must leave one VM. It is carried out one task at a time and
-//! remembered until it is done or too old: the evicted tasks still take up room while they are
-//! checkpointed, and a second plan made meanwhile would evict twice as many.
+//! A plan lists all tasks to evict from one VM. It is executed one task at a time and kept until it
+//! is complete or expires. Evicted tasks still occupy their resources while they are checkpointed,
+//! and a second plan made in the meantime would evict twice as many tasks.
 
 use super::{Relief, Resident, eviction};
 use crate::ids::{Attempt, TaskId, VmId};
@@ -12,42 +12,42 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Plans kept in a record, the cheapest of those made.
+/// Number of the cheapest plans that a record keeps.
 const RECORDED_PLANS: usize = 4;
 
-/// A plan that was not enough by then is made anew.
-const PLAN_FOR: Duration = Duration::from_secs(15);
+/// Time after which an incomplete plan is replaced by a new one.
+const PLAN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Plans remembered.
+/// Maximum number of plans in progress.
 const MAX_PLANS: usize = 1024;
 
-/// A task to be evicted.
+/// A task to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Victim {
     pub task: TaskId,
     pub attempt: Attempt,
-    /// What its eviction loses, in parts.
+    /// Work lost by its eviction, in ppm.
     pub loss: i64,
     pub frees: Resources,
 }
 
-/// The tasks that must leave a VM.
+/// The tasks to evict from one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     pub vm: VmId,
     pub free: Resources,
-    /// Cheapest first.
+    /// Tasks to evict, cheapest first.
     pub victims: Vec<Victim>,
 }
 
 impl Plan {
-    /// What the plan loses, in parts.
+    /// Total work lost by the plan, in ppm.
     pub fn loss(&self) -> i64 {
         self.victims.iter().map(|victim| victim.loss).sum()
     }
 }
 
-/// What an eviction for an urgent task is decided from.
+/// Inputs of a preemption decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inputs {
     pub at: Duration,
@@ -58,7 +58,7 @@
 }
 
 impl Inputs {
-    /// The first eviction of the cheapest plan; of equal ones that of the VM whose name sorts first.
+    /// Returns the first eviction of the cheapest plan. Ties go to the first VM by id.
     pub fn decide(&self) -> Option<Relief> {
         let plan = self.best()?;
         let victim = plan.victims.first()?;
@@ -77,7 +77,7 @@
     }
 }
 
-/// The cheapest evictions that make room on one VM, if there are any.
+/// Plans the cheapest evictions that make room on one VM, or returns `None` if none suffice.
 pub fn plan(
     vm: &VmId,
     free: &Resources,
@@ -89,15 +89,15 @@
     victims.sort_by_key(|victim| (victim.loss, victim.task));
     let mut chosen: Vec<Victim> = Vec::new();
     for victim in victims {
-        if need.fits_in(&room(free, &chosen)) {
+        if need.fits_in(&free_after(free, &chosen)) {
             break;
         }
         chosen.push(victim);
     }
-    if !need.fits_in(&room(free, &chosen)) {
+    if !need.fits_in(&free_after(free, &chosen)) {
         return None;
     }
-    spare(&mut chosen, free, need);
+    drop_redundant(&mut chosen, free, need);
     Some(Plan { vm: vm.clone(), free: *free, victims: chosen })
 }
 
@@ -108,7 +108,7 @@
     now: Duration,
 ) -> Option<Victim> {
     let spec = &resident.spec;
-    if spec.urgency == Urgency::Urgent || !helps(&spec.resources, need, free) {
+    if spec.urgency == Urgency::Urgent || !frees_shortage(&spec.resources, need, free) {
         return None;
     }
     let loss = eviction::cost(resident, now)?;
@@ -116,23 +116,23 @@
     Some(Victim { task, attempt, loss, frees: spec.resources })
 }
 
-/// Whether the amount has something of what is missing.
-fn helps(amount: &Resources, need: &Resources, free: &Resources) -> bool {
+/// Whether the amount contributes to any resource that is short.
+fn frees_shortage(amount: &Resources, need: &Resources, free: &Resources) -> bool {
     let missing = need.saturating_sub(free);
     (missing.milli_cores.0 > 0 && amount.milli_cores.0 > 0)
         || (missing.memory_mib.0 > 0 && amount.memory_mib.0 > 0)
         || (missing.accelerators.0 > 0 && amount.accelerators.0 > 0)
 }
 
-fn room(free: &Resources, victims: &[Victim]) -> Resources {
+fn free_after(free: &Resources, victims: &[Victim]) -> Resources {
     victims.iter().fold(*free, |sum, victim| sum.saturating_add(&victim.frees))
 }
 
-/// Spares victims that a later, larger one made needless, the costliest first.
-fn spare(chosen: &mut Vec<Victim>, free: &Resources, need: &Resources) {
+/// Drops victims made redundant by a later, larger one, starting with the costliest.
+fn drop_redundant(chosen: &mut Vec<Victim>, free: &Resources, need: &Resources) {
     for index in (0..chosen.len()).rev() {
         let victim = chosen.remove(index);
-        if !need.fits_in(&room(free, chosen)) {
+        if !need.fits_in(&free_after(free, chosen)) {
             chosen.insert(index, victim);
         }
     }
@@ -141,54 +141,55 @@
 #[derive(Clone, Debug)]
 struct Pending {
     plan: Plan,
-    done: usize,
+    requested: usize,
     at: Duration,
 }
 
-/// Plans that are being carried out.
+/// Plans in progress.
 #[derive(Clone, Debug, Default)]
 pub struct Plans {
     pending: IndexMap<TaskId, Pending>,
 }
 
-/// What is under way for a task.
+/// Progress of the plan for a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing; a plan may be made.
+    /// There is no plan; one may be made.
     None,
-    /// Evictions were asked for; their room is awaited.
+    /// All evictions were requested, but their resources are not free yet.
     Waiting,
-    /// The rest of the plan, from the next victim.
+    /// The rest of the plan, starting with the next victim.
     Next(Plan),
 }
 
 impl Plans {
-    /// What is under way for the task.
+    /// Returns the progress of the task's plan.
     pub fn progress(&mut self, task: TaskId, now: Duration) -> Progress {
-        self.pending.retain(|_, pending| now < pending.at + PLAN_FOR);
+        self.pending.retain(|_, pending| now < pending.at + PLAN_TIMEOUT);
         let Some(pending) = self.pending.get(&task) else { return Progress::None };
         let mut rest = pending.plan.clone();
-        rest.victims.drain(..pending.done.min(rest.victims.len()));
+        rest.victims.drain(..pending.requested.min(rest.victims.len()));
         if rest.victims.is_empty() { Progress::Waiting } else { Progress::Next(rest) }
     }
 
-    /// Whether some plan is emptying the VM already.
-    pub fn concerns(&self, vm: &VmId) -> bool {
+    /// Whether a plan already evicts tasks from the VM.
+    pub fn targets(&self, vm: &VmId) -> bool {
         self.pending.values().any(|pending| pending.plan.vm == *vm)
     }
 
-    /// Notes that the next eviction of a plan was asked for.
-    pub fn carried_out(&mut self, task: TaskId, plan: &Plan, now: Duration) {
+    /// Records that the next eviction of a plan was requested.
+    pub fn record_eviction(&mut self, task: TaskId, plan: &Plan, now: Duration) {
         if self.pending.len() >= MAX_PLANS {
             self.pending.shift_remove_index(0);
         }
         let pending = self.pending.entry(task);
-        let pending = pending.or_insert_with(|| Pending { plan: plan.clone(), done: 0, at: now });
-        pending.done += 1;
+        let pending =
+            pending.or_insert_with(|| Pending { plan: plan.clone(), requested: 0, at: now });
+        pending.requested += 1;
     }
 
-    /// The task needs no plan any more.
-    pub fn forget(&mut self, task: TaskId) {
+    /// Drops the task's plan.
+    pub fn remove(&mut self, task: TaskId) {
         self.pending.shift_remove(&task);
     }
 }
