--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -1,8 +1,8 @@
-//! Where a task goes, what it disturbs, and what is done about it.
+//! The scheduling policy: placement of tasks, their interference, and relief of slowed services.
 //!
-//! A placement is gathered into whole numbers and then decided by a pure function of them, so that
-//! its record is enough to decide it again ([`explain::replay`]). What is learned (slowdown of
-//! pairs, blame for failures) comes only from reports and ends that are passed in.
+//! The inputs of each decision are collected as integers and passed to a pure function, so a record
+//! is enough to repeat the decision ([`explain::replay`]). All learned state (slowdown of pairs,
+//! attribution of failures) comes only from the reports and outcomes that are passed in.
 
 mod decide;
 mod eviction;
@@ -38,7 +38,7 @@
 use ladder::Ladder;
 use quarantine::FailureRecords;
 use quota::{Allowances, Quotas};
-use relieve::Asked;
+use relieve::HealthRequest;
 use reports::VmReports;
 use room::Plans;
 use serde::{Deserialize, Serialize};
@@ -46,17 +46,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the first call in which no task is refused for its size: the views of other daemons'
-/// VMs are still arriving, and the one large VM may be among them.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Time after the first call during which no task is refused for its size, because the views of
+/// other daemons' VMs are still arriving and may include the only VM that is large enough.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// Ladders remembered of VMs that left.
+/// Number of ladders above which those of removed VMs are dropped.
 const MAX_LADDERS: usize = 1024;
 
-/// Steps that the used part of a quota is ranked by.
+/// Number of steps into which the used fraction of a quota is quantized for ranking.
 const RANK_STEPS: f64 = 8.0;
 
-/// Chooses VMs for tasks, and learns from what happens there.
+/// Chooses VMs for tasks, and learns from usage reports and task outcomes.
 #[derive(Debug)]
 pub struct Policy {
     config: Arc<Config>,
@@ -72,10 +72,10 @@
     budget: Budget,
     reservations: Reservations,
     plans: Plans,
-    asked: IndexMap<VmId, Asked>,
-    /// Processors in use for each committed one, smoothed over all reports.
+    health_requests: IndexMap<VmId, HealthRequest>,
+    /// Ratio of used to committed processors, smoothed over all reports.
     use_ratio: f64,
-    settle: Duration,
+    settle_time: Duration,
     first_call: Option<Duration>,
     now: Duration,
 }
@@ -86,7 +86,7 @@
     }
 }
 
-/// A task looking for a VM.
+/// A task to be placed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
     pub task: TaskId,
@@ -94,59 +94,59 @@
     pub spec: TaskSpec,
     /// Time since the task was accepted.
     pub waited: Duration,
-    /// VM that the last attempt failed or declined on.
+    /// VMs to avoid because the last attempt failed or was declined there.
     pub avoid: Vec<VmId>,
 }
 
-/// Where a task goes.
+/// A placement decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Choice {
     Place {
         vm: VmId,
     },
-    /// No VM now; asked again after a change.
+    /// No VM can take the task now; it is tried again after a change.
     Wait {
         reason: String,
     },
-    /// No VM ever, as configured; with the nearest size that would fit.
+    /// No VM can ever take the task as configured; `nearest` is the nearest size that would fit.
     Never {
         reason: String,
         nearest: Option<Resources>,
     },
 }
 
-/// A step against a service's suffering, or for an urgent task.
+/// A step that relieves a slowed service or makes room for an urgent task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Relief {
-    /// Slows a task to a share of its processors; 1 restores it.
+    /// Throttles a task to a share of its processors; 1 lifts the throttle.
     Throttle { vm: VmId, task: TaskId, share: f64 },
-    /// Changes whether new work is placed on the VM.
+    /// Changes the VM's health, which determines whether it accepts new work.
     Health { vm: VmId, health: VmHealth },
-    /// Checkpoints the task and moves it off.
+    /// Checkpoints the task and moves it to another VM.
     Evict { vm: VmId, task: TaskId, attempt: Attempt },
 }
 
-/// What was decided, from what, and why.
+/// A decision with its inputs and reasons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
     /// Time on the deciding daemon's clock.
     pub at: Duration,
     pub subject: Subject,
-    /// Configuration that was in force.
+    /// Revision of the configuration in effect.
     pub revision: Revision,
     pub weights: Weights,
-    /// What was decided, in words.
+    /// The decision as text.
     pub verdict: String,
-    /// VMs considered, and those passed over counted by reason.
+    /// Number of VMs considered, and counts of those passed over by reason.
     pub considered: u32,
     pub passed_over: IndexMap<String, u32>,
-    /// The figures that the choice rests on, by name.
+    /// The values that the decision is based on, by name.
     pub inputs: IndexMap<String, String>,
 }
 
-/// What a decision was about.
+/// The subject of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Subject {
@@ -154,38 +154,38 @@
     Vm(VmId),
 }
 
-/// A choice with its record.
+/// A decision with its record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decided<T> {
     pub choice: T,
     pub record: DecisionRecord,
 }
 
-/// A batch task on a VM, as the policy needs to know it.
+/// A batch task that runs on a VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resident {
     pub task: TaskId,
     pub attempt: Attempt,
     pub spec: TaskSpec,
-    /// When it started, on this daemon's clock.
+    /// Start time, on this daemon's clock.
     pub since: Duration,
-    /// When its last checkpoint was taken, on this daemon's clock, if it has one.
+    /// Time of the last checkpoint, if any, on this daemon's clock.
     pub checkpoint_at: Option<Duration>,
     pub progress: f64,
 }
 
-/// Place of a waiting task in the queue.
+/// Priority of a waiting task in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     urgency: Reverse<Urgency>,
-    /// Part of its quota that the team uses, in steps.
+    /// Used fraction of the team's quota, quantized.
     used: u32,
     waited: Reverse<Duration>,
     task: TaskId,
 }
 
 impl Policy {
-    /// A policy that knows no VM yet.
+    /// Creates a policy without VMs.
     pub fn new(config: Arc<Config>) -> Self {
         let mut quotas = Quotas::default();
         quotas.configure(&config);
@@ -202,27 +202,27 @@
             budget: Budget::default(),
             reservations: Reservations::default(),
             plans: Plans::default(),
-            asked: IndexMap::new(),
+            health_requests: IndexMap::new(),
             use_ratio: 1.0,
-            settle: SETTLE,
+            settle_time: SETTLE_TIME,
             first_call: None,
             now: Duration::ZERO,
         }
     }
 
-    /// Sets the time after the first call in which no task is refused for its size.
-    pub fn with_settle(mut self, settle: Duration) -> Self {
-        self.settle = settle;
+    /// Sets the time after the first call during which no task is refused for its size.
+    pub fn with_settle(mut self, settle_time: Duration) -> Self {
+        self.settle_time = settle_time;
         self
     }
 
-    /// Starts from effects learned elsewhere.
+    /// Sets the initial interference model.
     pub fn with_interference(mut self, model: Interference) -> Self {
         self.model = model;
         self
     }
 
-    /// Puts a configuration in force.
+    /// Applies a configuration.
     pub fn configure(&mut self, config: Arc<Config>) {
         self.config = config;
         self.services = score::services(&self.config);
@@ -233,17 +233,17 @@
         }
     }
 
-    /// Puts a team's allowances in force that were moved between failure domains.
+    /// Replaces a team's allowances after a transfer between failure domains.
     pub fn set_allowances(&mut self, team: &TeamName, allowances: Allowances) {
         self.quotas.replace(team, allowances);
     }
 
-    /// A team's allowances, if it has a quota.
+    /// Returns a team's allowances, if it has a quota.
     pub fn allowances(&self, team: &TeamName) -> Option<&Allowances> {
         self.quotas.of(team)
     }
 
-    /// Learns of a VM, or of a change to it. The classes of the view include service instances.
+    /// Adds or updates a VM. The classes of the view include service instances.
     pub fn upsert_vm(&mut self, view: VmView) {
         self.quotas.add_domain(&view.domain, &self.config);
         count_usage(&mut self.quotas, &self.config, &view, Quotas::commit);
@@ -254,35 +254,35 @@
         }
     }
 
-    /// Forgets a VM.
+    /// Removes a VM.
     pub fn remove_vm(&mut self, vm: &VmId) {
         if let Some(old) = self.fleet.remove(vm) {
             self.sizes.remove(&old, self.now);
             count_usage(&mut self.quotas, &self.config, &old, Quotas::release);
         }
         self.reports.swap_remove(vm);
-        self.forget_ladder(vm);
-        self.asked.swap_remove(vm);
+        self.drop_ladder(vm);
+        self.health_requests.swap_remove(vm);
     }
 
-    /// Whether a task could ever run, and whether its team's quota allows it.
+    /// Checks whether a task could ever run and whether its team's quota allows it.
     pub fn admit(&mut self, candidate: &Candidate, now: Duration) -> Decided<Choice> {
         self.choose(candidate, now)
     }
 
-    /// Chooses a VM for a task. The caller reports the effect by [`Policy::upsert_vm`].
+    /// Chooses a VM for a task. The caller reports the result with [`Policy::upsert_vm`].
     pub fn choose(&mut self, candidate: &Candidate, now: Duration) -> Decided<Choice> {
-        self.tick(now);
+        self.advance_clock(now);
         let inputs = self.placement_inputs(candidate, now);
         let choice = inputs.decide();
-        self.note_choice(candidate, &inputs, &choice, now);
+        self.record_choice(candidate, &inputs, &choice, now);
         let record = explain::placement_record(candidate, inputs, &choice, &self.config);
         Decided { choice, record }
     }
 
-    /// Learns from a usage report of a VM held by this daemon.
+    /// Processes a usage report of a VM held by this daemon.
     pub fn observe(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
-        self.tick(now);
+        self.advance_clock(now);
         let ladder = self.ladders.entry(vm.clone()).or_default();
         let reports = self.reports.entry(vm.clone()).or_default();
         if reports.accept(report, |task| ladder.share(task), now).is_err() {
@@ -299,31 +299,31 @@
         }
     }
 
-    /// Learns how an attempt ended on a VM.
+    /// Records the outcome of an attempt on a VM.
     pub fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
-        self.tick(now);
+        self.advance_clock(now);
         self.blame.record_outcome(vm, class, outcome, now);
     }
 
-    /// Steps due on a VM held by this daemon, given the batch tasks there.
+    /// Decides the relief steps due on a VM held by this daemon, given the batch tasks there.
     pub fn relieve(
         &mut self,
         vm: &VmId,
         residents: &[Resident],
         now: Duration,
     ) -> Vec<Decided<Relief>> {
-        self.tick(now);
-        self.steps(vm, residents, now)
+        self.advance_clock(now);
+        self.relief_steps(vm, residents, now)
     }
 
-    /// Whom to evict for an urgent task that waits, if anyone; among this daemon's own VMs.
+    /// Chooses a task to evict from this daemon's VMs for a waiting urgent task, if any.
     pub fn make_room(
         &mut self,
         candidate: &Candidate,
         residents: &IndexMap<VmId, Vec<Resident>>,
         now: Duration,
     ) -> Option<Decided<Relief>> {
-        self.tick(now);
+        self.advance_clock(now);
         self.eviction_for(candidate, residents, now)
     }
 
@@ -332,10 +332,10 @@
         self.blame.probe_due(vm, now)
     }
 
-    /// Place of a waiting task in the queue; the least goes first.
+    /// Returns the priority of a waiting task; the lowest goes first.
     ///
-    /// Tasks of equal urgency go by the part of its quota that their team uses, in steps, and then
-    /// by how long they waited: a team that submits a thousand at once waits behind its own.
+    /// Tasks of equal urgency are ordered by the used fraction of their team's quota, in steps, and
+    /// then by waiting time, so a burst of a thousand tasks queues behind its own team's tasks.
     pub fn rank(&self, candidate: &Candidate) -> Rank {
         let used = self.quotas.dominant_share(&candidate.spec.team);
         Rank {
@@ -346,22 +346,22 @@
         }
     }
 
-    /// Where the VMs are that the policy knows.
-    pub fn places(&self) -> impl Iterator<Item = (&VmId, &DomainId, &RackId)> {
+    /// The failure domain and rack of each known VM.
+    pub fn locations(&self) -> impl Iterator<Item = (&VmId, &DomainId, &RackId)> {
         self.fleet.iter().map(|vm| (&vm.view.vm, &vm.view.domain, &vm.view.rack))
     }
 
-    /// What is known of the slowdown of pairs.
+    /// The interference model.
     pub fn interference(&self) -> &Interference {
         &self.model
     }
 
-    /// What is known of the slowdown of pairs, to be changed from elsewhere.
+    /// The interference model, for changes from outside the policy.
     pub fn interference_mut(&mut self) -> &mut Interference {
         &mut self.model
     }
 
-    fn note_choice(
+    fn record_choice(
         &mut self,
         candidate: &Candidate,
         inputs: &decide::Inputs,
@@ -384,22 +384,22 @@
         }
     }
 
-    /// Forgets where a VM is on the ladder, unless tasks are throttled there: a lease that lapses
-    /// for a moment removes the VM and brings it back, and nothing would ever lift their throttles.
-    fn forget_ladder(&mut self, vm: &VmId) {
+    /// Drops a VM's ladder unless tasks are throttled there. A lease that lapses briefly removes
+    /// the VM and adds it again, and without the ladder nothing would ever lift their throttles.
+    fn drop_ladder(&mut self, vm: &VmId) {
         let throttled = self.ladders.get(vm).is_some_and(|ladder| !ladder.throttled.is_empty());
         if !throttled || self.ladders.len() > MAX_LADDERS {
             self.ladders.swap_remove(vm);
         }
     }
 
-    fn tick(&mut self, now: Duration) {
+    fn advance_clock(&mut self, now: Duration) {
         self.now = self.now.max(now);
         self.first_call.get_or_insert(now);
     }
 
     fn settled(&self, now: Duration) -> bool {
-        self.first_call.is_some_and(|first| now >= first + self.settle)
+        self.first_call.is_some_and(|first| now >= first + self.settle_time)
     }
 }
 
--- a/src/core/policy/hold.rs
+++ b/src/core/policy/hold.rs
@@ -48,7 +48,7 @@
 }
 
 impl Reservations {
-    /// Drops expired reservations and those of unavailable VMs, and marks the task as still waiting.
+    /// Drops expired reservations and those of closed VMs, and marks the task as still waiting.
     pub fn refresh(&mut self, task: TaskId, fleet: &Fleet, now: Duration) {
         let expired_on = &mut self.expired_on;
         self.reservations.retain(|reservation| {
--- a/src/core/policy/place.rs
+++ b/src/core/policy/place.rs
@@ -185,7 +185,7 @@
         let Some(reports) = reports else { return VmStats { blame, ..VmStats::default() } };
         VmStats {
             load: Some(reports.load),
-            suffering: self.ladders.get(vm).map(Ladder::worst_excess),
+            worst_excess: self.ladders.get(vm).map(Ladder::worst_excess),
             blame,
         }
     }
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -1,4 +1,4 @@
-//! Gathers what a step on one VM is decided from, and notes what was decided.
+//! Collects the inputs of relief steps on VMs and records the steps that were decided.
 
 use super::decide::{PPM, batch_trigger};
 use super::explain::{self, RecordedInputs};
@@ -14,21 +14,22 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// A change of health that was not taken over is asked for again after this.
-const REPEAT_HEALTH: Duration = Duration::from_secs(5);
+/// Time after which a requested change of health that was not applied is requested again.
+const HEALTH_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A VM without batch tasks is opened again after this much calm, since none of them is to blame.
+/// Calm period after which a VM without batch tasks is opened again: no batch task there can be the
+/// cause of a slowdown.
 const CALM_WHEN_EMPTY: Duration = Duration::from_secs(10);
 
-/// Health that was asked for.
+/// A requested change of health.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct HealthRequest {
     health: VmHealth,
     at: Duration,
 }
 
 impl Policy {
-    pub(super) fn steps(
+    pub(super) fn relief_steps(
         &mut self,
         vm: &VmId,
         residents: &[Resident],
@@ -39,7 +40,7 @@
         if let Some(inputs) = self.ladder_inputs(vm, residents, now)
             && let Some(relief) = inputs.decide()
         {
-            self.note_step(vm, &relief, &inputs, now);
+            self.record_step(vm, &relief, &inputs, now);
             if !matches!(relief, Relief::Health { .. }) {
                 steps.push(self.decided(relief, &RecordedInputs::Ladder(inputs), now));
             }
@@ -53,7 +54,7 @@
         Decided { choice: relief, record }
     }
 
-    fn note_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
+    fn record_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
         if let Some(ladder) = self.ladders.get_mut(vm) {
             ladder.record_step(relief, inputs, now);
         }
@@ -80,12 +81,12 @@
             inputs.calm_needed = inputs.calm_needed.min(CALM_WHEN_EMPTY);
         }
         inputs.budget = budget;
-        inputs.culprits = self.culprits(vm, residents, now);
+        inputs.culprits = self.aggressors(vm, residents, now);
         Some(inputs)
     }
 
-    /// Excess slowdown at which the services on a VM are helped: what services there cause each
-    /// other is no fault of batch.
+    /// Excess slowdown above which the services on a VM are relieved. It includes the slowdown that
+    /// the services cause each other, which batch tasks are not responsible for.
     pub(super) fn trigger_on(&self, vm: &VmId) -> f64 {
         let trigger = self.trigger();
         let Some(reports) = self.reports.get(vm) else { return trigger };
@@ -104,17 +105,17 @@
         (for_batch + by_services) as f64 / PPM
     }
 
-    fn culprits(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Aggressor> {
+    fn aggressors(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Aggressor> {
         let Some(reports) = self.reports.get(vm) else { return Vec::new() };
         let Some(ladder) = self.ladders.get(vm) else { return Vec::new() };
         let band = Band::of(reports.load);
-        let culprit = |resident: &Resident| self.culprit(vm, resident, ladder, band, now);
-        let mut culprits: Vec<_> = residents.iter().map(culprit).collect();
-        culprits.sort_by_key(|culprit| culprit.task);
-        culprits
+        let aggressor = |resident: &Resident| self.aggressor(vm, resident, ladder, band, now);
+        let mut aggressors: Vec<_> = residents.iter().map(aggressor).collect();
+        aggressors.sort_by_key(|aggressor| aggressor.task);
+        aggressors
     }
 
-    fn culprit(
+    fn aggressor(
         &self,
         vm: &VmId,
         resident: &Resident,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Slowdown that one task of the class causes to the service there that it slows most.
+    /// Excess slowdown that one task of the class causes to the service there that it affects most.
     fn harm(&self, vm: &VmId, class: &ClassName, band: Band) -> f64 {
         let Some(reports) = self.reports.get(vm) else { return 0.0 };
         let services = reports.classes.keys().filter(|name| self.services.contains(*name));
@@ -144,15 +145,15 @@
     fn health_step(&mut self, vm: &VmId, now: Duration) -> Option<Decided<Relief>> {
         let inputs = self.health_inputs(vm, now)?;
         let Some(relief) = inputs.decide() else {
-            self.asked.swap_remove(vm);
+            self.health_requests.swap_remove(vm);
             return None;
         };
         let Relief::Health { health, .. } = relief else { return None };
-        let asked = self.asked.get(vm);
-        if asked.is_some_and(|asked| asked.health == health && now < asked.at + REPEAT_HEALTH) {
+        let last = self.health_requests.get(vm);
+        if last.is_some_and(|last| last.health == health && now < last.at + HEALTH_RETRY_INTERVAL) {
             return None;
         }
-        self.asked.insert(vm.clone(), Asked { health, at: now });
+        self.health_requests.insert(vm.clone(), HealthRequest { health, at: now });
         Some(self.decided(relief, &RecordedInputs::Health(inputs), now))
     }
 
