--- a/src/core/policy/tests.rs
+++ b/src/core/policy/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, on views and reports made by hand.
+//! Unit tests of the policy's decisions, on constructed views and reports.
 
 mod failures;
 mod learning;
@@ -67,7 +67,7 @@
     }
 }
 
-pub fn beside(mut view: VmView, class: &str, count: u32) -> VmView {
+pub fn with_tasks(mut view: VmView, class: &str, count: u32) -> VmView {
     let cores = if class == "build" { 8 } else { 4 };
     let taken = Resources::new(cores * 1000, cores * 2048, 0).saturating_mul(count);
     view.free = view.free.saturating_sub(&taken);
@@ -101,7 +101,7 @@
     }
 }
 
-/// A policy that knows `views`, and for long enough to refuse what can't fit.
+/// A policy that knows `views` and has no settle time, so that it refuses what can't fit at once.
 pub fn policy(config: Config, views: impl IntoIterator<Item = VmView>) -> Policy {
     let mut policy = Policy::new(Arc::new(config)).with_settle(Duration::ZERO);
     for view in views {
@@ -110,7 +110,7 @@
     policy
 }
 
-/// A report of one measurement, `age` ago.
+/// A report of a measurement taken `age` ago.
 pub fn report(seq: u64, age: Duration, load: f64, tenants: Vec<TenantUsage>) -> UsageReport {
     UsageReport { boot: BootId(1), seq, age, load, tenants }
 }
@@ -138,7 +138,7 @@
     }
 }
 
-/// Applies what a core would: a change of health goes into the view.
+/// Applies changes of health to the views, as the core does.
 pub fn apply_health(policy: &mut Policy, steps: &[Decided<Relief>]) {
     for step in steps {
         if let Relief::Health { vm, health } = &step.choice {
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Blame for failures, and what follows.
+//! Attribution of failures, quarantine and probes.
 
 use super::*;
 
@@ -12,9 +12,9 @@
     steps
 }
 
-/// One VM of eight fails every task at once, so that it always looks the freest. Each waiting task
-/// is sent there and fails, until the queue is empty. The failures of classes that work elsewhere
-/// are the VM's; it is quarantined after a few, and gets single probes.
+/// One VM of eight fails every task immediately, so it always has the most free resources. Without
+/// quarantine every waiting task would be placed there and fail. Failures of classes that succeed
+/// elsewhere are attributed to the VM; it is quarantined after a few and gets single probes.
 #[test]
 fn a_vm_that_fails_everything_does_not_drain_the_queue() {
     let config = config();
@@ -24,7 +24,7 @@
         let now = secs(number);
         let others = if number % 3 == 0 { 4 } else { 8 };
         for index in 1..8 {
-            policy.upsert_vm(beside(view(index), "narration", others));
+            policy.upsert_vm(with_tasks(view(index), "narration", others));
         }
         let task = candidate(&config, ["build", "wash"][number as usize % 2], number);
         let class = task.spec.class.clone();
@@ -65,7 +65,7 @@
 #[test]
 fn a_repaired_vm_is_opened_after_good_probes() {
     let config = config();
-    let mut policy = policy(config.clone(), [view(0), beside(view(1), "build", 4)]);
+    let mut policy = policy(config.clone(), [view(0), with_tasks(view(1), "build", 4)]);
     let wash: ClassName = "wash".into();
     policy.ended(&vm(1), &wash, &Outcome::Succeeded, secs(1));
     for number in 0..4 {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_task_that_may_not_be_repeated_is_no_probe() {
+fn a_non_idempotent_task_is_not_used_as_a_probe() {
     let config = config();
     let mut quarantined = view(0);
     quarantined.health = VmHealth::Quarantined;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn cancelled_tasks_are_nobodys_fault() {
+fn cancelled_tasks_are_not_attributed_to_the_vm() {
     let config = config();
     let mut policy = policy(config, [view(0)]);
     for number in 0..10_000 {
--- a/src/core/policy/tests/learning.rs
+++ b/src/core/policy/tests/learning.rs
@@ -1,17 +1,17 @@
-//! What is learned from reports, and from which it is not.
+//! Learning from reports, and which reports are ignored.
 
 use super::interference::Band;
 use super::*;
 
-const BUSY: f64 = 0.7;
+const BUSY_LOAD: f64 = 0.7;
 
 fn effect(policy: &Policy, victim: &str, aggressor: &str) -> f64 {
-    policy.interference().effect(&victim.into(), &aggressor.into(), Band::of(BUSY))
+    policy.interference().effect(&victim.into(), &aggressor.into(), Band::of(BUSY_LOAD))
 }
 
 fn pair(seq: u64, aggressor: &str, slowdown: f64) -> UsageReport {
     let tenants = vec![tenant("shop", 1, slowdown), tenant(aggressor, 2, 1.0)];
-    report(seq, secs(5), BUSY, tenants)
+    report(seq, secs(5), BUSY_LOAD, tenants)
 }
 
 #[test]
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_pair_that_was_never_seen_is_predicted_from_its_classes() {
+fn an_unobserved_pair_is_predicted_from_its_classes() {
     let mut policy = policy(config(), [view(0)]);
     for seq in 1..=300 {
         let (aggressor, slowdown) = if seq % 2 == 0 { ("build", 1.8) } else { ("wash", 1.1) };
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_was_learned_before_a_shift_is_forgotten() {
+fn the_model_adapts_when_effects_change() {
     let mut policy = policy(config(), [view(0)]);
     for seq in 1..=300 {
         let slowdown = if seq <= 200 { 1.1 } else { 1.9 };
@@ -49,17 +49,18 @@
     assert!((learned - 0.9).abs() < 0.08, "learned {learned}");
 }
 
-/// A VM restarts, and the network delivers reports of its former life, twice and in any order.
-/// Taken, they would teach the slowdown of tasks that are gone, and each repeat would count again.
+/// After a VM restarts, the network delivers reports from before the restart, repeated and in any
+/// order. Accepting them would train the model on tasks that no longer exist, and count each
+/// repetition again.
 #[test]
-fn repeated_reports_and_those_from_before_a_restart_teach_nothing() {
+fn repeated_reports_and_reports_from_before_a_restart_are_ignored() {
     let mut policy = policy(config(), [view(0)]);
     for seq in 1..=100 {
         policy.observe(&vm(0), &pair(seq, "build", 1.2), secs(10 + seq));
     }
-    let mut reborn = pair(1, "build", 1.2);
-    reborn.boot = BootId(2);
-    policy.observe(&vm(0), &reborn, secs(200));
+    let mut restarted = pair(1, "build", 1.2);
+    restarted.boot = BootId(2);
+    policy.observe(&vm(0), &restarted, secs(200));
     let before = effect(&policy, "shop", "build");
     for _ in 0..50 {
         let mut repeated = pair(1, "build", 4.0);
@@ -80,12 +81,12 @@
 }
 
 #[test]
-fn the_table_of_pairs_is_bounded() {
+fn the_number_of_pairs_is_bounded() {
     let mut policy = policy(config(), [view(0)]);
     for seq in 1..=400 {
         let tenants = (0..40)
             .map(|index| tenant(&format!("class-{}", (seq * 7 + index * 13) % 300), index, 1.2));
-        let report = report(seq, secs(1), BUSY, tenants.collect());
+        let report = report(seq, secs(1), BUSY_LOAD, tenants.collect());
         policy.observe(&vm(0), &report, secs(seq));
     }
     assert!(policy.interference().pairs() <= 8192, "{}", policy.interference().pairs());
@@ -95,8 +96,8 @@
 #[test]
 fn batch_goes_where_it_slows_services_least() {
     let config = config();
-    let quiet = beside(view(1), "narration", 4);
-    let busy = beside(view(0), "shop", 4);
+    let quiet = with_tasks(view(1), "narration", 4);
+    let busy = with_tasks(view(0), "shop", 4);
     let mut policy = policy(config.clone(), [busy, quiet]);
     for seq in 1..=100 {
         policy.observe(&vm(0), &pair(seq, "build", 1.9), secs(seq));
--- a/src/core/policy/tests/placement.rs
+++ b/src/core/policy/tests/placement.rs
@@ -1,16 +1,16 @@
-//! Where a task goes, waits or is refused.
+//! Placements, waits and refusals.
 
 use super::*;
 
 #[test]
 fn a_task_is_never_placed_where_it_has_no_room() {
     let config = config();
-    let full = (0..20).map(|index| beside(view(index), "build", 4));
-    let one_left = beside(view(20), "build", 3);
+    let full = (0..20).map(|index| with_tasks(view(index), "build", 4));
+    let one_left = with_tasks(view(20), "build", 3);
     let mut policy = policy(config.clone(), full.chain([one_left]));
     let decided = policy.choose(&candidate(&config, "build", 1), secs(1));
     assert_eq!(decided.choice, Choice::Place { vm: vm(20) });
-    policy.upsert_vm(beside(view(20), "build", 4));
+    policy.upsert_vm(with_tasks(view(20), "build", 4));
     let decided = policy.choose(&candidate(&config, "build", 2), secs(2));
     let Choice::Wait { reason } = &decided.choice else { panic!("{decided:?}") };
     assert!(reason.contains("no room (21 VMs)"), "{reason}");
@@ -20,9 +20,9 @@
 fn a_task_larger_than_every_vm_is_refused_with_the_nearest_size() {
     let config = config();
     let mut policy = policy(config.clone(), (0..8).map(view));
-    let mut huge = candidate(&config, "build", 1);
-    huge.spec.resources = Resources::new(48_000, 20_000, 0);
-    let decided = policy.admit(&huge, secs(1));
+    let mut oversized = candidate(&config, "build", 1);
+    oversized.spec.resources = Resources::new(48_000, 20_000, 0);
+    let decided = policy.admit(&oversized, secs(1));
     let Choice::Never { nearest, .. } = decided.choice else { panic!("{decided:?}") };
     assert_eq!(nearest, Some(Resources::new(32_000, 20_000, 0)));
     let verdict = decided.record.verdict;
@@ -30,9 +30,10 @@
 }
 
 #[test]
-fn a_waiting_task_is_told_when_a_new_configuration_makes_it_impossible() {
+fn a_waiting_task_is_refused_when_a_new_configuration_makes_it_infeasible() {
     let config = config();
-    let mut policy = policy(config.clone(), (0..2).map(|index| beside(view(index), "build", 4)));
+    let mut policy =
+        policy(config.clone(), (0..2).map(|index| with_tasks(view(index), "build", 4)));
     let candidate = candidate(&config, "build", 1);
     let before = policy.choose(&candidate, secs(1)).choice;
     assert!(matches!(before, Choice::Wait { .. }), "{before:?}");
@@ -44,9 +45,9 @@
     assert!(matches!(after, Choice::Never { nearest: None, .. }), "{after:?}");
 }
 
-/// A daemon has just started and knows one small VM; the views of the others' VMs arrive a second
-/// later. A task for a large VM that was refused in between would have been accepted everywhere
-/// else, and its caller told that it can never run.
+/// A daemon that has just started knows only one small VM until the views of other daemons' VMs
+/// arrive. Without the settle time it would refuse a task for a large VM for good, although every
+/// other daemon would accept it.
 #[test]
 fn nothing_is_refused_for_its_size_before_the_other_daemons_views_arrived() {
     let config = config();
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn writers_that_choose_at_once_from_the_same_views_choose_different_vms() {
+fn concurrent_writers_with_the_same_views_choose_different_vms() {
     let config = config();
     let mut policy = policy(config.clone(), (0..1000).map(view));
     let mut chosen = std::collections::BTreeSet::new();
@@ -89,9 +90,9 @@
 }
 
 #[test]
-fn every_explanation_is_enough_to_decide_again() {
+fn every_placement_record_can_be_replayed() {
     let config = with_quota(config(), "audio", 200);
-    let views = (0..40).map(|index| beside(view(index), "narration", (index % 9) as u32));
+    let views = (0..40).map(|index| with_tasks(view(index), "narration", (index % 9) as u32));
     let mut policy = policy(config.clone(), views);
     for number in 0..60 {
         let mut candidate = candidate(&config, "build", number);
@@ -107,7 +108,7 @@
 #[test]
 fn a_team_at_its_quota_waits_while_others_are_placed() {
     let config = with_quota(config(), "audio", 8);
-    let mut policy = policy(config.clone(), [beside(view(0), "build", 1), view(1)]);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 1), view(1)]);
     let audio = policy.choose(&candidate(&config, "narration", 1), secs(1)).choice;
     let Choice::Wait { reason } = audio else { panic!("{audio:?}") };
     assert!(reason.contains("allowance"), "{reason}");
@@ -136,9 +137,9 @@
 }
 
 #[test]
-fn explanations_that_weigh_services_are_enough_too() {
+fn placement_records_with_services_can_be_replayed() {
     let config = config();
-    let views = (0..12).map(|index| beside(view(index), "shop", (index % 4) as u32));
+    let views = (0..12).map(|index| with_tasks(view(index), "shop", (index % 4) as u32));
     let mut policy = policy(config.clone(), views);
     for seq in 1..=60 {
         let tenants = vec![tenant("shop", 1, 1.25), tenant("build", 2, 1.1)];
@@ -156,7 +157,7 @@
         assert_eq!(replayed, explain::Replayed::Choice(decided.choice.clone()));
         if let Choice::Place { vm: to } = decided.choice {
             let known = policy.fleet.get(&to).expect("a known VM").view.clone();
-            policy.upsert_vm(beside(known, "build", 1));
+            policy.upsert_vm(with_tasks(known, "build", 1));
         }
     }
     assert_eq!(kinds.len(), 2, "both placements and waits: {kinds:?}");
--- a/src/core/policy/tests/quotas.rs
+++ b/src/core/policy/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! How quotas are split over failure domains, and how unused allowance moves.
+//! Splitting quotas over failure domains, and transferring unused allowance.
 
 use super::quota::Usage;
 use super::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_parts_of_a_quota_never_exceed_it() {
+fn the_allowances_of_a_quota_add_up_to_it() {
     for count in 1..=14 {
         for cores in [1, 7, 13, 64, 1000] {
             let quota = Resources::new(cores * 1000 + 1, cores * 4096 + 3, cores / 3);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_quota_that_holds_one_large_task_is_not_split_into_parts_that_hold_none() {
+fn a_split_quota_still_fits_the_largest_task() {
     let quota = Resources::new(24_000, 96_000, 1);
     let largest = Resources::new(10_000, 16_384, 0);
     let split = Allowances::split(&"audio".into(), &quota, &largest, &domains(4));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn moving_allowance_keeps_the_sum_and_what_is_in_use() {
+fn transferring_allowance_keeps_the_total_and_the_usage() {
     let names: Vec<_> = domains(3).into_iter().collect();
     let quota = Resources::new(90_000, 300_000, 9);
     let mut split = Allowances::split(&"audio".into(), &quota, &Resources::ZERO, &domains(3));
@@ -44,16 +44,16 @@
     assert!(split.of(&names[1]).milli_cores.0 > 39_000, "{:?}", split.of(&names[1]));
 }
 
-/// A failure domain is cut off and its VMs leave this daemon's list. Had its allowance been given
-/// to the others, the team would commit its quota here and keep its tasks over there as well.
+/// A failure domain is partitioned and its VMs disappear from this daemon's list. If its allowance
+/// went to the other domains, the team could commit its full quota here and keep its tasks there.
 #[test]
-fn the_allowance_of_a_domain_that_is_cut_off_stays_there() {
+fn a_partitioned_domain_keeps_its_allowance() {
     let config = with_quota(config(), "audio", 16);
-    let mut far = view(1);
-    far.domain = "remera".into();
-    let mut policy = policy(config.clone(), [view(0), far]);
+    let mut remote = view(1);
+    remote.domain = "remera".into();
+    let mut policy = policy(config.clone(), [view(0), remote]);
     policy.remove_vm(&vm(1));
-    policy.upsert_vm(beside(view(0), "build", 1));
+    policy.upsert_vm(with_tasks(view(0), "build", 1));
     let choice = policy.choose(&candidate(&config, "build", 1), secs(1)).choice;
     assert!(matches!(choice, Choice::Wait { .. }), "{choice:?}");
 }
@@ -61,12 +61,12 @@
 #[test]
 fn usage_follows_the_views_and_a_new_configuration() {
     let config = with_quota(config(), "audio", 16);
-    let mut policy = policy(config.clone(), [beside(view(0), "build", 2)]);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 2)]);
     let build = candidate(&config, "build", 1);
     assert!(matches!(policy.choose(&build, secs(1)).choice, Choice::Wait { .. }));
-    policy.upsert_vm(beside(view(0), "build", 1));
+    policy.upsert_vm(with_tasks(view(0), "build", 1));
     assert!(matches!(policy.choose(&build, secs(2)).choice, Choice::Place { .. }));
-    policy.upsert_vm(beside(view(0), "build", 2));
+    policy.upsert_vm(with_tasks(view(0), "build", 2));
     policy.configure(Arc::new(with_quota(config, "audio", 24)));
     assert!(matches!(policy.choose(&build, secs(3)).choice, Choice::Place { .. }));
 }
--- a/src/core/policy/tests/relief.rs
+++ b/src/core/policy/tests/relief.rs
@@ -1,9 +1,9 @@
-//! The ladder, its hysteresis, and evictions for urgent tasks.
+//! The escalation ladder, its hysteresis, and evictions for urgent tasks.
 
 use super::*;
 
-/// Runs a VM with a suffering shop until `until`; returns the steps with their times.
-fn run(
+/// Simulates a VM with a slowed `shop` service until `until`; returns the steps with their times.
+fn run_ladder(
     policy: &mut Policy,
     residents: &mut Vec<Resident>,
     slowdown: impl Fn(&Policy, Duration) -> f64,
@@ -33,7 +33,7 @@
     steps
 }
 
-fn weighing(tail: f64, evictions: f64) -> Config {
+fn config_with_weights(tail: f64, evictions: f64) -> Config {
     let mut config = config();
     config.weights = Weights { tail, evictions, throughput: 1.0 };
     config
@@ -41,10 +41,10 @@
 
 #[test]
 fn the_ladder_throttles_then_avoids_then_evicts() {
-    let config = weighing(4.0, 1.0);
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
+    let config = config_with_weights(4.0, 1.0);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
     let mut residents = vec![resident(&config, "build", 1, secs(0))];
-    let steps = run(&mut policy, &mut residents, |_, _| 2.0, 120);
+    let steps = run_ladder(&mut policy, &mut residents, |_, _| 2.0, 120);
     let kinds: Vec<_> = steps
         .iter()
         .map(|(_, step)| match step {
@@ -57,26 +57,26 @@
     assert_eq!(kinds[..4], ["throttle", "avoid", "throttle", "evict"], "{steps:?}");
 }
 
-/// Each report tells of six seconds ago. A ladder that reads the first late report again after each
-/// step climbs to the top within seconds, and evicts a task that its throttle had already tamed.
+/// Each report describes the state of six seconds ago. A ladder that evaluates a report from before
+/// its last step escalates to the top within seconds, and evicts a task whose throttle was enough.
 #[test]
-fn steps_are_apart_by_more_than_the_lag_of_reports() {
-    let config = weighing(4.0, 1.0);
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
+fn steps_are_spaced_by_more_than_the_report_lag() {
+    let config = config_with_weights(4.0, 1.0);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
     let mut residents = vec![resident(&config, "build", 1, secs(0))];
-    let steps = run(&mut policy, &mut residents, |_, _| 2.0, 120);
+    let steps = run_ladder(&mut policy, &mut residents, |_, _| 2.0, 120);
     for pair in steps.windows(2) {
         assert!(pair[1].0 >= pair[0].0 + 8, "{steps:?}");
     }
 }
 
 #[test]
-fn a_throttle_that_helps_is_the_last_step_and_is_lifted_after_a_long_calm() {
-    let config = weighing(1.0, 1.0);
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
+fn a_sufficient_throttle_is_the_last_step_and_is_lifted_after_a_calm_period() {
+    let config = config_with_weights(1.0, 1.0);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
     let mut residents = vec![resident(&config, "build", 1, secs(0))];
     let steps =
-        run(&mut policy, &mut residents, |_, at| if at < secs(5) { 1.6 } else { 1.05 }, 400);
+        run_ladder(&mut policy, &mut residents, |_, at| if at < secs(5) { 1.6 } else { 1.05 }, 400);
     assert_eq!(steps.len(), 2, "{steps:?}");
     let (throttled, restored) = (&steps[0], &steps[1]);
     assert!(matches!(throttled.1, Relief::Throttle { share, .. } if share == 0.5));
@@ -86,52 +86,56 @@
 
 #[test]
 fn evictions_are_limited_by_the_budget() {
-    let config = weighing(1.0, 1.0);
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
+    let config = config_with_weights(1.0, 1.0);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
     let mut residents: Vec<_> =
         (1..=40).map(|number| resident(&config, "build", number, secs(0))).collect();
     for resident in &mut residents {
         resident.checkpoint_at = Some(secs(600));
     }
-    let steps = run(&mut policy, &mut residents, |_, _| 4.0, 600);
+    let steps = run_ladder(&mut policy, &mut residents, |_, _| 4.0, 600);
     let evictions = steps.iter().filter(|(_, step)| matches!(step, Relief::Evict { .. })).count();
-    // Three at once, and one a minute with equal weights.
+    // The budget allows three at once, and one per minute with equal weights.
     assert!((4..=13).contains(&evictions), "{evictions}: {steps:?}");
 }
 
 #[test]
 fn a_task_that_must_not_be_resumed_is_never_evicted() {
-    let config = weighing(10.0, 0.1);
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
-    let mut watcher = resident(&config, "build", 1, secs(0));
-    watcher.spec.resumption = Resumption::Never;
-    let mut residents = vec![watcher.clone()];
-    let steps = run(&mut policy, &mut residents, |_, _| 4.0, 300);
+    let config = config_with_weights(10.0, 0.1);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
+    let mut unresumable = resident(&config, "build", 1, secs(0));
+    unresumable.spec.resumption = Resumption::Never;
+    let mut residents = vec![unresumable.clone()];
+    let steps = run_ladder(&mut policy, &mut residents, |_, _| 4.0, 300);
     assert!(!steps.iter().any(|(_, step)| matches!(step, Relief::Evict { .. })), "{steps:?}");
     let mut urgent = candidate(&config, "build", 9);
     urgent.spec.urgency = Urgency::Urgent;
     urgent.spec.resources = Resources::new(32_000, 60_000, 0);
-    let residents = IndexMap::from([(vm(0), vec![watcher])]);
+    let residents = IndexMap::from([(vm(0), vec![unresumable])]);
     assert_eq!(policy.make_room(&urgent, &residents, secs(301)), None);
 }
 
 #[test]
-fn operators_who_weigh_evictions_see_fewer_on_the_same_trace() {
+fn a_higher_eviction_weight_causes_fewer_evictions_on_the_same_trace() {
     let count = |config: Config| {
-        let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
+        let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
         let mut residents: Vec<_> =
             (1..=4).map(|number| resident(&config, "build", number, secs(0))).collect();
-        let steps = run(&mut policy, &mut residents, |_, _| 2.0, 600);
+        let steps = run_ladder(&mut policy, &mut residents, |_, _| 2.0, 600);
         steps.iter().filter(|(_, step)| matches!(step, Relief::Evict { .. })).count()
     };
-    let (inkuru, pivnita) = (count(weighing(5.0, 1.0)), count(weighing(1.0, 5.0)));
-    assert!(inkuru > pivnita, "inkuru {inkuru}, pivnita {pivnita}");
+    let (tail_weighted, evictions_weighted) =
+        (count(config_with_weights(5.0, 1.0)), count(config_with_weights(1.0, 5.0)));
+    assert!(
+        tail_weighted > evictions_weighted,
+        "tail_weighted {tail_weighted}, evictions_weighted {evictions_weighted}"
+    );
 }
 
 #[test]
 fn an_urgent_task_evicts_the_cheapest_resumable_one_and_no_more_than_needed() {
     let config = config();
-    let full = |index| beside(view(index), "build", 4);
+    let full = |index| with_tasks(view(index), "build", 4);
     let mut policy = policy(config.clone(), [full(0), full(1)]);
     let mut fresh = resident(&config, "build", 4, secs(900));
     fresh.checkpoint_at = Some(secs(999));
@@ -149,51 +153,51 @@
     assert_eq!(policy.make_room(&urgent, &residents, secs(1001)), None);
 }
 
-/// An urgent task's victim was closed, and the room that it left is offered to whoever asks first.
-/// Without a hold a small task takes it, and the urgent one evicts again.
+/// After the victim of an urgent task is closed, the next task to be placed could take its room.
+/// Without a reservation a small task takes it, and the urgent task causes another eviction.
 #[test]
-fn the_room_made_for_an_urgent_task_goes_to_no_other() {
+fn room_made_for_an_urgent_task_is_reserved_for_it() {
     let config = config();
-    let mut policy = policy(config.clone(), [beside(view(0), "build", 4)]);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 4)]);
     let residents = IndexMap::from([(vm(0), vec![resident(&config, "build", 1, secs(0))])]);
     let mut urgent = candidate(&config, "build", 9);
     urgent.spec.urgency = Urgency::Urgent;
     assert!(policy.make_room(&urgent, &residents, secs(100)).is_some());
-    policy.upsert_vm(beside(view(0), "build", 3));
+    policy.upsert_vm(with_tasks(view(0), "build", 3));
     let small = policy.choose(&candidate(&config, "wash", 10), secs(101)).choice;
     assert!(matches!(small, Choice::Wait { .. }), "{small:?}");
     let placed = policy.choose(&urgent, secs(102)).choice;
     assert_eq!(placed, Choice::Place { vm: vm(0) });
 }
 
-/// A rind wash that has started is not run twice: moved, it could only be ended as unknown. A plan
-/// that names it is refused by the holder, and made again and again.
+/// A non-idempotent task that has started must not run twice, so an eviction could only end it with
+/// an unknown outcome. The holder refuses a plan that includes it, and the plan would be repeated.
 #[test]
 fn a_task_that_is_not_idempotent_is_never_evicted() {
     let config = config();
-    let mut policy = policy(config.clone(), [beside(view(0), "build", 4)]);
-    let mut washes: Vec<_> =
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 4)]);
+    let mut non_idempotent: Vec<_> =
         (1..=4).map(|number| resident(&config, "build", number, secs(0))).collect();
-    for wash in &mut washes {
+    for wash in &mut non_idempotent {
         wash.spec.idempotency = Idempotency::NonIdempotent;
     }
     let mut urgent = candidate(&config, "build", 9);
     urgent.spec.urgency = Urgency::Urgent;
-    let residents = IndexMap::from([(vm(0), washes)]);
+    let residents = IndexMap::from([(vm(0), non_idempotent)]);
     assert_eq!(policy.make_room(&urgent, &residents, secs(100)), None);
 }
 
-/// A lease lapses for a moment and the VM is forgotten and known again. Its task is still throttled
-/// by the worker; had the policy forgotten that, nothing would lift the throttle.
+/// A lease lapses briefly, and the VM is removed and added again. The worker still throttles the
+/// task; if the policy dropped the throttle, nothing would ever lift it.
 #[test]
-fn a_throttle_is_remembered_when_its_vm_comes_back() {
-    let config = weighing(1.0, 1.0);
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 2)]);
+fn a_throttle_is_kept_when_its_vm_returns() {
+    let config = config_with_weights(1.0, 1.0);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
     let mut residents = vec![resident(&config, "build", 1, secs(0))];
-    let steps = run(&mut policy, &mut residents, |_, _| 1.6, 5);
+    let steps = run_ladder(&mut policy, &mut residents, |_, _| 1.6, 5);
     assert!(matches!(steps[0].1, Relief::Throttle { .. }), "{steps:?}");
     policy.remove_vm(&vm(0));
-    policy.upsert_vm(beside(view(0), "shop", 2));
+    policy.upsert_vm(with_tasks(view(0), "shop", 2));
     for now in 20..200 {
         let tenants = vec![tenant("shop", 1000, 1.0), tenant("build", 1, 1.0)];
         policy.observe(&vm(0), &report(100 + now, secs(1), 0.7, tenants), secs(now));
--- a/src/core/policy/tests/waiting.rs
+++ b/src/core/policy/tests/waiting.rs
@@ -1,14 +1,14 @@
-//! Waits are bounded and fair.
+//! Bounds on waiting times, and fairness between teams.
 
 use super::*;
 
-/// Small tasks come and go and take each processor that becomes free; a task for half a VM never
-/// finds the room at once. After a while one VM is held for it and drains.
+/// Small tasks take every processor that becomes free, so a task for half a VM never finds enough
+/// at once. After a while one VM must be reserved for it and drain.
 #[test]
 fn a_large_task_is_not_starved_by_small_ones() {
     let config = config();
     let mut counts = [8_u32; 4];
-    let filled = |index: usize, count: u32| beside(view(index), "narration", count);
+    let filled = |index: usize, count: u32| with_tasks(view(index), "narration", count);
     let mut policy = policy(config.clone(), (0..4).map(|index| filled(index, 8)));
     let mut large = candidate(&config, "build", 1);
     large.spec.resources = Resources::new(20_000, 40_000, 0);
@@ -35,9 +35,10 @@
 }
 
 #[test]
-fn few_vms_are_held_however_many_large_tasks_wait() {
+fn reservations_are_limited_however_many_large_tasks_wait() {
     let config = config();
-    let mut policy = policy(config.clone(), (0..64).map(|index| beside(view(index), "build", 3)));
+    let mut policy =
+        policy(config.clone(), (0..64).map(|index| with_tasks(view(index), "build", 3)));
     for number in 0..100 {
         let mut large = candidate(&config, "build", number);
         large.spec.resources = Resources::new(30_000, 40_000, 0);
@@ -45,15 +46,15 @@
         policy.choose(&large, secs(100));
     }
     let decided = policy.choose(&candidate(&config, "wash", 1000), secs(101));
-    let held = decided.record.passed_over.get("held for a task that waited longer");
-    assert!(held.copied().unwrap_or(0) <= 2, "{:?}", decided.record.passed_over);
+    let reserved = decided.record.passed_over.get("held for a task that waited longer");
+    assert!(reserved.copied().unwrap_or(0) <= 2, "{:?}", decided.record.passed_over);
     assert!(matches!(decided.choice, Choice::Place { .. }));
 }
 
 #[test]
-fn a_wait_to_spare_a_service_ends() {
+fn a_task_delayed_to_protect_a_service_is_eventually_placed() {
     let config = config();
-    let mut policy = policy(config.clone(), [beside(view(0), "shop", 4)]);
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 4)]);
     for seq in 1..=100 {
         let tenants = vec![tenant("shop", 1, 3.5), tenant("build", 2, 1.0)];
         policy.observe(&vm(0), &report(seq, secs(1), 0.7, tenants), secs(seq));
@@ -70,7 +71,7 @@
 #[test]
 fn a_burst_of_one_team_waits_behind_another_teams_tasks() {
     let config = with_quota(with_quota(config(), "audio", 320), "cellar", 320);
-    let policy = policy(config.clone(), (0..8).map(|index| beside(view(index), "build", 4)));
+    let policy = policy(config.clone(), (0..8).map(|index| with_tasks(view(index), "build", 4)));
     let mut burst = candidate(&config, "build", 1);
     burst.waited = secs(500);
     let other = candidate(&config, "wash", 2);
