--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -1,5 +1,5 @@
-//! Faults as tables: each file of `tests/tables/policy` holds cases, each case a small fleet, what
-//! happens to it in order, and what the policy must answer.
+//! Table-driven fault tests of the policy. Each file in `tests/tables/policy` holds cases; each
+//! case defines a small fleet, a sequence of events, and the answers expected from the policy.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -16,7 +16,7 @@
 use waxwingstall::units::Resources;
 use waxwingstall::worker::{TenantUsage, UsageReport};
 
-/// Processors of each VM, and memory for each of them.
+/// Processors of each VM, and memory per processor.
 const CORES: u32 = 32;
 const MIB_PER_CORE: u32 = 2048;
 
@@ -31,9 +31,9 @@
 struct Case {
     name: String,
     weights: Option<Weights>,
-    /// Quota of the one team, in processors.
+    /// Quota of the only team, in processors.
     quota: Option<u32>,
-    /// Tasks of each class on each VM.
+    /// Number of tasks of each class on each VM.
     vms: Vec<IndexMap<String, u32>>,
     step: Vec<Step>,
 }
@@ -42,31 +42,31 @@
 #[serde(deny_unknown_fields)]
 struct Step {
     at: u64,
-    #[serde(default = "once")]
+    #[serde(default = "one")]
     times: u64,
-    #[serde(default = "once")]
+    #[serde(default = "one")]
     every: u64,
     #[serde(flatten)]
-    what: What,
+    action: Action,
     expect: Option<String>,
 }
 
-fn once() -> u64 {
+fn one() -> u64 {
     1
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum What {
+enum Action {
     Report(Report),
-    Ended(Ended),
-    /// Looks at the ladder of a VM with these batch tasks.
-    Relieve(Relieved),
-    Choose(Chosen),
+    Ended(EndedEvent),
+    /// Asks for the relief steps of a VM with these batch tasks.
+    Relieve(RelieveRequest),
+    Choose(ChooseRequest),
     Remove(usize),
-    /// Puts another number of tasks on a VM.
+    /// Replaces the tasks on a VM.
     Fill(Fill),
-    /// Makes the pool's least size this many processors.
+    /// Sets the pool's minimum VM size to this many processors.
     PoolOf(u32),
 }
 
@@ -75,18 +75,18 @@
 struct Report {
     vm: usize,
     seq: u64,
-    #[serde(default = "once")]
+    #[serde(default = "one")]
     boot: u64,
     age: u64,
     slowdown: IndexMap<String, f64>,
-    /// Whether `seq` rises with each repetition.
+    /// Whether each repetition sends the same `seq`; otherwise `seq` increases.
     #[serde(default)]
     repeated: bool,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Ended {
+struct EndedEvent {
     vm: usize,
     class: String,
     fails: bool,
@@ -94,14 +94,14 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Relieved {
+struct RelieveRequest {
     vm: usize,
     tasks: IndexMap<String, u64>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Chosen {
+struct ChooseRequest {
     class: String,
     #[serde(default)]
     waited: u64,
@@ -172,7 +172,7 @@
     }
 }
 
-/// The policy under a case, and what a core would keep.
+/// The policy under test, and the state that the core would keep for it.
 struct Run {
     policy: Policy,
     config: Config,
@@ -192,19 +192,19 @@
         Self { policy, config, fills: case.vms.clone(), health, next_task: 0 }
     }
 
-    /// Carries out a step; the answer in words, if it has one.
-    fn carry_out(&mut self, what: &What, repetition: u64, now: Duration) -> Option<String> {
-        match what {
-            What::Report(report) => self.report(report, repetition, now),
-            What::Ended(ended) => self.ended(ended, now),
-            What::Relieve(relieved) => return Some(self.relieve(relieved, now)),
-            What::Choose(chosen) => return Some(self.choose(chosen, now)),
-            What::Remove(index) => self.policy.remove_vm(&vm(*index)),
-            What::Fill(fill) => {
+    /// Executes an action and returns the policy's answer as text, if there is one.
+    fn execute(&mut self, action: &Action, repetition: u64, now: Duration) -> Option<String> {
+        match action {
+            Action::Report(report) => self.report(report, repetition, now),
+            Action::Ended(ended) => self.ended(ended, now),
+            Action::Relieve(request) => return Some(self.relieve(request, now)),
+            Action::Choose(request) => return Some(self.choose(request, now)),
+            Action::Remove(index) => self.policy.remove_vm(&vm(*index)),
+            Action::Fill(fill) => {
                 self.fills[fill.vm] = fill.tasks.clone();
-                self.tell(fill.vm);
+                self.update_view(fill.vm);
             }
-            What::PoolOf(cores) => {
+            Action::PoolOf(cores) => {
                 let pool = Pool { domains: Vec::new(), min_size: size_of(*cores) };
                 self.config.pools.insert("all".into(), pool);
                 self.policy.configure(Arc::new(self.config.clone()));
@@ -213,7 +213,7 @@
         None
     }
 
-    fn tell(&mut self, index: usize) {
+    fn update_view(&mut self, index: usize) {
         self.policy.upsert_vm(view(index, &self.fills[index], self.health[index]));
     }
 
@@ -236,7 +236,7 @@
         self.policy.observe(&vm(report.vm), &usage, now);
     }
 
-    fn ended(&mut self, ended: &Ended, now: Duration) {
+    fn ended(&mut self, ended: &EndedEvent, now: Duration) {
         let outcome = match ended.fails {
             true => Outcome::Failed { reason: "exit 1".to_owned() },
             false => Outcome::Succeeded,
@@ -244,8 +244,8 @@
         self.policy.ended(&vm(ended.vm), &ClassName::new(&ended.class), &outcome, now);
     }
 
-    fn relieve(&mut self, relieved: &Relieved, now: Duration) -> String {
-        let residents: Vec<_> = relieved
+    fn relieve(&mut self, request: &RelieveRequest, now: Duration) -> String {
+        let residents: Vec<_> = request
             .tasks
             .iter()
             .map(|(class, number)| Resident {
@@ -257,12 +257,12 @@
                 progress: 0.1,
             })
             .collect();
-        let steps = self.policy.relieve(&vm(relieved.vm), &residents, now);
-        let words: Vec<_> = steps.iter().map(|step| self.take(step)).collect();
+        let steps = self.policy.relieve(&vm(request.vm), &residents, now);
+        let words: Vec<_> = steps.iter().map(|step| self.apply_relief(step)).collect();
         if words.is_empty() { "nothing".to_owned() } else { words.join(", ") }
     }
 
-    fn take(&mut self, step: &Decided<Relief>) -> String {
+    fn apply_relief(&mut self, step: &Decided<Relief>) -> String {
         let replayed = explain::replay(&step.record).expect("the record can be replayed");
         assert_eq!(replayed, explain::Replayed::Relief(Some(step.choice.clone())));
         match &step.choice {
@@ -272,7 +272,7 @@
                 let index = (0..self.health.len()).find(|index| vm(*index) == *id);
                 let index = index.expect("a known VM");
                 self.health[index] = *health;
-                self.tell(index);
+                self.update_view(index);
                 format!("{health:?}").to_lowercase()
             }
         }
@@ -295,17 +295,17 @@
         }
     }
 
-    fn choose(&mut self, chosen: &Chosen, now: Duration) -> String {
+    fn choose(&mut self, request: &ChooseRequest, now: Duration) -> String {
         self.next_task += 1;
-        let mut spec = self.spec(&chosen.class);
-        if let Some(cores) = chosen.cores {
+        let mut spec = self.spec(&request.class);
+        if let Some(cores) = request.cores {
             spec.resources = size_of(cores);
         }
         let candidate = Candidate {
             task: TaskId::new(PartitionId(2), self.next_task),
             attempt: Attempt(1),
             spec,
-            waited: Duration::from_secs(chosen.waited),
+            waited: Duration::from_secs(request.waited),
             avoid: Vec::new(),
         };
         let decided = self.policy.choose(&candidate, now);
@@ -319,7 +319,8 @@
     }
 }
 
-/// An answer is as expected if it is that, or for waits and refusals has the words in it.
+/// Whether the answer equals the expected one; for waits and refusals, whether it has the expected
+/// kind and contains the expected text.
 fn matches(expected: &str, answer: &str) -> bool {
     match expected.split_once(": ") {
         Some((kind, words)) => answer.starts_with(kind) && answer.contains(words),
@@ -334,13 +335,13 @@
         for (number, step) in case.step.iter().enumerate() {
             for repetition in 0..step.times {
                 let now = Duration::from_secs(step.at + repetition * step.every);
-                let answer = run.carry_out(&step.what, repetition, now);
+                let answer = run.execute(&step.action, repetition, now);
                 let Some(expected) = &step.expect else { continue };
                 let answer = answer.unwrap_or_default();
                 let (name, number) = (&case.name, number + 1);
                 if !matches(expected, &answer) {
-                    let told = format!("{name}: step {number}: not `{expected}` but `{answer}`");
-                    return Err(told.into());
+                    let message = format!("{name}: step {number}: not `{expected}` but `{answer}`");
+                    return Err(message.into());
                 }
             }
         }
