--- a/benches/policy/cost.rs
+++ b/benches/policy/cost.rs
@@ -1,4 +1,4 @@
-//! The cost of one decision, from 50 VMs to 14,000.
+//! Measures the processor time of one decision for fleets of 50 to 14,000 VMs.
 
 use crate::site::{Site, inkuru};
 use crate::world::cpu_time;
@@ -16,19 +16,19 @@
 use waxwingstall::units::Resources;
 use waxwingstall::worker::{TenantUsage, UsageReport};
 
-/// VMs known to one policy.
-const FLEETS: [usize; 5] = [50, 200, 1_000, 4_000, 14_000];
+/// Numbers of VMs known to one policy.
+const FLEET_SIZES: [usize; 5] = [50, 200, 1_000, 4_000, 14_000];
 
-/// Failure domains for each fleet.
-const VMS_FOR_EACH_DOMAIN: usize = 1000;
+/// Number of VMs in one failure domain.
+const VMS_PER_DOMAIN: usize = 1000;
 
 const DECISIONS: usize = 3000;
 
-/// Starts a second at the two-year size, and the log writers that share them.
-const STARTS: f64 = 910.0;
+/// Task starts per second at the projected size in two years, and the log writers that share them.
+const STARTS_PER_SECOND: f64 = 910.0;
 const WRITERS: f64 = 56.0;
 
-/// Prints the cost of decisions for each size of fleet.
+/// Prints the cost of decisions for each fleet size.
 pub fn table() {
     println!("\n## cost of one decision by VMs known (processor time)");
     println!(
@@ -36,11 +36,11 @@
         "VMs", "choose µs", "wait µs", "upsert µs", "of 50 VMs' cost", "% of a core a writer"
     );
     let mut first = None;
-    for vms in FLEETS {
+    for vms in FLEET_SIZES {
         let (place, wait, upsert) = measure(vms);
         let base = *first.get_or_insert(place);
-        let view_changes = 2.0 * STARTS * (vms.min(VMS_FOR_EACH_DOMAIN) as f64 / 14_000.0);
-        let core = (STARTS / WRITERS * place + view_changes * upsert) / 1e6 * 100.0;
+        let view_changes = 2.0 * STARTS_PER_SECOND * (vms.min(VMS_PER_DOMAIN) as f64 / 14_000.0);
+        let core = (STARTS_PER_SECOND / WRITERS * place + view_changes * upsert) / 1e6 * 100.0;
         println!(
             "{vms:>8}{place:>12.1}{wait:>12.1}{upsert:>14.2}{:>15.2}x{core:>21.2}%",
             place / base
@@ -59,25 +59,25 @@
     for view in &views {
         policy.upsert_vm(view.clone());
     }
-    let upsert = time(|| {
+    let upsert = micros_per_decision(|| {
         for step in 0..DECISIONS {
             let view = &mut views[step % vms];
             view.free.milli_cores.0 = 1000 * rng.random_range(0..16);
             policy.upsert_vm(view.clone());
         }
     });
-    teach(&mut policy, &views, &mut rng);
-    let place = time(|| choose_all(&mut policy, &config, 4));
+    train(&mut policy, &views, &mut rng);
+    let place = micros_per_decision(|| choose_all(&mut policy, &config, 4));
     for view in &mut views {
         view.free.milli_cores.0 = view.free.milli_cores.0.min(3000);
         policy.upsert_vm(view.clone());
     }
-    let wait = time(|| choose_all(&mut policy, &config, 4));
+    let wait = micros_per_decision(|| choose_all(&mut policy, &config, 4));
     (place, wait, upsert)
 }
 
-/// Lets the policy learn pairs from one report of each of some VMs.
-fn teach(policy: &mut Policy, views: &[VmView], rng: &mut SmallRng) {
+/// Trains the policy with one report from each of the first 50 VMs.
+fn train(policy: &mut Policy, views: &[VmView], rng: &mut SmallRng) {
     for (index, view) in views.iter().take(50).enumerate() {
         let load = rng.random_range(0.2..0.9);
         let tenants = view.classes.iter().map(|entry| TenantUsage {
@@ -99,8 +99,8 @@
     }
 }
 
-/// Microseconds of each of [`DECISIONS`] steps.
-fn time<T>(work: impl FnOnce() -> T) -> f64 {
+/// Runs `work`, which makes [`DECISIONS`] decisions, and returns the microseconds per decision.
+fn micros_per_decision<T>(work: impl FnOnce() -> T) -> f64 {
     let before = cpu_time();
     std::hint::black_box(work());
     (cpu_time() - before).as_secs_f64() * 1e6 / DECISIONS as f64
@@ -138,7 +138,7 @@
     }
 }
 
-/// A VM with a random mix of tasks, and free room that fits some.
+/// A VM with a random mix of tasks and random free resources.
 fn view(site: &Site, index: usize, rng: &mut SmallRng) -> VmView {
     let mut classes = vec![ClassCount { class: ClassName::new(site.services[0]), count: 2 }];
     for class in &site.batch {
@@ -151,7 +151,7 @@
     VmView {
         vm: site.vm(index),
         holder: DaemonId::from("daemon-1"),
-        domain: DomainId::new(&format!("domain-{}", index / VMS_FOR_EACH_DOMAIN)),
+        domain: DomainId::new(&format!("domain-{}", index / VMS_PER_DOMAIN)),
         rack: RackId::new(&format!("rack-{}", index / 8)),
         size: site.size,
         free,
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,8 +1,8 @@
-//! Compares the policy with simpler ones and with one that knows the hidden effects.
+//! Compares the policy with simple baselines and with an oracle that knows the hidden effects.
 //!
-//! A small fake of workers has hidden effects between classes that shift; the policies see only
-//! views, ends and late, noisy reports. Seeds are fixed. One argument runs only the scenarios whose
-//! name contains it.
+//! A simulation of workers applies hidden interference between classes, which changes over time;
+//! the policies see only views, task outcomes and late, noisy reports. Seeds are fixed. An optional
+//! argument runs only the scenarios whose name contains it.
 
 mod cost;
 mod rows;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Makes the tables at once and prints them in order.
+/// Computes the tables in parallel and prints them in order.
 fn print_all<F: FnOnce() -> String + Send>(tables: impl Iterator<Item = F>) {
     std::thread::scope(|scope| {
         let running: Vec<_> = tables.map(|table| scope.spawn(table)).collect();
--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -1,6 +1,6 @@
 //! The policies that are compared.
 
-use crate::truth::{BAND_LOADS, Truth};
+use crate::truth::{BAND_LOADS, HiddenEffects};
 use indexmap::IndexMap;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -43,7 +43,7 @@
     }
 
     /// The hidden effects changed; only the oracle listens.
-    fn shifted(&mut self, _truth: &Truth) {}
+    fn shifted(&mut self, _truth: &HiddenEffects) {}
 
     /// Excess slowdown that the row predicts, where it predicts one.
     fn predict(&self, _victim: &ClassName, _aggressor: &ClassName, _load: f64) -> Option<f64> {
@@ -213,7 +213,7 @@
         decided.map(|decided| decided.choice)
     }
 
-    fn shifted(&mut self, truth: &Truth) {
+    fn shifted(&mut self, truth: &HiddenEffects) {
         if !self.oracle {
             return;
         }
--- a/benches/policy/site.rs
+++ b/benches/policy/site.rs
@@ -1,4 +1,4 @@
-//! The two users' sizes, their classes, and the configurations made of them.
+//! Fleet sizes and classes of the two users, and the configurations built from them.
 
 use std::time::Duration;
 use waxwingstall::ids::{ClassName, DomainId, RackId, TeamName, VmId};
@@ -7,10 +7,10 @@
 };
 use waxwingstall::units::Resources;
 
-/// VMs in a rack.
-pub const RACK: usize = 8;
+/// Number of VMs in a rack.
+pub const VMS_PER_RACK: usize = 8;
 
-/// A class of batch tasks, as it is declared.
+/// A class of batch tasks as declared.
 #[derive(Clone, Copy, Debug)]
 pub struct Batch {
     pub name: &'static str,
@@ -19,11 +19,11 @@
     pub memory_gib: u32,
     pub expected: u64,
     pub resumption: Resumption,
-    /// Share of the batch load.
+    /// Fraction of the batch load.
     pub load: f64,
 }
 
-/// One user.
+/// One user's site.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub name: &'static str,
@@ -47,7 +47,7 @@
     Batch { name, team, cores, memory_gib: cores * 3, expected, resumption, load }
 }
 
-/// Inkuru Nziza: the tail of previews weighs most.
+/// Inkuru Nziza: the tail latency of previews has the highest weight.
 pub fn inkuru() -> Site {
     Site {
         name: "Inkuru",
@@ -68,7 +68,7 @@
     }
 }
 
-/// Pivnița Brânzei: evictions weigh most.
+/// Pivnița Brânzei: evictions have the highest weight.
 pub fn pivnita() -> Site {
     Site {
         name: "Pivnița",
@@ -89,7 +89,7 @@
     }
 }
 
-/// A class of tasks that slow everything beside them, known to the configuration as any other.
+/// A class of tasks that slow all their neighbours; it is configured like any other class.
 pub const NOISY: &str = "noisy";
 
 impl Site {
@@ -130,10 +130,10 @@
     }
 
     pub fn domain(&self, index: usize) -> DomainId {
-        DomainId::new(self.domains[(index / RACK) % self.domains.len()])
+        DomainId::new(self.domains[(index / VMS_PER_RACK) % self.domains.len()])
     }
 
     pub fn rack(&self, index: usize) -> RackId {
-        RackId::new(&format!("rack-{}", index / RACK))
+        RackId::new(&format!("rack-{}", index / VMS_PER_RACK))
     }
 }
--- a/benches/policy/trace.rs
+++ b/benches/policy/trace.rs
@@ -1,7 +1,7 @@
 //! What happens in a scenario, the same for every row: arrivals, loads, faults.
 
 use crate::site::{NOISY, Site};
-use crate::truth::gauss;
+use crate::truth::standard_normal;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -181,7 +181,7 @@
     fn job(&self, site: &Site, class: &str, arrives: u64, rng: &mut SmallRng) -> Job {
         let batch = site.batch.iter().find(|batch| batch.name == class).expect("a known class");
         let off = if self.misdeclared { rng.random_range(-1.4..1.4) } else { 0.0 };
-        let work = batch.expected as f64 * (off + 0.2 * gauss(rng)).exp();
+        let work = batch.expected as f64 * (off + 0.2 * standard_normal(rng)).exp();
         let use_ratio = if self.misdeclared { rng.random_range(0.2..1.6) } else { 0.9 };
         Job {
             id: TaskId::new(PartitionId(1), 0),
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -4,9 +4,9 @@
 mod work;
 
 use crate::rows::Row;
-use crate::site::{NOISY, RACK, Site};
+use crate::site::{NOISY, Site, VMS_PER_RACK};
 use crate::trace::{Job, LENGTH, Scenario, WARM_UP};
-use crate::truth::{Truth, gauss};
+use crate::truth::{HiddenEffects, standard_normal};
 use hdrhistogram::Histogram;
 use indexmap::{IndexMap, IndexSet};
 use rand::rngs::SmallRng;
@@ -152,7 +152,7 @@
     site: &'a Site,
     scenario: &'a Scenario,
     row: &'a mut dyn Row,
-    truth: Truth,
+    truth: HiddenEffects,
     jobs: Vec<Job>,
     next_job: usize,
     vms: Vec<Vm>,
@@ -173,7 +173,7 @@
         site.batch.iter().map(|class| ClassName::new(class.name)).collect();
     classes.extend(site.services.iter().map(|name| ClassName::new(name)));
     classes.push(ClassName::new(NOISY));
-    let truth = Truth::new(classes, NOISY, seed);
+    let truth = HiddenEffects::new(classes, NOISY, seed);
     let vms: Vec<Vm> = (0..site.vms).map(|index| new_vm(site, scenario, &truth, index)).collect();
     let instances: usize = vms.iter().map(|vm| vm.services.len()).sum();
     let total = f64::from(site.size.milli_cores.0) / 1000.0 * site.vms as f64;
@@ -201,7 +201,7 @@
     world.out
 }
 
-fn new_vm(site: &Site, scenario: &Scenario, truth: &Truth, index: usize) -> Vm {
+fn new_vm(site: &Site, scenario: &Scenario, truth: &HiddenEffects, index: usize) -> Vm {
     let services: Vec<_> = match index % 4 {
         3 => Vec::new(),
         _ => site.services.iter().map(|name| ClassName::new(name)).collect(),
@@ -214,7 +214,7 @@
         boot: 1,
         seq: 0,
         service_slowdown: vec![1.0; services.len()],
-        service_numbers: services.iter().map(|class| truth.number(class)).collect(),
+        service_numbers: services.iter().map(|class| truth.class_index(class)).collect(),
         services,
         tasks: Vec::new(),
         load: 0.0,
@@ -252,12 +252,12 @@
             self.row.shifted(&self.truth);
         }
         if self.scenario.rack_fails_at == Some(now) {
-            for index in 0..RACK.min(self.vms.len()) {
+            for index in 0..VMS_PER_RACK.min(self.vms.len()) {
                 self.fail_vm(index, now);
             }
         }
         if self.scenario.rack_fails_at.is_some_and(|at| at + RACK_AWAY == now) {
-            for index in 0..RACK.min(self.vms.len()) {
+            for index in 0..VMS_PER_RACK.min(self.vms.len()) {
                 let vm = &mut self.vms[index];
                 vm.up = true;
                 vm.boot += 1;
@@ -385,7 +385,7 @@
                 self.out.large_waits.saturating_record(wait);
             }
         }
-        let class = self.truth.number(&candidate.spec.class);
+        let class = self.truth.class_index(&candidate.spec.class);
         self.vms[index].tasks.push(Running {
             job: waiting.job,
             class,
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -33,11 +33,17 @@
         {
             let number = 1_000_000_000 + (index * 10 + instance) as u64;
             let task = TaskId::new(PartitionId(9), number);
-            tenants.push(usage(task, class, slowdown * (1.0 + noise * gauss(&mut self.rng)), 0.0));
+            tenants.push(usage(
+                task,
+                class,
+                slowdown * (1.0 + noise * standard_normal(&mut self.rng)),
+                0.0,
+            ));
         }
         for running in &vm.tasks {
             let job = &self.jobs[running.job];
-            let slowdown = running.slowdown / running.share * (1.0 + noise * gauss(&mut self.rng));
+            let slowdown =
+                running.slowdown / running.share * (1.0 + noise * standard_normal(&mut self.rng));
             let progress = (running.done / job.work).clamp(0.0, 1.0);
             tenants.push(usage(job.id, &job.spec.class, slowdown, progress));
         }
