--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The policies under test.
 
 use crate::truth::{BAND_LOADS, HiddenEffects};
 use indexmap::IndexMap;
@@ -15,8 +15,8 @@
 use waxwingstall::task::Outcome;
 use waxwingstall::worker::UsageReport;
 
-/// A policy under test, as the fake core uses it.
-pub trait Row {
+/// Interface between a policy under test and the simulated core.
+pub trait TestedPolicy {
     fn upsert(&mut self, view: VmView);
     fn remove(&mut self, vm: &VmId);
     fn choose(&mut self, candidate: &Candidate, now: Duration) -> Choice;
@@ -42,47 +42,47 @@
         None
     }
 
-    /// The hidden effects changed; only the oracle listens.
-    fn shifted(&mut self, _truth: &HiddenEffects) {}
+    /// Notifies of a change of the hidden effects; only the oracle uses it.
+    fn effects_changed(&mut self, _truth: &HiddenEffects) {}
 
-    /// Excess slowdown that the row predicts, where it predicts one.
+    /// Excess slowdown that the policy predicts, if it has a model.
     fn predict(&self, _victim: &ClassName, _aggressor: &ClassName, _load: f64) -> Option<f64> {
         None
     }
 }
 
-/// Where a policy without a model puts a task.
+/// Placement rule of a baseline policy.
 #[derive(Clone, Debug)]
-pub enum Simple {
+pub enum BaselineRule {
     FirstFit,
     Random(SmallRng),
     /// The first VM without a service.
     NeverBesideServices(Vec<ClassName>),
 }
 
-/// A policy that looks at room alone.
+/// A baseline policy that considers only free resources.
 #[derive(Debug)]
-pub struct SimpleRow {
-    how: Simple,
+pub struct BaselinePolicy {
+    rule: BaselineRule,
     views: IndexMap<VmId, VmView>,
 }
 
-impl SimpleRow {
+impl BaselinePolicy {
     pub fn first_fit() -> Self {
-        Self { how: Simple::FirstFit, views: IndexMap::new() }
+        Self { rule: BaselineRule::FirstFit, views: IndexMap::new() }
     }
 
     pub fn random(seed: u64) -> Self {
-        Self { how: Simple::Random(SmallRng::seed_from_u64(seed)), views: IndexMap::new() }
+        Self { rule: BaselineRule::Random(SmallRng::seed_from_u64(seed)), views: IndexMap::new() }
     }
 
     pub fn never_beside_services(config: &Config) -> Self {
         let services = config.services.keys().map(|name| ClassName::new(name.as_str())).collect();
-        Self { how: Simple::NeverBesideServices(services), views: IndexMap::new() }
+        Self { rule: BaselineRule::NeverBesideServices(services), views: IndexMap::new() }
     }
 }
 
-impl Row for SimpleRow {
+impl TestedPolicy for BaselinePolicy {
     fn upsert(&mut self, view: VmView) {
         self.views.insert(view.vm.clone(), view);
     }
@@ -96,10 +96,10 @@
             view.health == VmHealth::Open && candidate.spec.resources.fits_in(&view.free)
         };
         let mut fitting = self.views.values().filter(fits);
-        let chosen = match &mut self.how {
-            Simple::FirstFit => fitting.next(),
-            Simple::Random(rng) => fitting.collect::<Vec<_>>().choose(rng).copied(),
-            Simple::NeverBesideServices(services) => fitting.find(|view| {
+        let chosen = match &mut self.rule {
+            BaselineRule::FirstFit => fitting.next(),
+            BaselineRule::Random(rng) => fitting.collect::<Vec<_>>().choose(rng).copied(),
+            BaselineRule::NeverBesideServices(services) => fitting.find(|view| {
                 view.classes
                     .iter()
                     .all(|entry| entry.count == 0 || !services.contains(&entry.class))
@@ -112,9 +112,9 @@
     }
 }
 
-/// What of the project's policy is left out.
+/// The part of the scheduler's policy that is disabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Without {
+pub enum Disabled {
     #[default]
     Nothing,
     Model,
@@ -122,34 +122,35 @@
     Blame,
 }
 
-/// The project's policy, with the VMs shared out over some daemons.
+/// The scheduler's policy, with the VMs distributed over several daemons.
 #[derive(Debug)]
-pub struct ProjectRow {
+pub struct SchedulerPolicy {
     daemons: Vec<Policy>,
-    without: Without,
+    disabled: Disabled,
     oracle: bool,
 }
 
-impl ProjectRow {
+impl SchedulerPolicy {
     pub fn new(config: &Arc<Config>, daemons: usize) -> Self {
         let policy = || Policy::new(config.clone()).with_settle(Duration::ZERO);
         let daemons = (0..daemons).map(|_| policy()).collect();
-        Self { daemons, without: Without::Nothing, oracle: false }
+        Self { daemons, disabled: Disabled::Nothing, oracle: false }
     }
 
-    pub fn without(config: &Arc<Config>, without: Without) -> Self {
-        let mut row = Self::new(config, 1);
-        row.without = without;
-        if without == Without::Model {
-            *row.daemons[0].interference_mut() = Interference::new().with_learning(Learning::Off);
+    pub fn without(config: &Arc<Config>, disabled: Disabled) -> Self {
+        let mut policy = Self::new(config, 1);
+        policy.disabled = disabled;
+        if disabled == Disabled::Model {
+            *policy.daemons[0].interference_mut() =
+                Interference::new().with_learning(Learning::Off);
         }
-        row
+        policy
     }
 
     pub fn oracle(config: &Arc<Config>) -> Self {
-        let mut row = Self::new(config, 1);
-        row.oracle = true;
-        row
+        let mut policy = Self::new(config, 1);
+        policy.oracle = true;
+        policy
     }
 
     fn holder(&mut self, vm: &VmId) -> &mut Policy {
@@ -164,7 +165,7 @@
     }
 }
 
-impl Row for ProjectRow {
+impl TestedPolicy for SchedulerPolicy {
     fn upsert(&mut self, view: VmView) {
         for daemon in &mut self.daemons {
             daemon.upsert_vm(view.clone());
@@ -190,13 +191,13 @@
     }
 
     fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
-        if self.without != Without::Blame {
+        if self.disabled != Disabled::Blame {
             self.holder(vm).ended(vm, class, outcome, now);
         }
     }
 
     fn relieve(&mut self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Relief> {
-        if self.without == Without::Relief {
+        if self.disabled == Disabled::Relief {
             return Vec::new();
         }
         let steps = self.holder(vm).relieve(vm, residents, now);
@@ -213,7 +214,7 @@
         decided.map(|decided| decided.choice)
     }
 
-    fn shifted(&mut self, truth: &HiddenEffects) {
+    fn effects_changed(&mut self, truth: &HiddenEffects) {
         if !self.oracle {
             return;
         }
--- a/benches/policy/scenarios.rs
+++ b/benches/policy/scenarios.rs
@@ -1,6 +1,6 @@
-//! The scenarios, each printed as one table for each user.
+//! The scenarios; each is printed as one table per user.
 
-use crate::rows::{ProjectRow, Row, SimpleRow, Without};
+use crate::rows::{BaselinePolicy, Disabled, SchedulerPolicy, TestedPolicy};
 use crate::site::{NOISY, Site};
 use crate::trace::{BAD_WIRE, Load, Scenario};
 use crate::world::{Outcomes, run};
@@ -8,39 +8,40 @@
 use waxwingstall::ids::ClassName;
 use waxwingstall::model::{Config, Weights};
 
-/// Seeds of each scenario; a row sums over them.
+/// Seeds of each scenario; each row of a table aggregates them.
 const SEEDS: [u64; 2] = [11, 12];
 
-/// A row's name and how to make it.
-type MakeRow = (&'static str, fn(&Arc<Config>, u64) -> Box<dyn Row>);
+/// The name and the constructor of a policy under test.
+type PolicyEntry = (&'static str, fn(&Arc<Config>, u64) -> Box<dyn TestedPolicy>);
 
-const ROWS: [MakeRow; 6] = [
-    ("first fit", |_, _| Box::new(SimpleRow::first_fit())),
-    ("random", |_, seed| Box::new(SimpleRow::random(seed))),
-    ("never colocated", |config, _| Box::new(SimpleRow::never_beside_services(config))),
-    ("no model", |config, _| Box::new(ProjectRow::without(config, Without::Model))),
-    ("today's", |config, _| Box::new(ProjectRow::new(config, 1))),
-    ("oracle", |config, _| Box::new(ProjectRow::oracle(config))),
+const DEFAULT_POLICIES: [PolicyEntry; 6] = [
+    ("first fit", |_, _| Box::new(BaselinePolicy::first_fit())),
+    ("random", |_, seed| Box::new(BaselinePolicy::random(seed))),
+    ("never colocated", |config, _| Box::new(BaselinePolicy::never_beside_services(config))),
+    ("no model", |config, _| Box::new(SchedulerPolicy::without(config, Disabled::Model))),
+    ("today's", |config, _| Box::new(SchedulerPolicy::new(config, 1))),
+    ("oracle", |config, _| Box::new(SchedulerPolicy::oracle(config))),
 ];
 
-const NO_RELIEF: MakeRow =
-    ("without ladder", |config, _| Box::new(ProjectRow::without(config, Without::Relief)));
-const NO_BLAME: MakeRow =
-    ("without blame", |config, _| Box::new(ProjectRow::without(config, Without::Blame)));
-const EIGHT: MakeRow = ("today's, 8 daemons", |config, _| Box::new(ProjectRow::new(config, 8)));
+const NO_RELIEF: PolicyEntry =
+    ("without ladder", |config, _| Box::new(SchedulerPolicy::without(config, Disabled::Relief)));
+const NO_BLAME: PolicyEntry =
+    ("without blame", |config, _| Box::new(SchedulerPolicy::without(config, Disabled::Blame)));
+const EIGHT_DAEMONS: PolicyEntry =
+    ("today's, 8 daemons", |config, _| Box::new(SchedulerPolicy::new(config, 8)));
 
-/// Every scenario, with the rows that it has beside the usual ones.
-pub fn all() -> Vec<(Scenario, Vec<MakeRow>)> {
+/// All scenarios, each with its policies in addition to the default ones.
+pub fn all() -> Vec<(Scenario, Vec<PolicyEntry>)> {
     let steady = Scenario::steady;
     vec![
-        (steady("steady load"), vec![EIGHT]),
+        (steady("steady load"), vec![EIGHT_DAEMONS]),
         (
             Scenario {
                 load: Load::Steps,
                 shift_at: Some(1500),
                 ..steady("load in steps, hidden effects shift")
             },
-            vec![NO_RELIEF, EIGHT],
+            vec![NO_RELIEF, EIGHT_DAEMONS],
         ),
         (Scenario { waves: true, ..steady("waves of noisy tasks") }, vec![NO_RELIEF]),
         (Scenario { misdeclared: true, ..steady("declared sizes far off") }, vec![NO_RELIEF]),
@@ -62,12 +63,12 @@
     ]
 }
 
-/// Runs one scenario for one user under each row.
-pub fn table(site: &Site, scenario: &Scenario, more: &[MakeRow]) -> String {
+/// Runs one scenario for one user under each policy.
+pub fn table(site: &Site, scenario: &Scenario, additional: &[PolicyEntry]) -> String {
     let mut out = header(site, scenario);
     let config = Arc::new(configuration(site));
-    for (name, make) in ROWS.iter().chain(more) {
-        out += &row(name, &run_seeds(site, scenario, &config, *make));
+    for (name, create) in DEFAULT_POLICIES.iter().chain(additional) {
+        out += &row(name, &run_seeds(site, scenario, &config, *create));
     }
     out
 }
@@ -84,8 +85,8 @@
         [(site.name, site.weights), (other.name, other.weights), ("equal", Weights::default())]
     {
         let config = Config { weights, ..configuration(site) };
-        let today: fn(&Arc<Config>, u64) -> Box<dyn Row> = ROWS[4].1;
-        let outcomes = run_seeds(site, &scenario, &Arc::new(config), today);
+        let default_policy: fn(&Arc<Config>, u64) -> Box<dyn TestedPolicy> = DEFAULT_POLICIES[4].1;
+        let outcomes = run_seeds(site, &scenario, &Arc::new(config), default_policy);
         out += &row(&format!("weights: {name}"), &outcomes);
     }
     out
@@ -103,9 +104,9 @@
     site: &Site,
     scenario: &Scenario,
     config: &Arc<Config>,
-    make: fn(&Arc<Config>, u64) -> Box<dyn Row>,
+    create: fn(&Arc<Config>, u64) -> Box<dyn TestedPolicy>,
 ) -> Outcomes {
-    let one = |seed: u64| run(site, scenario, make(config, seed).as_mut(), seed);
+    let one = |seed: u64| run(site, scenario, create(config, seed).as_mut(), seed);
     std::thread::scope(|scope| {
         let seeds: Vec<_> = SEEDS.into_iter().map(|seed| scope.spawn(move || one(seed))).collect();
         let outcomes = seeds.into_iter().map(|seed| seed.join().expect("a run"));
@@ -128,7 +129,7 @@
     sum.refused += other.refused;
     sum.failed_starts += other.failed_starts;
     sum.failed_tasks += other.failed_tasks;
-    sum.broken_promises += other.broken_promises;
+    sum.violations += other.violations;
     sum.still_waiting += other.still_waiting;
     sum.decisions += other.decisions;
     sum.decision_time += other.decision_time;
@@ -161,7 +162,7 @@
 
 fn row(name: &str, out: &Outcomes) -> String {
     let slowdown = |percentile| out.services.value_at_percentile(percentile) as f64 / 1000.0;
-    let each = out.decision_time.as_secs_f64() * 1e6 / out.decisions.max(1) as f64;
+    let micros_per_decision = out.decision_time.as_secs_f64() * 1e6 / out.decisions.max(1) as f64;
     format!(
         "{:<20}{:>8.2}{:>8.2}{:>9.1}{:>7}{:>9}{:>8}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>7}{:>9.1}{:>8}\n",
         name,
@@ -171,20 +172,20 @@
         out.evictions,
         out.throttles,
         out.refused,
-        out.broken_promises,
+        out.violations,
         out.failed_starts,
         out.failed_tasks,
         out.waits.value_at_percentile(99.0),
         out.urgent_waits.value_at_percentile(99.0),
         out.large_waits.value_at_percentile(99.0),
         out.still_waiting,
-        each,
-        prediction(out)
+        micros_per_decision,
+        relative_prediction_error(out)
     )
 }
 
-/// Mean error of the predicted slowdown of a class on a VM, over its mean real slowdown.
-fn prediction(out: &Outcomes) -> String {
+/// Ratio of the mean error of the predicted slowdown of a class on a VM to its mean real slowdown.
+fn relative_prediction_error(out: &Outcomes) -> String {
     if out.predictions == 0.0 {
         return "-".to_owned();
     }
--- a/benches/policy/trace.rs
+++ b/benches/policy/trace.rs
@@ -1,4 +1,4 @@
-//! What happens in a scenario, the same for every row: arrivals, loads, faults.
+//! Scenarios: arrivals, loads and faults, identical for every policy under test.
 
 use crate::site::{NOISY, Site};
 use crate::truth::standard_normal;
@@ -10,24 +10,24 @@
 use waxwingstall::task::TaskSpec;
 use waxwingstall::units::Resources;
 
-/// Simulated length of a scenario, and its first part that is not measured.
+/// Simulated length of a scenario, and its unmeasured warm-up, in seconds.
 pub const LENGTH: u64 = 2400;
 pub const WARM_UP: u64 = 500;
 
-/// A task with its hidden properties.
+/// A task and its hidden properties.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub id: TaskId,
     pub spec: TaskSpec,
     pub arrives: u64,
-    /// Hidden: run time alone, in seconds.
+    /// Hidden: run time without neighbours, in seconds.
     pub work: f64,
-    /// Hidden: processors used for each declared one.
+    /// Hidden: ratio of used to declared processors.
     pub use_ratio: f64,
     pub cancel_at: Option<u64>,
 }
 
-/// Services' use of their processors.
+/// How the services' processor use changes over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Load {
     Steady,
@@ -35,7 +35,7 @@
     Steps,
 }
 
-/// Reports on their way.
+/// Delay, loss and noise of reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wire {
     pub lag: u64,
@@ -48,30 +48,30 @@
 pub const GOOD_WIRE: Wire = Wire { lag: 4, jitter: 4, lost: 0.02, repeated: 0.01, noise: 0.08 };
 pub const BAD_WIRE: Wire = Wire { lag: 15, jitter: 30, lost: 0.3, repeated: 0.2, noise: 0.25 };
 
-/// What goes wrong in a scenario.
+/// A scenario with its load and faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: &'static str,
     pub demand: f64,
     pub load: Load,
     pub wire: Wire,
-    /// Waves of noisy tasks.
+    /// Whether waves of noisy tasks arrive.
     pub waves: bool,
-    /// Declared sizes and times are far off.
+    /// Whether declared sizes and run times are far off.
     pub misdeclared: bool,
-    /// Time at which the hidden effects shift.
+    /// Time at which the hidden effects change.
     pub shift_at: Option<u64>,
-    /// VMs that fail all they start.
+    /// Number of VMs that fail every task.
     pub broken: usize,
-    /// The class of this index fails everywhere.
+    /// Index of the class that fails on every VM.
     pub bad_class: Option<usize>,
-    /// A rack fails at this time, and comes back ten minutes later.
+    /// Time at which a rack fails; it returns ten minutes later.
     pub rack_fails_at: Option<u64>,
-    /// Wave of tasks that are submitted and cancelled within seconds.
+    /// Number of tasks that are submitted at once and cancelled within seconds.
     pub cancellations: usize,
-    /// Part of the tasks that no VM can ever hold.
+    /// Fraction of the tasks that fit no VM.
     pub impossible: f64,
-    /// Part of the tasks that are urgent, and that need most of a VM.
+    /// Fractions of the tasks that are urgent, and that need most of a VM.
     pub urgent: f64,
     pub large: f64,
 }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Services' use of their processors, 0 to 1 and above.
+    /// Processor use of the services relative to their size; may exceed 1.
     pub fn activity(&self, now: u64) -> f64 {
         match self.load {
             Load::Steady => 0.5 + 0.1 * (now as f64 / 300.0).sin(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// All tasks in the order of their arrival.
+    /// Generates all tasks, ordered by arrival.
     pub fn jobs(&self, site: &Site, batch_cores: f64, seed: u64) -> Vec<Job> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut jobs = Vec::new();
@@ -139,18 +139,18 @@
                 return;
             }
             let mut job = self.job(site, class, at as u64, rng);
-            self.vary(site, &mut job, rng);
+            self.apply_variations(site, &mut job, rng);
             jobs.push(job);
         }
     }
 
-    fn vary(&self, site: &Site, job: &mut Job, rng: &mut SmallRng) {
-        let kind: f64 = rng.random();
-        if kind < self.impossible {
+    fn apply_variations(&self, site: &Site, job: &mut Job, rng: &mut SmallRng) {
+        let draw: f64 = rng.random();
+        if draw < self.impossible {
             job.spec.resources = site.size.saturating_add(&Resources::new(8000, 0, 0));
-        } else if kind < self.impossible + self.urgent {
+        } else if draw < self.impossible + self.urgent {
             job.spec.urgency = Urgency::Urgent;
-        } else if kind < self.impossible + self.urgent + self.large {
+        } else if draw < self.impossible + self.urgent + self.large {
             job.spec.resources.milli_cores.0 = site.size.milli_cores.0 * 3 / 4;
             job.work = 120.0;
             job.spec.expected = Duration::from_secs(120);
@@ -180,8 +180,8 @@
 
     fn job(&self, site: &Site, class: &str, arrives: u64, rng: &mut SmallRng) -> Job {
         let batch = site.batch.iter().find(|batch| batch.name == class).expect("a known class");
-        let off = if self.misdeclared { rng.random_range(-1.4..1.4) } else { 0.0 };
-        let work = batch.expected as f64 * (off + 0.2 * standard_normal(rng)).exp();
+        let log_error = if self.misdeclared { rng.random_range(-1.4..1.4) } else { 0.0 };
+        let work = batch.expected as f64 * (log_error + 0.2 * standard_normal(rng)).exp();
         let use_ratio = if self.misdeclared { rng.random_range(0.2..1.6) } else { 0.9 };
         Job {
             id: TaskId::new(PartitionId(1), 0),
@@ -204,12 +204,12 @@
         }
     }
 
-    /// Whether a task of the class fails wherever it runs.
+    /// Whether tasks of the class fail on every VM.
     pub fn fails(&self, site: &Site, class: &ClassName) -> bool {
         self.bad_class.is_some_and(|index| site.batch[index].name == class.as_str())
     }
 
-    /// Whether the work of a task is kept by its checkpoints.
+    /// Whether the task resumes from checkpoints.
     pub fn resumable(job: &Job) -> bool {
         job.spec.resumption == Resumption::Checkpoint
     }
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -1,9 +1,9 @@
-//! Fake workers with hidden effects, and a fake core that carries out what a policy says.
+//! Simulates workers with hidden effects, and a core that executes the policy's decisions.
 
 mod reports;
 mod work;
 
-use crate::rows::Row;
+use crate::rows::TestedPolicy;
 use crate::site::{NOISY, Site, VMS_PER_RACK};
 use crate::trace::{Job, LENGTH, Scenario, WARM_UP};
 use crate::truth::{HiddenEffects, standard_normal};
@@ -21,31 +21,31 @@
 use waxwingstall::units::Resources;
 use waxwingstall::worker::{TenantUsage, UsageReport};
 
-/// Time between binding and running, and to checkpoint and stop.
+/// Time from binding to running, and time to checkpoint and stop, in seconds.
 const START_TIME: u64 = 1;
 const STOP_TIME: u64 = 3;
 
-/// Work lost by starting from a checkpoint, and the time between checkpoints, in seconds.
+/// Work lost by resuming from a checkpoint, and the time between checkpoints, in seconds.
 const RESUME_COST: f64 = 8.0;
 const CHECKPOINT_EVERY: u64 = 60;
 
-/// Time between reports of a VM, and between looks at its ladder.
+/// Time between reports of a VM, and between its relief steps, in seconds.
 const REPORT_EVERY: u64 = 5;
 const RELIEVE_EVERY: u64 = 2;
 
-/// Slowdown for each core in use above a VM's size.
+/// Added slowdown per unit of load above a VM's capacity.
 const OVERLOAD: f64 = 3.0;
 
-/// Time between checks of what a row predicts.
+/// Time between checks of the policy's predictions, in seconds.
 const PREDICT_EVERY: u64 = 30;
 
-/// A failing task fails this soon.
+/// Time after which a failing task fails, in seconds.
 const FAILS_AFTER: f64 = 1.0;
 
-/// Time a failed rack is away.
+/// Duration of a rack failure, in seconds.
 const RACK_AWAY: u64 = 600;
 
-/// What a run shows.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Outcomes {
     /// Slowdown of services in thousandths, weighted by requests.
@@ -54,19 +54,19 @@
     pub waits: Histogram<u64>,
     pub urgent_waits: Histogram<u64>,
     pub large_waits: Histogram<u64>,
-    /// Useful work done, in core-hours for each hour.
+    /// Useful work done, in core-hours per hour.
     pub throughput: f64,
     pub evictions: u64,
     pub throttles: u64,
     pub refused: u64,
-    /// Starts that failed, and tasks that ended as failed.
+    /// Number of failed starts, and of tasks that ended as failed.
     pub failed_starts: u64,
     pub failed_tasks: u64,
-    pub broken_promises: u64,
+    pub violations: u64,
     pub still_waiting: u64,
     pub decisions: u64,
     pub decision_time: Duration,
-    /// Sums over predictions of a class's excess slowdown on a VM.
+    /// Number of predictions of a class's excess slowdown on a VM, and sums over them.
     pub predictions: f64,
     pub prediction_error: f64,
     pub real_excess: f64,
@@ -86,7 +86,7 @@
             refused: 0,
             failed_starts: 0,
             failed_tasks: 0,
-            broken_promises: 0,
+            violations: 0,
             still_waiting: 0,
             decisions: 0,
             decision_time: Duration::ZERO,
@@ -103,7 +103,7 @@
     class: usize,
     attempt: Attempt,
     runs_from: u64,
-    /// Seconds of work done.
+    /// Work done, in seconds.
     done: f64,
     saved: f64,
     saved_at: u64,
@@ -115,11 +115,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Closing {
     at: u64,
-    why: Why,
+    reason: StopReason,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Why {
+enum StopReason {
     Evicted,
     Cancelled,
 }
@@ -133,7 +133,7 @@
     boot: u64,
     seq: u64,
     services: Vec<ClassName>,
-    service_numbers: Vec<usize>,
+    service_classes: Vec<usize>,
     service_slowdown: Vec<f64>,
     tasks: Vec<Running>,
     load: f64,
@@ -148,10 +148,10 @@
 }
 
 /// One run of a scenario under one policy.
-pub struct World<'a> {
+pub struct Simulation<'a> {
     site: &'a Site,
     scenario: &'a Scenario,
-    row: &'a mut dyn Row,
+    policy: &'a mut dyn TestedPolicy,
     truth: HiddenEffects,
     jobs: Vec<Job>,
     next_job: usize,
@@ -164,11 +164,11 @@
     report_number: u64,
     rng: SmallRng,
     out: Outcomes,
-    useful: f64,
+    useful_work: f64,
 }
 
 /// Runs a scenario under a policy.
-pub fn run(site: &Site, scenario: &Scenario, row: &mut dyn Row, seed: u64) -> Outcomes {
+pub fn run(site: &Site, scenario: &Scenario, policy: &mut dyn TestedPolicy, seed: u64) -> Outcomes {
     let mut classes: Vec<ClassName> =
         site.batch.iter().map(|class| ClassName::new(class.name)).collect();
     classes.extend(site.services.iter().map(|name| ClassName::new(name)));
@@ -179,10 +179,10 @@
     let total = f64::from(site.size.milli_cores.0) / 1000.0 * site.vms as f64;
     let batch_cores = total - (instances * site.service_cores as usize) as f64;
     let index = vms.iter().enumerate().map(|(index, vm)| (vm.id.clone(), index)).collect();
-    let mut world = World {
+    let mut simulation = Simulation {
         site,
         scenario,
-        row,
+        policy,
         truth,
         jobs: scenario.jobs(site, batch_cores, seed),
         next_job: 0,
@@ -195,10 +195,10 @@
         report_number: 0,
         rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
         out: Outcomes::new(),
-        useful: 0.0,
+        useful_work: 0.0,
     };
-    world.simulate();
-    world.out
+    simulation.simulate();
+    simulation.out
 }
 
 fn new_vm(site: &Site, scenario: &Scenario, truth: &HiddenEffects, index: usize) -> Vm {
@@ -214,42 +214,42 @@
         boot: 1,
         seq: 0,
         service_slowdown: vec![1.0; services.len()],
-        service_numbers: services.iter().map(|class| truth.class_index(class)).collect(),
+        service_classes: services.iter().map(|class| truth.class_index(class)).collect(),
         services,
         tasks: Vec::new(),
         load: 0.0,
     }
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn simulate(&mut self) {
-        self.row.shifted(&self.truth);
+        self.policy.effects_changed(&self.truth);
         for index in 0..self.vms.len() {
-            self.tell(index);
+            self.update_view(index);
         }
         for now in 0..LENGTH {
-            self.faults(now);
+            self.inject_faults(now);
             self.arrive(now);
             self.place_all(now);
-            self.work(now);
-            self.measure(now);
-            self.deliver(now);
+            self.run_tasks(now);
+            self.send_reports(now);
+            self.deliver_reports(now);
             self.relieve(now);
-            self.check();
+            self.check_capacity();
             self.check_prediction(now);
         }
         self.finish();
     }
 
     fn finish(&mut self) {
-        self.out.throughput = self.useful / 3600.0 / ((LENGTH - WARM_UP) as f64 / 3600.0);
+        self.out.throughput = self.useful_work / 3600.0 / ((LENGTH - WARM_UP) as f64 / 3600.0);
         self.out.still_waiting = self.queue.len() as u64;
     }
 
-    fn faults(&mut self, now: u64) {
+    fn inject_faults(&mut self, now: u64) {
         if self.scenario.shift_at == Some(now) {
             self.truth.shift();
-            self.row.shifted(&self.truth);
+            self.policy.effects_changed(&self.truth);
         }
         if self.scenario.rack_fails_at == Some(now) {
             for index in 0..VMS_PER_RACK.min(self.vms.len()) {
@@ -262,7 +262,7 @@
                 vm.up = true;
                 vm.boot += 1;
                 vm.seq = 0;
-                self.tell(index);
+                self.update_view(index);
             }
         }
         self.cancel(now);
@@ -271,14 +271,14 @@
     fn fail_vm(&mut self, index: usize, now: u64) {
         self.vms[index].up = false;
         let id = self.vms[index].id.clone();
-        self.row.remove(&id);
+        self.policy.remove(&id);
         for task in std::mem::take(&mut self.vms[index].tasks) {
-            self.useful -= self.lost(&task, now);
+            self.useful_work -= self.lost_work(&task, now);
             self.requeue(&task, task.saved, now);
         }
     }
 
-    fn lost(&self, task: &Running, now: u64) -> f64 {
+    fn lost_work(&self, task: &Running, now: u64) -> f64 {
         if now < WARM_UP {
             return 0.0;
         }
@@ -298,7 +298,8 @@
         for vm in &mut self.vms {
             for task in &mut vm.tasks {
                 if jobs[task.job].cancel_at == Some(now) {
-                    task.closing = Some(Closing { at: now + STOP_TIME, why: Why::Cancelled });
+                    task.closing =
+                        Some(Closing { at: now + STOP_TIME, reason: StopReason::Cancelled });
                 }
             }
         }
@@ -306,25 +307,26 @@
 
     fn arrive(&mut self, now: u64) {
         while self.jobs.get(self.next_job).is_some_and(|job| job.arrives <= now) {
-            self.wait(self.next_job, Attempt(1), 0.0, Vec::new(), now);
+            self.enqueue(self.next_job, Attempt(1), 0.0, Vec::new(), now);
             self.next_job += 1;
         }
     }
 
-    fn wait(&mut self, job: usize, attempt: Attempt, done: f64, avoid: Vec<VmId>, now: u64) {
+    fn enqueue(&mut self, job: usize, attempt: Attempt, done: f64, avoid: Vec<VmId>, now: u64) {
         let (task, spec) = (self.jobs[job].id, self.jobs[job].spec.clone());
         let candidate = Candidate { task, attempt, spec, waited: Duration::ZERO, avoid };
         self.queue.push(Waiting { job, candidate, done, since: now });
     }
 
-    /// Asks for each waiting task, but for those that are like one that was just told to wait.
+    /// Tries to place each waiting task, except those of the same class, size and urgency as a task
+    /// that was just told to wait.
     fn place_all(&mut self, now: u64) {
         let mut ranked = std::mem::take(&mut self.queue);
         for waiting in &mut ranked {
             let arrived = self.jobs[waiting.job].arrives;
             waiting.candidate.waited = Duration::from_secs(now - arrived);
         }
-        ranked.sort_by_cached_key(|waiting| self.row.rank(&waiting.candidate));
+        ranked.sort_by_cached_key(|waiting| self.policy.rank(&waiting.candidate));
         let mut full: IndexSet<(ClassName, Resources, Urgency)> = IndexSet::new();
         for waiting in ranked {
             let candidate = &waiting.candidate;
@@ -349,7 +351,7 @@
 
     fn choose(&mut self, candidate: &Candidate, now: u64) -> Choice {
         let before = cpu_time();
-        let choice = self.row.choose(candidate, Duration::from_secs(now));
+        let choice = self.policy.choose(candidate, Duration::from_secs(now));
         self.out.decision_time += cpu_time() - before;
         self.out.decisions += 1;
         choice
@@ -362,7 +364,7 @@
         let residents = (0..self.vms.len())
             .map(|index| (self.vms[index].id.clone(), self.residents(index)))
             .collect();
-        let relief = self.row.make_room(candidate, &residents, Duration::from_secs(now));
+        let relief = self.policy.make_room(candidate, &residents, Duration::from_secs(now));
         if let Some(relief) = relief {
             self.apply(&relief, now);
         }
@@ -371,9 +373,9 @@
     fn start(&mut self, waiting: &Waiting, vm: &VmId, now: u64) {
         let candidate = &waiting.candidate;
         let index = self.index[vm];
-        self.out.broken_promises += u64::from(self.runs_somewhere(waiting.job));
+        self.out.violations += u64::from(self.runs_somewhere(waiting.job));
         if !self.resumed.insert((candidate.task, candidate.attempt)) {
-            self.out.broken_promises += 1;
+            self.out.violations += 1;
         }
         let wait = (now - waiting.since).max(1);
         if now >= WARM_UP {
@@ -398,7 +400,7 @@
             slowdown: 1.0,
             closing: None,
         });
-        self.tell(index);
+        self.update_view(index);
     }
 
     fn runs_somewhere(&self, job: usize) -> bool {
@@ -407,7 +409,7 @@
 
     fn requeue(&mut self, task: &Running, done: f64, now: u64) {
         let (_, avoid) = self.failures.get(&task.job).cloned().unwrap_or_default();
-        self.wait(task.job, task.attempt.next(), done, avoid, now);
+        self.enqueue(task.job, task.attempt.next(), done, avoid, now);
     }
 
     fn free(&self, index: usize) -> Option<Resources> {
@@ -422,7 +424,7 @@
         Some(free)
     }
 
-    fn tell(&mut self, index: usize) {
+    fn update_view(&mut self, index: usize) {
         let vm = &self.vms[index];
         if !vm.up {
             return;
@@ -434,7 +436,7 @@
         for task in &vm.tasks {
             *classes.entry(self.jobs[task.job].spec.class.clone()).or_default() += 1;
         }
-        self.row.upsert(VmView {
+        self.policy.upsert(VmView {
             vm: vm.id.clone(),
             holder: DaemonId::from("daemon-1"),
             domain: self.site.domain(index),
@@ -455,10 +457,10 @@
         self.vms[index].tasks.iter_mut().find(|running| jobs[running.job].id == *task)
     }
 
-    /// Counts VMs with more committed than they have.
-    fn check(&mut self) {
+    /// Counts VMs whose committed resources exceed their size.
+    fn check_capacity(&mut self) {
         for index in 0..self.vms.len() {
-            self.out.broken_promises += u64::from(self.free(index).is_none());
+            self.out.violations += u64::from(self.free(index).is_none());
         }
     }
 }
@@ -476,7 +478,7 @@
     TenantUsage { task, class, milli_cores: 0, memory_mib: 0, slowdown, progress }
 }
 
-/// Processor time of this thread; unlike wall time it does not count what else the machine does.
+/// Processor time of this thread, which unlike wall time excludes other load on the machine.
 pub fn cpu_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or(0))
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -1,10 +1,10 @@
-//! What a policy is told late, and what it then does.
+//! Delayed usage reports, and the relief steps that the policy takes.
 
 use super::*;
 
-impl World<'_> {
-    /// Sends reports on their way.
-    pub(super) fn measure(&mut self, now: u64) {
+impl Simulation<'_> {
+    /// Queues usage reports for delivery with simulated delay, loss and repetition.
+    pub(super) fn send_reports(&mut self, now: u64) {
         let wire = self.scenario.wire;
         for index in 0..self.vms.len() {
             if !self.vms[index].up || !(now + index as u64).is_multiple_of(REPORT_EVERY) {
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn deliver(&mut self, now: u64) {
+    pub(super) fn deliver_reports(&mut self, now: u64) {
         while let Some(entry) = self.reports.first_entry() {
             if entry.key().0 > now {
                 return;
@@ -64,7 +64,7 @@
             let (index, measured, mut report) = entry.remove();
             report.age = Duration::from_secs(now - measured);
             let vm = self.vms[index].id.clone();
-            self.row.observe(&vm, &report, Duration::from_secs(now));
+            self.policy.observe(&vm, &report, Duration::from_secs(now));
         }
     }
 
@@ -94,7 +94,7 @@
             }
             let residents = self.residents(index);
             let vm = self.vms[index].id.clone();
-            for relief in self.row.relieve(&vm, &residents, Duration::from_secs(now)) {
+            for relief in self.policy.relieve(&vm, &residents, Duration::from_secs(now)) {
                 self.apply(&relief, now);
             }
         }
@@ -111,14 +111,15 @@
             Relief::Health { vm, health } => {
                 let index = self.index[vm];
                 self.vms[index].health = *health;
-                self.tell(index);
+                self.update_view(index);
             }
             Relief::Evict { vm, task, .. } => {
                 self.out.evictions += 1;
                 let never = self.jobs[task.number as usize].spec.resumption == Resumption::Never;
-                self.out.broken_promises += u64::from(never);
+                self.out.violations += u64::from(never);
                 if let Some(running) = self.task_mut(vm, task) {
-                    running.closing = Some(Closing { at: now + STOP_TIME, why: Why::Evicted });
+                    running.closing =
+                        Some(Closing { at: now + STOP_TIME, reason: StopReason::Evicted });
                 }
             }
         }
--- a/benches/policy/world/work.rs
+++ b/benches/policy/world/work.rs
@@ -1,10 +1,10 @@
-//! Tasks that run, slow each other down, and end.
+//! Execution of tasks: slowdown, progress and completion.
 
 use super::*;
 
-impl World<'_> {
-    /// One second of work on every VM.
-    pub(super) fn work(&mut self, now: u64) {
+impl Simulation<'_> {
+    /// Simulates one second of work on every VM.
+    pub(super) fn run_tasks(&mut self, now: u64) {
         let activity = self.scenario.activity(now);
         for index in 0..self.vms.len() {
             if self.vms[index].up {
@@ -30,7 +30,7 @@
         let slowdown =
             |class: usize, own: f64| 1.0 + overload + self.excess(&present, class, own, load);
         let services: Vec<f64> =
-            vm.service_numbers.iter().map(|class| slowdown(*class, 1.0)).collect();
+            vm.service_classes.iter().map(|class| slowdown(*class, 1.0)).collect();
         let tasks: Vec<f64> =
             vm.tasks.iter().map(|task| slowdown(task.class, task.share)).collect();
         let vm = &mut self.vms[index];
@@ -41,10 +41,10 @@
         }
     }
 
-    /// Tasks of each class on a VM; throttled ones count by their share.
+    /// Number of tasks of each class on a VM; a throttled one counts by its CPU share.
     pub(super) fn present(&self, index: usize) -> Vec<f64> {
         let mut present = vec![0.0; self.truth.classes().len()];
-        for class in &self.vms[index].service_numbers {
+        for class in &self.vms[index].service_classes {
             present[*class] += 1.0;
         }
         for task in &self.vms[index].tasks {
@@ -60,7 +60,7 @@
             .sum()
     }
 
-    /// Compares the slowdown that the row predicts for what runs now with the hidden one.
+    /// Compares the slowdown that the policy predicts for the running tasks with the actual one.
     pub(super) fn check_prediction(&mut self, now: u64) {
         if now < WARM_UP || !now.is_multiple_of(PREDICT_EVERY) {
             return;
@@ -83,7 +83,7 @@
         let mut sum = 0.0;
         for (other, count) in present.iter().enumerate() {
             let beside = (count - if other == class { 1.0 } else { 0.0 }).max(0.0);
-            sum += beside * self.row.predict(&names[class], &names[other], load)?;
+            sum += beside * self.policy.predict(&names[class], &names[other], load)?;
         }
         Some(sum)
     }
@@ -113,7 +113,7 @@
             }
         }
         if changed {
-            self.tell(index);
+            self.update_view(index);
         }
     }
 
@@ -122,7 +122,7 @@
         let task = &mut self.vms[index].tasks[position];
         let job = &self.jobs[task.job];
         if let Some(closing) = task.closing {
-            let cancelled = closing.why == Why::Cancelled;
+            let cancelled = closing.reason == StopReason::Cancelled;
             return (now >= closing.at).then_some(if cancelled {
                 End::Cancelled
             } else {
@@ -136,7 +136,7 @@
         let gained = task.share / task.slowdown;
         task.done += gained;
         if now >= WARM_UP && !fails {
-            self.useful += gained * f64::from(job.spec.resources.milli_cores.0) / 1000.0;
+            self.useful_work += gained * f64::from(job.spec.resources.milli_cores.0) / 1000.0;
         }
         if Scenario::resumable(job) && now >= task.saved_at + CHECKPOINT_EVERY {
             task.saved = task.done;
@@ -153,20 +153,20 @@
         let class = self.jobs[task.job].spec.class.clone();
         let time = Duration::from_secs(now);
         match end {
-            End::Done => self.row.ended(&vm, &class, &Outcome::Succeeded, time),
-            End::Cancelled => self.row.ended(&vm, &class, &Outcome::Cancelled, time),
+            End::Done => self.policy.ended(&vm, &class, &Outcome::Succeeded, time),
+            End::Cancelled => self.policy.ended(&vm, &class, &Outcome::Cancelled, time),
             End::Evicted => {
                 let job = &self.jobs[task.job];
                 let kept = if Scenario::resumable(job) { task.done - RESUME_COST } else { 0.0 };
                 if now >= WARM_UP {
-                    self.useful -= (task.done - kept) * self.cores(task.job);
+                    self.useful_work -= (task.done - kept) * self.cores(task.job);
                 }
                 self.requeue(task, kept, now);
             }
             End::Failed => {
                 self.out.failed_starts += 1;
                 let outcome = Outcome::Failed { reason: "exit 1".to_owned() };
-                self.row.ended(&vm, &class, &outcome, time);
+                self.policy.ended(&vm, &class, &outcome, time);
                 let entry = self.failures.entry(task.job).or_default();
                 entry.0 += 1;
                 entry.1 = vec![vm];
