--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -1,10 +1,10 @@
-//! Gathers what a step on one VM is decided from, and notes what was decided.
+//! Collects the inputs of relief steps on VMs and records the steps that were decided.
 
-use super::decide::{PARTS, batch_trigger};
-use super::explain::{self, Recorded};
-use super::index::allowed;
+use super::decide::{PPM, batch_trigger};
+use super::explain::{self, RecordedInputs};
+use super::index::pool_includes;
 use super::interference::{Band, Neighbours};
-use super::ladder::{self, Culprit, Ladder, Rung, dwell, to_parts};
+use super::ladder::{self, Aggressor, EscalationLevel, Ladder, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
 use super::score::without_self;
 use super::{Candidate, Decided, Policy, Relief, Resident, eviction, health};
@@ -14,21 +14,22 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// A change of health that was not taken over is asked for again after this.
-const REPEAT_HEALTH: Duration = Duration::from_secs(5);
+/// Time after which a requested change of health that was not applied is requested again.
+const HEALTH_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A VM without batch tasks is opened again after this much calm, since none of them is to blame.
+/// Calm period after which a VM without batch tasks is opened again: no batch task there can be the
+/// cause of a slowdown.
 const CALM_WHEN_EMPTY: Duration = Duration::from_secs(10);
 
-/// Health that was asked for.
+/// A requested change of health.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct HealthRequest {
     health: VmHealth,
     at: Duration,
 }
 
 impl Policy {
-    pub(super) fn steps(
+    pub(super) fn relief_steps(
         &mut self,
         vm: &VmId,
         residents: &[Resident],
@@ -39,23 +40,23 @@
         if let Some(inputs) = self.ladder_inputs(vm, residents, now)
             && let Some(relief) = inputs.decide()
         {
-            self.note_step(vm, &relief, &inputs, now);
+            self.record_step(vm, &relief, &inputs, now);
             if !matches!(relief, Relief::Health { .. }) {
-                steps.push(self.decided(relief, &Recorded::Ladder(inputs), now));
+                steps.push(self.decided(relief, &RecordedInputs::Ladder(inputs), now));
             }
         }
         steps.extend(self.health_step(vm, now));
         steps
     }
 
-    fn decided(&self, relief: Relief, recorded: &Recorded, now: Duration) -> Decided<Relief> {
-        let record = explain::relief(&relief, recorded, &self.config, now);
+    fn decided(&self, relief: Relief, recorded: &RecordedInputs, now: Duration) -> Decided<Relief> {
+        let record = explain::relief_record(&relief, recorded, &self.config, now);
         Decided { choice: relief, record }
     }
 
-    fn note_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
+    fn record_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
         if let Some(ladder) = self.ladders.get_mut(vm) {
-            ladder.stepped(relief, inputs, now);
+            ladder.record_step(relief, inputs, now);
         }
         if let Relief::Evict { .. } = relief {
             self.budget.spend();
@@ -80,12 +81,12 @@
             inputs.calm_needed = inputs.calm_needed.min(CALM_WHEN_EMPTY);
         }
         inputs.budget = budget;
-        inputs.culprits = self.culprits(vm, residents, now);
+        inputs.culprits = self.aggressors(vm, residents, now);
         Some(inputs)
     }
 
-    /// Excess slowdown at which the services on a VM are helped: what services there cause each
-    /// other is no fault of batch.
+    /// Excess slowdown above which the services on a VM are relieved. It includes the slowdown that
+    /// the services cause each other, which batch tasks are not responsible for.
     pub(super) fn trigger_on(&self, vm: &VmId) -> f64 {
         let trigger = self.trigger();
         let Some(reports) = self.reports.get(vm) else { return trigger };
@@ -99,42 +100,42 @@
         let excess = |(index, service): (usize, &Neighbours<'_>)| {
             self.model.excess(service.class, &without_self(&services, index), band)
         };
-        let by_services = to_parts(services.iter().enumerate().map(excess).fold(0.0, f64::max));
-        let for_batch = batch_trigger(to_parts(trigger), by_services);
-        (for_batch + by_services) as f64 / PARTS
+        let by_services = to_ppm(services.iter().enumerate().map(excess).fold(0.0, f64::max));
+        let for_batch = batch_trigger(to_ppm(trigger), by_services);
+        (for_batch + by_services) as f64 / PPM
     }
 
-    fn culprits(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Culprit> {
+    fn aggressors(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Aggressor> {
         let Some(reports) = self.reports.get(vm) else { return Vec::new() };
         let Some(ladder) = self.ladders.get(vm) else { return Vec::new() };
         let band = Band::of(reports.load);
-        let culprit = |resident: &Resident| self.culprit(vm, resident, ladder, band, now);
-        let mut culprits: Vec<_> = residents.iter().map(culprit).collect();
-        culprits.sort_by_key(|culprit| culprit.task);
-        culprits
+        let aggressor = |resident: &Resident| self.aggressor(vm, resident, ladder, band, now);
+        let mut aggressors: Vec<_> = residents.iter().map(aggressor).collect();
+        aggressors.sort_by_key(|aggressor| aggressor.task);
+        aggressors
     }
 
-    fn culprit(
+    fn aggressor(
         &self,
         vm: &VmId,
         resident: &Resident,
         ladder: &Ladder,
         band: Band,
         now: Duration,
-    ) -> Culprit {
+    ) -> Aggressor {
         let share = ladder.share(&resident.task);
         let harm = self.harm(vm, &resident.spec.class, band) * share;
         let evictable = !eviction::nearly_done(resident, now);
-        Culprit {
+        Aggressor {
             task: resident.task,
             attempt: resident.attempt,
-            harm: to_parts(harm),
-            share: to_parts(share),
+            harm: to_ppm(harm),
+            share: to_ppm(share),
             loss: eviction::cost(resident, now).filter(|_| evictable),
         }
     }
 
-    /// Slowdown that one task of the class causes to the service there that it slows most.
+    /// Excess slowdown that one task of the class causes to the service there that it affects most.
     fn harm(&self, vm: &VmId, class: &ClassName, band: Band) -> f64 {
         let Some(reports) = self.reports.get(vm) else { return 0.0 };
         let services = reports.classes.keys().filter(|name| self.services.contains(*name));
@@ -144,16 +145,16 @@
     fn health_step(&mut self, vm: &VmId, now: Duration) -> Option<Decided<Relief>> {
         let inputs = self.health_inputs(vm, now)?;
         let Some(relief) = inputs.decide() else {
-            self.asked.swap_remove(vm);
+            self.health_requests.swap_remove(vm);
             return None;
         };
         let Relief::Health { health, .. } = relief else { return None };
-        let asked = self.asked.get(vm);
-        if asked.is_some_and(|asked| asked.health == health && now < asked.at + REPEAT_HEALTH) {
+        let last = self.health_requests.get(vm);
+        if last.is_some_and(|last| last.health == health && now < last.at + HEALTH_RETRY_INTERVAL) {
             return None;
         }
-        self.asked.insert(vm.clone(), Asked { health, at: now });
-        Some(self.decided(relief, &Recorded::Health(inputs), now))
+        self.health_requests.insert(vm.clone(), HealthRequest { health, at: now });
+        Some(self.decided(relief, &RecordedInputs::Health(inputs), now))
     }
 
     fn health_inputs(&self, vm: &VmId, now: Duration) -> Option<health::Inputs> {
@@ -163,10 +164,10 @@
             at: now,
             vm: vm.clone(),
             present: self.fleet.get(vm)?.view.health,
-            blame: to_parts(self.blame.of(vm)),
+            blame: to_ppm(self.blame.of_vm(vm)),
             quarantined_for: quarantine.map(|quarantine| now.saturating_sub(quarantine.since)),
-            rung: ladder.map_or(Rung::Calm, |ladder| ladder.rung),
-            ladder: ladder.and_then(Ladder::reason).cloned(),
+            rung: ladder.map_or(EscalationLevel::Calm, |ladder| ladder.rung),
+            ladder: ladder.and_then(Ladder::last_health_step).cloned(),
         })
     }
 
@@ -186,12 +187,12 @@
         };
         let need = candidate.spec.resources;
         let mut inputs = room::Inputs { at: now, task: candidate.task, need, plans };
-        inputs.shorten();
+        inputs.truncate();
         let relief = inputs.decide()?;
         let best = inputs.best()?.clone();
-        self.plans.carried_out(candidate.task, &best, now);
-        self.holds.hold(candidate.task, &best.vm, now);
-        Some(self.decided(relief, &Recorded::Room(inputs), now))
+        self.plans.record_eviction(candidate.task, &best, now);
+        self.reservations.reserve(candidate.task, &best.vm, now);
+        Some(self.decided(relief, &RecordedInputs::Room(inputs), now))
     }
 
     fn room_plans(
@@ -208,12 +209,12 @@
             let Some(vm) = self.fleet.get(id) else { continue };
             let view = &vm.view;
             let usable = view.health == VmHealth::Open
-                && allowed(pool, &view.domain)
+                && pool_includes(pool, &view.domain)
                 && pool.is_none_or(|pool| pool.min_size.fits_in(&view.size))
                 && need.fits_in(&view.size)
                 && !over_quota.contains(&view.domain)
                 && !candidate.avoid.contains(id)
-                && !self.plans.concerns(id);
+                && !self.plans.targets(id);
             if usable {
                 plans.extend(room::plan(id, &view.free, need, residents, now));
             }
