--- a/src/core/event.rs
+++ b/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What the core is told, and what it asks for.
+//! Input events and output actions of the core.
 
 use crate::core::policy::DecisionRecord;
 use crate::ids::{
@@ -12,50 +12,50 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the core is told.
+/// An input of the core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes; sent several times a second.
+    /// Advances time; sent several times a second.
     Tick,
-    /// A configuration is in force here.
+    /// A configuration took effect on this daemon.
     Configured(Arc<Config>),
-    /// The platform's list of workers, which lags.
+    /// The platform's list of workers, which may be out of date.
     Listed(Vec<ListedVm>),
-    /// The daemons that answer, this one included.
+    /// The daemons that are reachable, including this one.
     Members(Vec<Member>),
-    /// Answer to [`Action::Acquire`]; `sent` is the time before the call was sent.
+    /// Response to [`Action::Acquire`]; `sent` is a time before the call was sent.
     Acquired { vm: VmId, sent: Duration, result: worker::Result<worker::Granted> },
-    /// Answer to [`Action::Sync`].
+    /// Response to [`Action::Sync`].
     Synced { vm: VmId, sent: Duration, result: worker::Result<worker::SyncResp> },
-    /// Answer to [`Action::Start`].
+    /// Response to [`Action::Start`].
     StartAnswered { vm: VmId, task: TaskId, attempt: Attempt, result: worker::Result<()> },
-    /// Answer to [`Action::Close`].
+    /// Response to [`Action::Close`].
     CloseAnswered {
         vm: VmId,
         task: TaskId,
         attempt: Attempt,
         result: worker::Result<worker::Closed>,
     },
-    /// Answer to [`Action::Checkpoint`].
+    /// Response to [`Action::Checkpoint`].
     CheckpointAnswered {
         vm: VmId,
         task: TaskId,
         attempt: Attempt,
         result: worker::Result<CheckpointId>,
     },
-    /// A partition that this daemon now writes, as its log leaves it.
+    /// State of a partition that this daemon now writes, rebuilt from its log.
     Recovered { partition: PartitionId, tasks: Vec<TaskState>, next_number: u64 },
-    /// Another daemon writes the partition; its tasks are forgotten here.
+    /// Another daemon became the partition's writer; its tasks are dropped here.
     Superseded { partition: PartitionId },
-    /// Answer to [`Action::Commit`].
+    /// Response to [`Action::Commit`].
     Committed { ticket: Ticket, result: CommitResult },
-    /// A message from another daemon's core, or from this one's own to itself.
+    /// A message from the core of a daemon, which may be this one.
     Peer { from: DaemonId, msg: PeerMsg },
     /// A caller submits a task to a partition that this daemon writes.
     Submit { ticket: Ticket, partition: PartitionId, key: IdempotencyKey, spec: TaskSpec },
-    /// A caller asks for a task's end.
+    /// A caller cancels a task.
     Cancel { ticket: Ticket, task: TaskId },
-    /// The daemon stops: take nothing new, give the VMs back.
+    /// The daemon is shutting down: accept no new work and release the VMs.
     Drain,
 }
 
@@ -67,61 +67,61 @@
     pub state: ListedState,
 }
 
-/// What the platform's list says of a VM.
+/// State of a VM on the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
     Live,
     Leaving,
 }
 
-/// How a commit ended.
+/// Outcome of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitResult {
     /// Every record is durable.
     Durable,
-    /// No record took effect, and none will.
+    /// No record was written, and none will be.
     NotWritten { reason: String },
 }
 
-/// What the core asks for.
+/// An output of the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Asks a VM for its control lease.
+    /// Requests a VM's control lease.
     Acquire { vm: VmId, ttl: Duration },
-    /// Renews a VM's leases and fetches its news.
+    /// Renews a VM's leases and fetches its changes.
     Sync { vm: VmId, token: Token, ttl: Duration, forget: Vec<worker::TaskAttempt> },
-    /// Gives a VM's control lease back.
+    /// Releases a VM's control lease.
     Release { vm: VmId, token: Token },
-    /// Starts an attempt. Not to be sent after `valid_until`.
+    /// Starts an attempt. Must not be sent at or after `valid_until`.
     Start { vm: VmId, req: worker::StartReq, valid_until: Duration },
-    /// Throttles a task. Not to be sent after `valid_until`.
+    /// Throttles a task. Must not be sent at or after `valid_until`.
     Throttle { vm: VmId, req: worker::ThrottleReq, valid_until: Duration },
-    /// Takes a checkpoint.
+    /// Takes a checkpoint. Must not be sent at or after `valid_until`.
     Checkpoint { vm: VmId, req: worker::AttemptReq, valid_until: Duration },
-    /// Closes an attempt. Not to be sent after `valid_until`.
+    /// Closes an attempt. Must not be sent at or after `valid_until`.
     Close { vm: VmId, req: worker::AttemptReq, valid_until: Duration },
-    /// Makes records of one partition durable, in order.
+    /// Writes records to one partition's log, in order.
     Commit { ticket: Ticket, partition: PartitionId, records: Vec<Record> },
     /// Becomes the writer of a partition.
     Recover { partition: PartitionId },
-    /// Sends a message to a daemon; to itself where `to` is this daemon.
+    /// Sends a message to a daemon, which may be this one.
     Send { to: DaemonId, msg: PeerMsg },
-    /// Answers a caller.
+    /// Replies to a caller.
     Reply { ticket: Ticket, answer: Answer },
-    /// Keeps the record of a decision.
+    /// Records a decision.
     Explain(DecisionRecord),
 }
 
-/// The answer to a submission or a cancellation.
+/// The reply to a submission or a cancellation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// The task is durable; `repeated` if the key was known already.
+    /// The task is durable; `repeated` if its idempotency key was already known.
     Accepted { task: TaskId, repeated: bool },
-    /// Nothing was recorded and nothing will run.
+    /// Nothing was recorded, and nothing will run.
     NotRun { reason: String },
-    /// The task will be ended, or had ended already.
+    /// The task will be ended, or has already ended.
     Cancelling { task: TaskState },
-    /// There is no such task in the partition.
+    /// The partition has no such task.
     NotFound,
 }
--- a/src/core/settings.rs
+++ b/src/core/settings.rs
@@ -1,4 +1,4 @@
-//! What the core is told once, when it is made.
+//! Settings of a core, fixed when it is created.
 
 use crate::ids::{DaemonId, DomainId, PartitionId};
 use std::time::Duration;
@@ -9,56 +9,58 @@
     pub me: DaemonId,
     /// Failure domain of this daemon.
     pub domain: DomainId,
-    /// Time that a control lease and the task leases are asked for.
+    /// Requested duration of control leases and task leases.
     pub lease_ttl: Duration,
-    /// Time between renewals of a VM's leases.
+    /// Interval between renewals of a VM's leases.
     pub sync_period: Duration,
-    /// Most that two clocks drift apart within `lease_ttl`.
+    /// Maximum drift between two clocks within `lease_ttl`.
     pub drift_margin: Duration,
-    /// Every partition of the task log, in all failure domains.
+    /// All partitions of the task log, in all failure domains.
     pub partitions: Vec<PartitionHome>,
     pub limits: Limits,
 }
 
-/// A partition and the failure domain whose daemons write it.
+/// A partition and the failure domain whose daemons are preferred as its writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionHome {
     pub id: PartitionId,
     pub domain: DomainId,
 }
 
-/// Bounds and waits that seldom need changing.
+/// Limits and delays that rarely need to be changed.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Time that a reservation is held without a start.
+    /// Time after which a reservation without a start request expires.
     pub reservation_ttl: Duration,
-    /// Wait before an unanswered message or call is repeated.
+    /// Delay before an unanswered message or call is retried.
     pub retry_period: Duration,
-    /// Time that this daemon must be proposed for a partition before it becomes its writer.
+    /// Time that this daemon must be the preferred writer of a partition before it claims it.
     pub recover_after: Duration,
-    /// Least time between two commits of a partition.
+    /// Minimum time between two commits of a partition.
     pub commit_interval: Duration,
-    /// Bytes a second that rewriting a partition's head may come to for long, and in a burst.
+    /// Sustained rate, in bytes per second, at which a partition's head may be rewritten.
     pub commit_rate: usize,
+    /// Bytes of head rewrites that may exceed `commit_rate` in a burst.
     pub commit_burst: usize,
-    /// Most records in one commit.
+    /// Maximum number of records in one commit.
     pub commit_records: usize,
-    /// Most bytes in one commit, as estimated.
+    /// Maximum estimated size of one commit, in bytes.
     pub commit_bytes: usize,
-    /// Age of an unanswered commit at which submissions behind it are refused.
+    /// Age of an unanswered commit after which submissions queued behind it are rejected.
     pub commit_patience: Duration,
-    /// First and longest wait after a commit that the store refused.
+    /// Initial delay after a commit that the store did not write.
     pub store_backoff: Duration,
+    /// Maximum delay after repeated commits that the store did not write.
     pub store_backoff_max: Duration,
-    /// Most tasks of a partition that wait for a VM.
+    /// Maximum number of waiting tasks and queued records of a partition.
     pub waiting_max: usize,
-    /// Ended tasks of a partition that are kept for repeated submissions and queries.
+    /// Ended tasks that a partition retains for repeated submissions and queries.
     pub ended_kept: usize,
-    /// Time that another daemon must be proposed for a VM before it is handed over.
+    /// Time that another daemon must be preferred for a VM or a partition before it is handed over.
     pub handover_after: Duration,
-    /// Time off the platform's list after which a VM surely runs nothing.
+    /// Time off the platform's list after which a VM is guaranteed to run nothing.
     pub gone_after: Duration,
-    /// Placements decided in one step.
+    /// Maximum number of placement decisions in one step.
     pub places_per_step: usize,
 }
 
@@ -86,7 +88,7 @@
 }
 
 impl CoreSettings {
-    /// Settings with leases of ten seconds, renewed every two.
+    /// Creates settings with leases of 10 s that are renewed every 2 s.
     pub fn new(me: DaemonId, domain: DomainId) -> Self {
         Self {
             me,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// With the partitions of the task log.
+    /// Sets the partitions of the task log.
     pub fn with_partitions(mut self, partitions: Vec<PartitionHome>) -> Self {
         self.partitions = partitions;
         self
