--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -1,7 +1,8 @@
-//! Which daemon is proposed for a VM or a partition.
+//! Assignment of VMs and partitions to daemons.
 //!
-//! Rendezvous hashing: when a daemon joins or leaves, only what it wins or had moves. It merely
-//! proposes who asks; a VM's lease table and the log's compare-and-swap decide.
+//! Uses rendezvous hashing: when a daemon joins or leaves, only the items that it gains or loses
+//! move. The assignment is only a preference for which daemon tries first; a VM's lease table and
+//! the compare-and-swap on a partition's log are authoritative.
 
 use crate::core::settings::PartitionHome;
 use crate::ids::{DaemonId, DomainId, PartitionId, VmId};
@@ -9,7 +10,7 @@
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The daemons that answer, and what is proposed to each.
+/// The reachable daemons, and the partitions assigned to them.
 #[derive(Debug, Default)]
 pub struct Members {
     serving: IndexMap<DomainId, Vec<DaemonId>>,
@@ -18,7 +19,7 @@
 }
 
 impl Members {
-    /// Replaces the members.
+    /// Replaces the members and recomputes the writers.
     pub fn update(&mut self, members: &[Member], partitions: &[PartitionHome]) {
         self.known = members.iter().map(|member| member.id.clone()).collect();
         self.serving.clear();
@@ -27,45 +28,48 @@
         }
         self.writers = partitions
             .iter()
-            .filter_map(|home| Some((home.id, self.writer(home)?.clone())))
+            .filter_map(|home| Some((home.id, self.preferred_writer(home)?.clone())))
             .collect();
     }
 
-    /// Whether the daemon answers.
+    /// Whether the daemon is a reachable member.
     pub fn contains(&self, daemon: &DaemonId) -> bool {
         self.known.contains(daemon)
     }
 
-    /// Daemon proposed to hold a VM.
+    /// Daemon preferred as the holder of a VM.
     pub fn holder_of(&self, vm: &VmId, domain: &DomainId) -> Option<&DaemonId> {
         self.choose(vm.as_str().as_bytes(), domain)
     }
 
-    /// Daemon proposed to write a partition.
+    /// Daemon preferred as the writer of a partition.
     pub fn writer_of(&self, partition: PartitionId) -> Option<&DaemonId> {
         self.writers.get(&partition)
     }
 
-    /// Every daemon proposed to write some partition.
+    /// All daemons that are the preferred writer of at least one partition.
     pub fn writers(&self) -> IndexSet<&DaemonId> {
         self.writers.values().collect()
     }
 
-    fn writer(&self, home: &PartitionHome) -> Option<&DaemonId> {
+    fn preferred_writer(&self, home: &PartitionHome) -> Option<&DaemonId> {
         self.choose(&home.id.0.to_le_bytes(), &home.domain)
     }
 
-    /// Highest score among the domain's daemons; among all, where the domain has none.
+    /// Daemon with the highest score in the failure domain, or among all if the domain has none.
     fn choose(&self, key: &[u8], domain: &DomainId) -> Option<&DaemonId> {
         let seed = xxh3_64_with_seed(key, 0);
         match self.serving.get(domain) {
-            Some(daemons) => highest(daemons.iter(), seed),
-            None => highest(self.serving.values().flatten(), seed),
+            Some(daemons) => highest_score(daemons.iter(), seed),
+            None => highest_score(self.serving.values().flatten(), seed),
         }
     }
 }
 
-fn highest<'a>(daemons: impl Iterator<Item = &'a DaemonId>, seed: u64) -> Option<&'a DaemonId> {
+fn highest_score<'a>(
+    daemons: impl Iterator<Item = &'a DaemonId>,
+    seed: u64,
+) -> Option<&'a DaemonId> {
     daemons.max_by_key(|id| (score(seed, id), *id))
 }
 
--- a/src/core/query.rs
+++ b/src/core/query.rs
@@ -1,4 +1,4 @@
-//! What the core can be asked; asking changes nothing.
+//! Read-only queries of the core's state.
 
 use crate::core::Core;
 use crate::core::context::Counters;
@@ -12,28 +12,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionSummary {
     pub id: PartitionId,
-    /// Tasks kept, ended ones included.
+    /// Tasks in memory, including ended ones.
     pub tasks: usize,
-    /// Tasks that wait for a VM.
+    /// Tasks waiting for a VM.
     pub waiting: usize,
-    /// Records that wait for a commit.
+    /// Records waiting for a commit.
     pub unwritten: usize,
 }
 
 impl Core {
-    /// A task of a partition written here.
+    /// Returns a task of a partition written by this daemon.
     pub fn task(&self, id: TaskId) -> Option<&TaskState> {
-        Some(&self.find(id)?.state)
+        Some(&self.find_task(id)?.state)
     }
 
-    /// Every task of the partitions written here.
+    /// All tasks of the partitions written by this daemon.
     pub fn tasks(&self) -> impl Iterator<Item = &TaskState> {
         self.writer.partitions().flat_map(|partition| partition.states())
     }
 
-    /// What a task waits for, in words; `None` if it ended, runs, or isn't known here.
+    /// Describes what a task is waiting for; `None` if it is running, has ended or is unknown.
     pub fn waiting_for(&self, id: TaskId) -> Option<String> {
-        let task = self.find(id)?;
+        let task = self.find_task(id)?;
         let vm = task.vm.as_ref().map_or("a VM", |vm| vm.as_str());
         let held = task.vm.as_ref().and_then(|vm| self.writer.fleet().holder(vm)).is_some();
         let attempt = task.state.attempt;
@@ -63,17 +63,17 @@
         self.writer.partition(partition).is_some()
     }
 
-    /// The daemon that is proposed to write the partition.
+    /// The daemon preferred as the writer of the partition.
     pub fn writer_of(&self, partition: PartitionId) -> Option<DaemonId> {
         self.cx.members.writer_of(partition).cloned()
     }
 
-    /// The daemon that is proposed to hold a VM of a failure domain.
+    /// The daemon preferred as the holder of a VM in a failure domain.
     pub fn holder_of(&self, vm: &VmId, domain: &DomainId) -> Option<DaemonId> {
         self.cx.members.holder_of(vm, domain).cloned()
     }
 
-    /// The VMs that this daemon holds.
+    /// The VMs whose control lease this daemon holds.
     pub fn vms(&self) -> Vec<VmSummary> {
         self.holder.summaries(self.cx.now)
     }
@@ -83,7 +83,7 @@
         self.writer.partitions().map(|partition| partition.summary()).collect()
     }
 
-    /// Tasks that wait for a VM, by class.
+    /// Number of tasks waiting for a VM, by class.
     pub fn queues(&self) -> IndexMap<ClassName, usize> {
         let mut queues = IndexMap::new();
         for partition in self.writer.partitions() {
@@ -94,12 +94,12 @@
         queues
     }
 
-    /// What happened so far, counted.
+    /// Event counters since the core was created.
     pub fn counters(&self) -> Counters {
         self.cx.counters
     }
 
-    fn find(&self, id: TaskId) -> Option<&Task> {
+    fn find_task(&self, id: TaskId) -> Option<&Task> {
         self.writer.partition(id.partition)?.get(id.number)
     }
 }
