--- a/src/core/context.rs
+++ b/src/core/context.rs
@@ -1,7 +1,7 @@
-//! What the parts of the core share during a step.
+//! State that the components of the core share during a step.
 
 use crate::core::event::{Action, Answer};
-use crate::core::lease::Terms;
+use crate::core::lease::LeaseTerms;
 use crate::core::members::Members;
 use crate::core::policy::{DecisionRecord, Policy, Subject};
 use crate::core::settings::CoreSettings;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shared state, and the actions gathered so far.
+/// Shared state and the actions collected during the current step.
 #[derive(Debug)]
 pub struct Context {
     pub now: Duration,
@@ -26,19 +26,19 @@
     tickets: u64,
 }
 
-/// Whether the daemon stops.
+/// Whether the daemon is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Draining {
     No,
     Yes,
 }
 
-/// What happened so far, counted.
+/// Event counters since the core was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Events that a chart doesn't declare for the state they met.
+    /// Events for which the state chart has no transition from the current state.
     pub undeclared: u64,
-    /// Messages and answers that came too late, twice or for an older attempt.
+    /// Messages and responses that were late, duplicated or for an earlier attempt.
     pub stale: u64,
     pub starts: u64,
     pub closes: u64,
@@ -50,7 +50,7 @@
 }
 
 impl Context {
-    /// A context at time zero.
+    /// Creates a context at time zero.
     pub fn new(cfg: CoreSettings) -> Self {
         let config = Arc::new(Config::default());
         Self {
@@ -66,22 +66,22 @@
         }
     }
 
-    /// Asks for an action.
+    /// Appends an action to the step's result.
     pub fn act(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    /// Sends a message to another daemon's core, or to this one's own.
+    /// Sends a message to the core of a daemon, which may be this one.
     pub fn send(&mut self, to: &DaemonId, msg: PeerMsg) {
         self.act(Action::Send { to: to.clone(), msg });
     }
 
-    /// Answers a caller.
+    /// Replies to a caller.
     pub fn reply(&mut self, ticket: Ticket, answer: Answer) {
         self.act(Action::Reply { ticket, answer });
     }
 
-    /// Keeps the record of a decision that the policy had no part in.
+    /// Records a decision that was made without the policy.
     pub fn explain(&mut self, subject: Subject, verdict: impl Into<String>) {
         let record = DecisionRecord {
             at: self.now,
@@ -96,18 +96,18 @@
         self.act(Action::Explain(record));
     }
 
-    /// A ticket of this core's own.
+    /// Allocates a ticket for a request of the core itself.
     pub fn ticket(&mut self) -> Ticket {
         self.tickets += 1;
         Ticket(self.tickets)
     }
 
-    /// Times that control leases rest on.
-    pub fn terms(&self) -> Terms {
-        Terms { ttl: self.cfg.lease_ttl, drift_margin: self.cfg.drift_margin }
+    /// Durations that determine the validity of control leases.
+    pub fn lease_terms(&self) -> LeaseTerms {
+        LeaseTerms { ttl: self.cfg.lease_ttl, drift_margin: self.cfg.drift_margin }
     }
 
-    /// The actions gathered since the last call.
+    /// Returns the actions collected since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -1,15 +1,16 @@
-//! The holder's side: which VMs this daemon controls, and for how long.
+//! Control leases of VMs, and the attempts on the VMs that this daemon holds.
 //!
-//! Rendezvous over the VM's own failure domain proposes who asks; the VM's lease table decides.
-//! Everything with an effect goes through [`Vm::grip`], which compares the clock with the end of
-//! the lease, so that a daemon that was paused past it can't act on a VM that another one holds.
+//! Rendezvous hashing within the VM's failure domain selects the daemon that requests the lease;
+//! the VM's lease table is authoritative. Every operation that has an effect on a VM goes through
+//! [`Vm::active_lease`], which checks the lease's expiry against the clock. A daemon that was paused
+//! beyond the expiry thus can't act on a VM that another daemon holds.
 
 mod attempts;
 mod outbox;
 mod relief;
 mod table;
 
-pub use attempts::StartAsked;
+pub use attempts::StartRequest;
 
 use crate::chart::{Chart, Label, Machine};
 use crate::core::context::{Context, Draining};
@@ -23,9 +24,9 @@
 use indexmap::IndexMap;
 use outbox::Outbox;
 use std::time::Duration;
-use table::{Changes, Stage, Table};
+use table::{LeaseTable, Stage, TableChanges};
 
-/// Where this daemon stands with a VM.
+/// State of a VM's control lease on this daemon; the transitions are in `charts/vm.toml`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VmStep {
     Known,
@@ -68,7 +69,7 @@
     ];
 }
 
-/// The VMs that this daemon controls or asks for.
+/// The VMs that this daemon holds or requests.
 #[derive(Debug)]
 pub struct Holder {
     chart: Machine<VmStep, VmEvent>,
@@ -76,26 +77,26 @@
     vms: IndexMap<VmId, Vm>,
     outbox: Outbox,
     views_changed: bool,
-    views_due: Duration,
+    next_publish: Duration,
 }
 
-/// A VM that this daemon controls or asks for.
+/// A VM that this daemon holds or requests.
 #[derive(Debug)]
 struct Vm {
     domain: DomainId,
     step: VmStep,
     lease: Option<ControlLease>,
-    /// Kept after the lease is lost, so that what is missing at the next grant is noticed.
-    table: Option<Table>,
-    /// What the policy thinks of it.
+    /// Kept after the lease is lost, so that attempts missing at the next grant are detected.
+    table: Option<LeaseTable>,
+    /// Health as assessed by the policy.
     health: VmHealth,
-    /// Whether the list or the VM itself says that it is leaving.
+    /// Whether the platform's list or the VM reports that it is leaving.
     leaving: bool,
-    /// Time at which the call under way was asked for.
-    call: Option<Duration>,
-    next_call: Duration,
-    /// Time since which another daemon is proposed.
-    other_since: Option<Duration>,
+    /// Time at which the pending call was issued.
+    call_sent: Option<Duration>,
+    next_call_at: Duration,
+    /// Time since when another daemon is preferred as the holder.
+    other_preferred_since: Option<Duration>,
 }
 
 /// A VM held by this daemon.
@@ -105,20 +106,20 @@
     pub domain: DomainId,
     pub rack: RackId,
     pub token: Token,
-    /// Time for which the control lease is surely held.
+    /// Remaining time for which the control lease is guaranteed to be held.
     pub valid_for: Duration,
     pub size: Resources,
     pub committed: Resources,
     pub health: VmHealth,
-    /// Committed tasks of each class.
+    /// Number of committed tasks of each class.
     pub classes: Vec<ClassCount>,
-    /// Attempts that take room, service instances included.
+    /// Attempts that occupy resources, including service instances.
     pub attempts: Vec<TaskAttempt>,
 }
 
-/// The right to act on a VM, checked against the clock.
+/// A control lease whose expiry was checked against the clock.
 #[derive(Clone, Copy, Debug)]
-struct Grip {
+struct ActiveLease {
     token: Token,
     valid_until: Duration,
 }
@@ -132,21 +133,21 @@
             table: None,
             health: VmHealth::Open,
             leaving: false,
-            call: None,
-            next_call: Duration::ZERO,
-            other_since: None,
+            call_sent: None,
+            next_call_at: Duration::ZERO,
+            other_preferred_since: None,
         }
     }
 
-    /// The right to act now, if the lease is surely held.
-    fn grip(&self, now: Duration) -> Option<Grip> {
-        let lease = self.lease.filter(|lease| lease.holds_at(now))?;
-        Some(Grip { token: lease.token(), valid_until: lease.valid_until() })
+    /// The control lease, if it is guaranteed to be held now.
+    fn active_lease(&self, now: Duration) -> Option<ActiveLease> {
+        let lease = self.lease.filter(|lease| lease.is_valid_at(now))?;
+        Some(ActiveLease { token: lease.token(), valid_until: lease.valid_until() })
     }
 
-    /// The table, where new work may be taken on.
-    fn open_table(&mut self, now: Duration) -> Option<&mut Table> {
-        self.grip(now)?;
+    /// The lease table, if the VM may accept new work.
+    fn open_table(&mut self, now: Duration) -> Option<&mut LeaseTable> {
+        self.active_lease(now)?;
         self.table.as_mut().filter(|_| self.step == VmStep::Held)
     }
 
@@ -155,15 +156,15 @@
     }
 
     fn summary(&self, vm: &VmId, now: Duration) -> Option<VmSummary> {
-        let grip = self.grip(now)?;
+        let lease = self.active_lease(now)?;
         let table = self.table.as_ref()?;
-        let live = table.iter().filter(|(_, slot)| slot.stage.takes_room());
+        let live = table.iter().filter(|(_, slot)| slot.stage.occupies_resources());
         Some(VmSummary {
             vm: vm.clone(),
             domain: self.domain.clone(),
             rack: table.rack.clone(),
-            token: grip.token,
-            valid_for: grip.valid_until.saturating_sub(now),
+            token: lease.token,
+            valid_for: lease.valid_until.saturating_sub(now),
             size: table.size,
             committed: table.committed().unwrap_or(table.size),
             health: self.health(),
@@ -188,7 +189,7 @@
 }
 
 impl Holder {
-    /// A holder of no VM.
+    /// Creates a holder without VMs; fails if the state chart is invalid.
     pub fn new() -> crate::chart::Result<Self> {
         let chart = Chart::parse(include_str!("../../charts/vm.toml"))?;
         Ok(Self {
@@ -197,18 +198,18 @@
             vms: IndexMap::new(),
             outbox: Outbox::default(),
             views_changed: false,
-            views_due: Duration::ZERO,
+            next_publish: Duration::ZERO,
         })
     }
 
-    /// Takes over the platform's list.
-    pub fn list(&mut self, cx: &mut Context, listed: Vec<ListedVm>) {
+    /// Replaces the platform's list of VMs.
+    pub fn update_list(&mut self, cx: &mut Context, listed: Vec<ListedVm>) {
         self.listed = listed.into_iter().map(|vm| (vm.vm.clone(), vm)).collect();
-        self.propose(cx);
+        self.update_preferences(cx);
     }
 
-    /// Works out anew which VMs are proposed to this daemon.
-    pub fn propose(&mut self, cx: &mut Context) {
+    /// Recomputes which VMs this daemon is the preferred holder of.
+    pub fn update_preferences(&mut self, cx: &mut Context) {
         for (id, listed) in &self.listed {
             let mine = cx.members.holder_of(id, &listed.domain) == Some(&cx.cfg.me);
             if mine {
@@ -216,111 +217,120 @@
             }
             if let Some(vm) = self.vms.get_mut(id) {
                 vm.leaving |= listed.state == ListedState::Leaving;
-                vm.other_since = if mine { None } else { vm.other_since.or(Some(cx.now)) };
+                vm.other_preferred_since =
+                    if mine { None } else { vm.other_preferred_since.or(Some(cx.now)) };
             }
         }
         let chart = &self.chart;
         let listed = &self.listed;
         self.vms.retain(|id, vm| {
             if vm.step == VmStep::Known && !listed.contains_key(id) {
-                step(chart, vm, VmEvent::Delisted, cx);
+                fire(chart, vm, VmEvent::Delisted, cx);
             }
-            vm.step != VmStep::Gone && (vm.step != VmStep::Known || vm.other_since.is_none())
+            vm.step != VmStep::Gone
+                && (vm.step != VmStep::Known || vm.other_preferred_since.is_none())
         });
     }
 
-    /// What is due: asking, renewing, giving back, repeating.
+    /// Requests, renews and releases leases, and retries unanswered messages, as they become due.
     pub fn tick(&mut self, cx: &mut Context) {
         let ids: Vec<VmId> = self.vms.keys().cloned().collect();
         for id in &ids {
             self.tick_vm(cx, id);
         }
-        self.outbox.repeat(cx);
+        self.outbox.resend_due(cx);
         self.publish(cx);
     }
 
     fn tick_vm(&mut self, cx: &mut Context, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         match vm.step {
-            VmStep::Known => self.ask(cx, id),
+            VmStep::Known => self.request_lease(cx, id),
             VmStep::Asking => {
-                if vm.call.is_none_or(|sent| cx.now >= sent + cx.cfg.lease_ttl) {
-                    step(&self.chart, vm, VmEvent::Refused, cx);
-                    vm.call = None;
+                if vm.call_sent.is_none_or(|sent| cx.now >= sent + cx.cfg.lease_ttl) {
+                    fire(&self.chart, vm, VmEvent::Refused, cx);
+                    vm.call_sent = None;
                 }
             }
-            VmStep::Held if vm.grip(cx.now).is_none() => self.lose(cx, id, "its lease ran out"),
+            VmStep::Held if vm.active_lease(cx.now).is_none() => {
+                self.lose_lease(cx, id, "its lease ran out")
+            }
             VmStep::Held => {
-                self.renew(cx, id);
-                self.repeat(cx, id);
+                self.renew_lease(cx, id);
+                self.retry_unanswered(cx, id);
                 self.hand_over_if_due(cx, id);
             }
-            VmStep::Releasing => self.release(cx, id),
+            VmStep::Releasing => self.release_when_idle(cx, id),
             VmStep::Gone => {}
         }
     }
 
-    fn ask(&mut self, cx: &mut Context, id: &VmId) {
+    fn request_lease(&mut self, cx: &mut Context, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let wanted = cx.draining == Draining::No && vm.other_since.is_none();
-        if !wanted || cx.now < vm.next_call {
+        let wanted = cx.draining == Draining::No && vm.other_preferred_since.is_none();
+        if !wanted || cx.now < vm.next_call_at {
             return;
         }
-        step(&self.chart, vm, VmEvent::Proposed, cx);
-        vm.call = Some(cx.now);
+        fire(&self.chart, vm, VmEvent::Proposed, cx);
+        vm.call_sent = Some(cx.now);
         cx.act(Action::Acquire { vm: id.clone(), ttl: cx.cfg.lease_ttl });
     }
 
-    fn renew(&mut self, cx: &mut Context, id: &VmId) {
+    fn renew_lease(&mut self, cx: &mut Context, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let pending = vm.call.is_some_and(|sent| cx.now < sent + 2 * cx.cfg.sync_period);
-        let (Some(grip), Some(table)) = (vm.grip(cx.now), vm.table.as_ref()) else { return };
-        if pending || cx.now < vm.next_call {
+        let pending = vm.call_sent.is_some_and(|sent| cx.now < sent + 2 * cx.cfg.sync_period);
+        let (Some(lease), Some(table)) = (vm.active_lease(cx.now), vm.table.as_ref()) else {
+            return;
+        };
+        if pending || cx.now < vm.next_call_at {
             return;
         }
         let forget = table
             .iter()
-            .filter(|(_, slot)| slot.stage == Stage::Recorded)
+            .filter(|(_, slot)| slot.stage == Stage::Acknowledged)
             .map(|(attempt, _)| *attempt)
             .collect();
-        vm.call = Some(cx.now);
-        vm.next_call = cx.now + cx.cfg.sync_period;
+        vm.call_sent = Some(cx.now);
+        vm.next_call_at = cx.now + cx.cfg.sync_period;
         let ttl = cx.cfg.lease_ttl;
-        cx.act(Action::Sync { vm: id.clone(), token: grip.token, ttl, forget });
+        cx.act(Action::Sync { vm: id.clone(), token: lease.token, ttl, forget });
     }
 
     fn hand_over_if_due(&mut self, cx: &mut Context, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let settled = vm.other_since.is_some_and(|at| cx.now >= at + cx.cfg.limits.handover_after);
+        let settled =
+            vm.other_preferred_since.is_some_and(|at| cx.now >= at + cx.cfg.limits.handover_after);
         if settled || cx.draining == Draining::Yes {
-            step(&self.chart, vm, VmEvent::HandOver, cx);
-            self.release(cx, id);
+            fire(&self.chart, vm, VmEvent::HandOver, cx);
+            self.release_when_idle(cx, id);
         }
     }
 
-    /// Gives a VM back once no start or close is under way there.
+    /// Releases a VM's control lease once no start or close is in progress on it.
     ///
-    /// Waiting keeps the answers: a start whose answer went unheard would have to be closed for
-    /// proof by the next holder. The wait is bounded by the lease.
-    fn release(&mut self, cx: &mut Context, id: &VmId) {
+    /// An early release would discard the responses, and the next holder would have to close a
+    /// start without a response to obtain proof. The wait is bounded by the lease's expiry.
+    fn release_when_idle(&mut self, cx: &mut Context, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let Some(grip) = vm.grip(cx.now) else { return self.lose(cx, id, "its lease ran out") };
-        let under_way = vm.table.as_ref().is_some_and(|table| {
+        let Some(lease) = vm.active_lease(cx.now) else {
+            return self.lose_lease(cx, id, "its lease ran out");
+        };
+        let in_progress = vm.table.as_ref().is_some_and(|table| {
             table
                 .iter()
                 .any(|(_, slot)| matches!(slot.stage, Stage::Starting | Stage::Closing { .. }))
         });
-        if under_way {
+        if in_progress {
             return;
         }
-        cx.act(Action::Release { vm: id.clone(), token: grip.token });
+        cx.act(Action::Release { vm: id.clone(), token: lease.token });
         cx.counters.hand_overs += 1;
         cx.explain(Subject::Vm(id.clone()), "control given back for another daemon to take");
-        step(&self.chart, vm, VmEvent::Released, cx);
-        self.forget(cx, id);
+        fire(&self.chart, vm, VmEvent::Released, cx);
+        self.clear_lease(cx, id);
     }
 
-    /// Takes note of an answer to a request for the control lease.
+    /// Handles the response to a control lease request.
     pub fn acquired(
         &mut self,
         cx: &mut Context,
@@ -328,8 +338,8 @@
         sent: Duration,
         result: worker::Result<Granted>,
     ) {
-        let Some(vm) = self.vms.get_mut(id) else { return self.give_back(cx, id, result) };
-        vm.call = None;
+        let Some(vm) = self.vms.get_mut(id) else { return self.release_unwanted(cx, id, result) };
+        vm.call_sent = None;
         match result {
             Ok(granted) => self.granted(cx, id, sent, &granted),
             Err(e) => {
@@ -337,16 +347,16 @@
                     worker::Error::Held { remaining_ms, .. } => Duration::from_millis(remaining_ms),
                     _ => cx.cfg.limits.retry_period,
                 };
-                vm.next_call = cx.now + wait.min(cx.cfg.limits.retry_period);
+                vm.next_call_at = cx.now + wait.min(cx.cfg.limits.retry_period);
                 if vm.step == VmStep::Asking {
-                    step(&self.chart, vm, VmEvent::Refused, cx);
+                    fire(&self.chart, vm, VmEvent::Refused, cx);
                 }
             }
         }
     }
 
-    /// Gives back a lease that came after the wish for it was dropped.
-    fn give_back(&mut self, cx: &mut Context, id: &VmId, result: worker::Result<Granted>) {
+    /// Releases a lease that was granted after this daemon stopped wanting the VM.
+    fn release_unwanted(&mut self, cx: &mut Context, id: &VmId, result: worker::Result<Granted>) {
         cx.counters.stale += 1;
         if let Ok(granted) = result {
             cx.act(Action::Release { vm: id.clone(), token: granted.token });
@@ -355,30 +365,30 @@
 
     fn granted(&mut self, cx: &mut Context, id: &VmId, sent: Duration, granted: &Granted) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        let lease = ControlLease::new(granted.token, sent, cx.terms());
+        let lease = ControlLease::new(granted.token, sent, cx.lease_terms());
         let older = vm.lease.is_some_and(|held| held.token() > granted.token);
-        if older || !lease.holds_at(cx.now) || vm.step == VmStep::Releasing {
+        if older || !lease.is_valid_at(cx.now) || vm.step == VmStep::Releasing {
             cx.counters.stale += 1;
             if vm.step == VmStep::Asking {
-                step(&self.chart, vm, VmEvent::Lost, cx);
+                fire(&self.chart, vm, VmEvent::Lost, cx);
             }
             return;
         }
         if vm.step == VmStep::Known {
-            step(&self.chart, vm, VmEvent::Proposed, cx);
+            fire(&self.chart, vm, VmEvent::Proposed, cx);
         }
-        step(&self.chart, vm, VmEvent::Granted, cx);
+        fire(&self.chart, vm, VmEvent::Granted, cx);
         vm.lease = Some(lease);
-        vm.next_call = cx.now;
+        vm.next_call_at = cx.now;
         let status = &granted.status;
-        let table = vm.table.get_or_insert_with(|| Table::new(status));
+        let table = vm.table.get_or_insert_with(|| LeaseTable::new(status));
         table.size = status.size;
-        let changes = table.absorb(status.boot, &status.tasks, &[], sent, cx.now);
+        let changes = table.reconcile(status.boot, &status.tasks, &[], sent, cx.now);
         cx.explain(Subject::Vm(id.clone()), format!("control taken with token {}", granted.token));
-        self.apply(cx, id, &changes);
+        self.apply_changes(cx, id, &changes);
     }
 
-    /// Takes note of an answer to a renewal.
+    /// Handles the response to a renewal.
     pub fn synced(
         &mut self,
         cx: &mut Context,
@@ -387,73 +397,75 @@
         result: worker::Result<SyncResp>,
     ) {
         let Some(vm) = self.vms.get_mut(id) else { return };
-        // An answer to a renewal under an earlier grant says nothing of this one.
-        let Some(lease) = vm.lease.as_mut().filter(|lease| sent >= lease.granted()) else {
+        // A response to a renewal under an earlier grant does not apply to the current one.
+        let Some(lease) = vm.lease.as_mut().filter(|lease| sent >= lease.requested_at()) else {
             cx.counters.stale += 1;
             return;
         };
-        vm.call = None;
+        vm.call_sent = None;
         match result {
             Ok(resp) => {
-                lease.renew(sent, cx.terms());
+                lease.renew(sent, cx.lease_terms());
                 vm.leaving |= resp.leaving;
                 let Some(table) = vm.table.as_mut() else { return };
-                let changes = table.absorb(resp.boot, &resp.tasks, &resp.ended, sent, cx.now);
-                self.apply(cx, id, &changes);
-                self.learn(cx, id, resp.report.as_ref());
+                let changes = table.reconcile(resp.boot, &resp.tasks, &resp.ended, sent, cx.now);
+                self.apply_changes(cx, id, &changes);
+                self.handle_report(cx, id, resp.report.as_ref());
             }
             Err(worker::Error::Fenced { .. } | worker::Error::Held { .. }) => {
-                self.lose(cx, id, "another daemon took it");
+                self.lose_lease(cx, id, "another daemon took it");
             }
-            Err(_) => vm.next_call = vm.next_call.min(cx.now + cx.cfg.sync_period / 2),
+            Err(_) => vm.next_call_at = vm.next_call_at.min(cx.now + cx.cfg.sync_period / 2),
         }
     }
 
-    /// Stops acting on a VM.
-    fn lose(&mut self, cx: &mut Context, id: &VmId, why: &str) {
+    /// Marks the control lease as lost and stops acting on the VM.
+    fn lose_lease(&mut self, cx: &mut Context, id: &VmId, why: &str) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         if vm.lease.is_none() {
             return;
         }
-        step(&self.chart, vm, VmEvent::Lost, cx);
+        fire(&self.chart, vm, VmEvent::Lost, cx);
         cx.counters.leases_lost += 1;
         cx.explain(Subject::Vm(id.clone()), format!("control lost: {why}"));
-        self.forget(cx, id);
+        self.clear_lease(cx, id);
     }
 
-    fn forget(&mut self, cx: &mut Context, id: &VmId) {
+    /// Clears the lease, and keeps unacknowledged reports for retransmission.
+    fn clear_lease(&mut self, cx: &mut Context, id: &VmId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         vm.lease = None;
-        vm.call = None;
-        vm.next_call = cx.now;
+        vm.call_sent = None;
+        vm.next_call_at = cx.now;
         if let Some(table) = vm.table.as_mut() {
             for (attempt, slot) in table.iter() {
-                if let Some(report) = slot.report(id, attempt).filter(|_| !slot.stage.takes_room())
+                if let Some(report) =
+                    slot.report(id, attempt).filter(|_| !slot.stage.occupies_resources())
                 {
-                    self.outbox.put(id, *attempt, report);
+                    self.outbox.insert(id, *attempt, report);
                 }
             }
-            table.suspend(cx.now);
+            table.mark_lease_lost(cx.now);
         }
         cx.policy.remove_vm(id);
         self.views_changed = true;
-        if vm.other_since.is_some() || cx.draining == Draining::Yes {
+        if vm.other_preferred_since.is_some() || cx.draining == Draining::Yes {
             self.vms.shift_remove(id);
         }
     }
 
-    fn apply(&mut self, cx: &mut Context, id: &VmId, changes: &Changes) {
+    fn apply_changes(&mut self, cx: &mut Context, id: &VmId, changes: &TableChanges) {
         self.views_changed = true;
         self.report_changes(cx, id, changes);
     }
 
-    /// Tells the writers which VMs are held, after changes and at each renewal period.
+    /// Sends the held VMs' views to the writers, after changes and once per renewal interval.
     fn publish(&mut self, cx: &mut Context) {
-        if !self.views_changed && cx.now < self.views_due {
+        if !self.views_changed && cx.now < self.next_publish {
             return;
         }
         self.views_changed = false;
-        self.views_due = cx.now + cx.cfg.sync_period;
+        self.next_publish = cx.now + cx.cfg.sync_period;
         let views = self.views(cx);
         for view in &views {
             cx.policy.upsert_vm(view.clone());
@@ -464,7 +476,7 @@
         }
     }
 
-    /// The VMs that are held, in figures.
+    /// Summaries of the VMs held at `now`.
     pub fn summaries(&self, now: Duration) -> Vec<VmSummary> {
         self.vms.iter().filter_map(|(id, vm)| vm.summary(id, now)).collect()
     }
@@ -475,8 +487,8 @@
     }
 }
 
-/// Steps a VM through its chart; an undeclared event is counted and changes nothing.
-fn step(chart: &Machine<VmStep, VmEvent>, vm: &mut Vm, event: VmEvent, cx: &mut Context) {
+/// Applies an event to a VM's state chart; an undeclared event is only counted.
+fn fire(chart: &Machine<VmStep, VmEvent>, vm: &mut Vm, event: VmEvent, cx: &mut Context) {
     match chart.next(vm.step, event) {
         Ok(next) => vm.step = next,
         Err(e) => {
--- a/src/core/holder/attempts.rs
+++ b/src/core/holder/attempts.rs
@@ -1,18 +1,19 @@
-//! Attempts on held VMs: room, start, close, end, and what the writers are told of them.
+//! Attempts on held VMs: reservation, start, close and end, and the reports to their writers.
 
 use super::Holder;
-use super::table::{Changes, Slot, Stage, id};
+use super::table::{Slot, Stage, TableChanges, task_attempt};
 use crate::core::context::Context;
 use crate::core::event::Action;
 use crate::core::policy::Subject;
 use crate::ids::{Attempt, BootId, CheckpointId, DaemonId, TaskId, VmId};
 use crate::peer::{CloseReason, Decline, PeerMsg, VmHealth};
 use crate::task::{Outcome, TaskSpec};
+use crate::units::Resources;
 use crate::worker::{self, AttemptReq, Closed, StartReq, TaskAttempt};
 
-/// A start as the writer asks for it.
+/// A writer's request to start an attempt.
 #[derive(Debug)]
-pub struct StartAsked {
+pub struct StartRequest {
     pub vm: VmId,
     pub boot: BootId,
     pub task: TaskId,
@@ -22,7 +23,7 @@
 }
 
 impl Holder {
-    /// Keeps room for an attempt, or declines.
+    /// Reserves resources for an attempt, or declines.
     pub fn reserve(
         &mut self,
         cx: &mut Context,
@@ -32,16 +33,16 @@
         spec: &TaskSpec,
     ) -> Result<BootId, Decline> {
         let (task, attempt) = (wanted.task, wanted.attempt);
-        let kept = self.keep_room(cx, vm_id, wanted, spec);
-        let answer = match kept {
+        let reserved = self.reserve_resources(cx, vm_id, wanted, spec);
+        let response = match reserved {
             Ok(boot) => PeerMsg::Reserved { vm: vm_id.clone(), boot, task, attempt },
             Err(reason) => PeerMsg::Declined { vm: vm_id.clone(), task, attempt, reason },
         };
-        cx.send(from, answer);
-        kept
+        cx.send(from, response);
+        reserved
     }
 
-    fn keep_room(
+    fn reserve_resources(
         &mut self,
         cx: &mut Context,
         vm_id: &VmId,
@@ -61,8 +62,8 @@
         let until = cx.now + cx.cfg.limits.reservation_ttl;
         if let Some(slot) = table.get_mut(&wanted) {
             return match &mut slot.stage {
-                Stage::Reserved { until: kept } => {
-                    *kept = until;
+                Stage::Reserved { until: expiry } => {
+                    *expiry = until;
                     Ok(slot.boot)
                 }
                 _ => Err(Decline::NoRoom),
@@ -71,7 +72,7 @@
         table.retain(|other, slot| {
             other.task != wanted.task || !matches!(slot.stage, Stage::Reserved { .. })
         });
-        if table.live(wanted.task).is_some() || !table.has_room_for(&spec.resources) {
+        if table.live(wanted.task).is_some() || !table.can_fit(&spec.resources) {
             return Err(Decline::NoRoom);
         }
         let boot = table.boot;
@@ -82,60 +83,64 @@
 
     /// Starts an attempt whose binding is durable.
     ///
-    /// Everything is checked again: the lease may have been lost and taken again, the room given
-    /// to others and the VM restarted since the room was kept.
-    pub fn start(&mut self, cx: &mut Context, from: &DaemonId, asked: StartAsked) {
-        let wanted = id(asked.task, asked.attempt);
-        let Some(vm) = self.vms.get_mut(&asked.vm) else { return declined(cx, from, &asked) };
+    /// All preconditions are checked again, because since the reservation the lease may have been
+    /// lost and reacquired, the resources given to other attempts or the VM restarted.
+    pub fn start(&mut self, cx: &mut Context, from: &DaemonId, request: StartRequest) {
+        let wanted = task_attempt(request.task, request.attempt);
+        let Some(vm) = self.vms.get_mut(&request.vm) else {
+            return decline_start(cx, from, &request);
+        };
         let leaving = vm.health() == VmHealth::Leaving;
-        let Some(table) = vm.open_table(cx.now) else { return declined(cx, from, &asked) };
+        let Some(table) = vm.open_table(cx.now) else { return decline_start(cx, from, &request) };
         let known = table.get_mut(&wanted).map(|slot| {
             slot.writer = Some(from.clone());
-            slot.spec.get_or_insert_with(|| asked.spec.clone());
+            slot.spec.get_or_insert_with(|| request.spec.clone());
             slot.stage.clone()
         });
-        let kept = match known {
-            Some(Stage::Reserved { .. }) => Resources::Kept,
-            None => Resources::Wanted,
-            Some(_) => return self.tell(cx, &asked.vm, wanted),
+        let reservation = match known {
+            Some(Stage::Reserved { .. }) => Reservation::Held,
+            None => Reservation::Missing,
+            Some(_) => return self.report_stage(cx, &request.vm, wanted),
         };
-        let room = match kept {
-            Resources::Kept => table.has_room_for(&crate::units::Resources::ZERO),
-            Resources::Wanted => table.has_room_for(&asked.spec.resources),
+        let fits = match reservation {
+            Reservation::Held => table.can_fit(&Resources::ZERO),
+            Reservation::Missing => table.can_fit(&request.spec.resources),
         };
         let boot = table.boot;
-        let mut slot = Slot::reserved(&asked.spec, asked.boot, cx.now, cx.now);
+        let mut slot = Slot::reserved(&request.spec, request.boot, cx.now, cx.now);
         slot.writer = Some(from.clone());
         slot.stage = Stage::Starting;
         table.insert(wanted, slot);
         self.views_changed = true;
-        // Bound to an incarnation that is gone: it may have run there, so a start here could be
-        // the second one. The close proves that it doesn't run now.
-        if boot != asked.boot {
-            self.close(cx, &asked.vm, wanted, CloseReason::Lost);
-        } else if !room || leaving {
-            self.close(cx, &asked.vm, wanted, CloseReason::NotStarted);
+        // The attempt is bound to an earlier incarnation of the VM and may have run there, so a start
+        // now could be its second one. The close proves that it isn't running.
+        if boot != request.boot {
+            self.close(cx, &request.vm, wanted, CloseReason::Lost);
+        } else if !fits || leaving {
+            self.close(cx, &request.vm, wanted, CloseReason::NotStarted);
         } else {
-            self.send_start(cx, asked);
+            self.send_start(cx, request);
         }
     }
 
-    fn send_start(&mut self, cx: &mut Context, asked: StartAsked) {
-        let Some(grip) = self.vms.get(&asked.vm).and_then(|vm| vm.grip(cx.now)) else { return };
+    fn send_start(&mut self, cx: &mut Context, request: StartRequest) {
+        let Some(lease) = self.vms.get(&request.vm).and_then(|vm| vm.active_lease(cx.now)) else {
+            return;
+        };
         let req = StartReq {
-            token: grip.token,
-            task: asked.task,
-            attempt: asked.attempt,
-            class: asked.spec.class,
-            resources: asked.spec.resources,
-            payload: asked.spec.payload,
-            resume: asked.resume,
+            token: lease.token,
+            task: request.task,
+            attempt: request.attempt,
+            class: request.spec.class,
+            resources: request.spec.resources,
+            payload: request.spec.payload,
+            resume: request.resume,
         };
         cx.counters.starts += 1;
-        cx.act(Action::Start { vm: asked.vm, req, valid_until: grip.valid_until });
+        cx.act(Action::Start { vm: request.vm, req, valid_until: lease.valid_until });
     }
 
-    /// Takes note of an answer to a start.
+    /// Handles the response to a start.
     pub fn start_answered(
         &mut self,
         cx: &mut Context,
@@ -144,18 +149,18 @@
         result: worker::Result<()>,
     ) {
         let now = cx.now;
-        let slot = self.slot(vm_id, &attempt).filter(|slot| slot.stage == Stage::Starting);
+        let slot = self.slot_mut(vm_id, &attempt).filter(|slot| slot.stage == Stage::Starting);
         let Some(slot) = slot else {
             cx.counters.stale += 1;
             return;
         };
         match result {
             Ok(()) => {
-                slot.enter(Stage::Running, now);
+                slot.set_stage(Stage::Running, now);
                 slot.started = now;
-                self.tell(cx, vm_id, attempt);
+                self.report_stage(cx, vm_id, attempt);
             }
-            Err(worker::Error::NoAnswer { .. }) => slot.enter(Stage::Doubtful, now),
+            Err(worker::Error::NoAnswer { .. }) => slot.set_stage(Stage::Unconfirmed, now),
             Err(worker::Error::Refused { reason }) => {
                 let class = slot.class.clone();
                 let outcome = Outcome::Failed { reason };
@@ -163,14 +168,14 @@
                 self.close(cx, vm_id, attempt, CloseReason::NotStarted);
             }
             Err(worker::Error::Fenced { .. } | worker::Error::Held { .. }) => {
-                slot.enter(Stage::Doubtful, now);
-                self.lose(cx, vm_id, "another daemon took it");
+                slot.set_stage(Stage::Unconfirmed, now);
+                self.lose_lease(cx, vm_id, "another daemon took it");
             }
         }
     }
 
-    /// Closes an attempt for its writer.
-    pub fn close_asked(
+    /// Closes an attempt at its writer's request.
+    pub fn close_requested(
         &mut self,
         cx: &mut Context,
         from: &DaemonId,
@@ -192,18 +197,18 @@
         let Some(slot) = table.get_mut(&wanted) else { return };
         slot.writer = Some(from.clone());
         match slot.stage {
-            Stage::Closed { .. } | Stage::Ended { .. } => self.tell(cx, vm_id, wanted),
+            Stage::Closed { .. } | Stage::Ended { .. } => self.report_stage(cx, vm_id, wanted),
             Stage::Closing { .. } => {}
-            Stage::Recorded
+            Stage::Acknowledged
             | Stage::Reserved { .. }
             | Stage::Starting
-            | Stage::Doubtful
+            | Stage::Unconfirmed
             | Stage::Running
             | Stage::Checkpointing { .. } => self.close(cx, vm_id, wanted, why),
         }
     }
 
-    /// Asks the VM for the attempt's end and for proof of it.
+    /// Asks the VM to end the attempt and to prove that it doesn't run.
     pub(super) fn close(
         &mut self,
         cx: &mut Context,
@@ -213,16 +218,16 @@
     ) {
         let now = cx.now;
         let retry = cx.cfg.limits.retry_period;
-        let Some(grip) = self.vms.get(vm_id).and_then(|vm| vm.grip(now)) else { return };
-        let Some(slot) = self.slot(vm_id, &attempt) else { return };
-        slot.enter(Stage::Closing { why }, now);
-        slot.repeat_at = now + retry;
-        let req = AttemptReq { token: grip.token, task: attempt.task, attempt: attempt.attempt };
+        let Some(lease) = self.vms.get(vm_id).and_then(|vm| vm.active_lease(now)) else { return };
+        let Some(slot) = self.slot_mut(vm_id, &attempt) else { return };
+        slot.set_stage(Stage::Closing { why }, now);
+        slot.retry_at = now + retry;
+        let req = AttemptReq { token: lease.token, task: attempt.task, attempt: attempt.attempt };
         cx.counters.closes += 1;
-        cx.act(Action::Close { vm: vm_id.clone(), req, valid_until: grip.valid_until });
+        cx.act(Action::Close { vm: vm_id.clone(), req, valid_until: lease.valid_until });
     }
 
-    /// Takes note of an answer to a close.
+    /// Handles the response to a close.
     pub fn close_answered(
         &mut self,
         cx: &mut Context,
@@ -241,38 +246,43 @@
         };
         match result {
             Ok(mut proof) => {
-                // An incarnation answers for itself only; the one before may have run the attempt.
+                // An incarnation answers only for itself; an earlier one may have run the attempt.
                 proof.started |= slot.boot != boot;
                 let Stage::Closing { why } = slot.stage else { return };
                 if let Some(outcome) = &proof.ended {
                     cx.policy.ended(vm_id, &slot.class, outcome, now);
                 }
-                slot.enter(Stage::Closed { proof, why }, now);
+                slot.set_stage(Stage::Closed { proof, why }, now);
                 self.views_changed = true;
-                self.tell(cx, vm_id, attempt);
+                self.report_stage(cx, vm_id, attempt);
             }
             Err(worker::Error::Fenced { .. } | worker::Error::Held { .. }) => {
-                self.lose(cx, vm_id, "another daemon took it");
+                self.lose_lease(cx, vm_id, "another daemon took it");
             }
             Err(_) => {}
         }
     }
 
-    /// The writer has the end on record.
+    /// Handles the writer's acknowledgement that the end is durable.
     pub fn end_recorded(&mut self, cx: &mut Context, vm_id: &VmId, attempt: TaskAttempt) {
         let now = cx.now;
         self.outbox.acknowledge(vm_id, attempt);
-        let Some(slot) = self.slot(vm_id, &attempt) else { return };
+        let Some(slot) = self.slot_mut(vm_id, &attempt) else { return };
         match slot.stage {
-            // The VM may also list the end of an attempt that was closed; it can forget both.
-            Stage::Ended { .. } | Stage::Closed { .. } => slot.enter(Stage::Recorded, now),
+            // The VM may also list the end of an attempt that was closed; it can discard both.
+            Stage::Ended { .. } | Stage::Closed { .. } => slot.set_stage(Stage::Acknowledged, now),
             _ => cx.counters.stale += 1,
         }
     }
 
-    pub(super) fn report_changes(&mut self, cx: &mut Context, vm_id: &VmId, changes: &Changes) {
+    pub(super) fn report_changes(
+        &mut self,
+        cx: &mut Context,
+        vm_id: &VmId,
+        changes: &TableChanges,
+    ) {
         for attempt in &changes.started {
-            self.tell(cx, vm_id, *attempt);
+            self.report_stage(cx, vm_id, *attempt);
         }
         for attempt in &changes.lost {
             cx.explain(Subject::Task(attempt.task), format!("the VM {vm_id} no longer has it"));
@@ -283,21 +293,21 @@
         }
         for attempt in &changes.ended {
             let now = cx.now;
-            if let Some(slot) = self.slot(vm_id, attempt)
+            if let Some(slot) = self.slot_mut(vm_id, attempt)
                 && let Stage::Ended { outcome } = &slot.stage
             {
                 cx.policy.ended(vm_id, &slot.class, outcome, now);
             }
-            self.tell(cx, vm_id, *attempt);
+            self.report_stage(cx, vm_id, *attempt);
         }
     }
 
-    /// Tells the writer how far an attempt is; repeated for what it has to acknowledge.
-    pub(super) fn tell(&mut self, cx: &mut Context, vm_id: &VmId, attempt: TaskAttempt) {
-        let repeat_at = cx.now + cx.cfg.limits.retry_period;
-        let Some(slot) = self.slot(vm_id, &attempt) else { return };
+    /// Reports an attempt's stage to its writer; reports that need an acknowledgement are retried.
+    pub(super) fn report_stage(&mut self, cx: &mut Context, vm_id: &VmId, attempt: TaskAttempt) {
+        let retry_at = cx.now + cx.cfg.limits.retry_period;
+        let Some(slot) = self.slot_mut(vm_id, &attempt) else { return };
         let Some(msg) = slot.report(vm_id, &attempt) else { return };
-        slot.repeat_at = repeat_at;
+        slot.retry_at = retry_at;
         let to =
             slot.writer.take().or_else(|| cx.members.writer_of(attempt.task.partition).cloned());
         if let Some(to) = to {
@@ -305,10 +315,10 @@
         }
     }
 
-    /// Repeats what went unanswered, and drops reservations that nobody came for.
-    pub(super) fn repeat(&mut self, cx: &mut Context, vm_id: &VmId) {
+    /// Retries unanswered requests and drops expired reservations.
+    pub(super) fn retry_unanswered(&mut self, cx: &mut Context, vm_id: &VmId) {
         let now = cx.now;
-        let patience = cx.cfg.lease_ttl;
+        let start_timeout = cx.cfg.lease_ttl;
         let Some(table) = self.vms.get_mut(vm_id).and_then(|vm| vm.table.as_mut()) else { return };
         let mut dropped = false;
         table.retain(|_, slot| match slot.stage {
@@ -320,10 +330,10 @@
         });
         let mut due = Vec::new();
         for (attempt, slot) in table.iter_mut() {
-            if slot.stage == Stage::Starting && slot.since + patience <= now {
-                slot.enter(Stage::Doubtful, now);
+            if slot.stage == Stage::Starting && slot.since + start_timeout <= now {
+                slot.set_stage(Stage::Unconfirmed, now);
             }
-            if slot.repeat_at <= now {
+            if slot.retry_at <= now {
                 due.push((*attempt, slot.stage.clone()));
             }
         }
@@ -331,25 +341,26 @@
         for (attempt, stage) in due {
             match stage {
                 Stage::Closing { why } => self.close(cx, vm_id, attempt, why),
-                Stage::Closed { .. } | Stage::Ended { .. } => self.tell(cx, vm_id, attempt),
+                Stage::Closed { .. } | Stage::Ended { .. } => self.report_stage(cx, vm_id, attempt),
                 _ => {}
             }
         }
     }
 
-    pub(super) fn slot(&mut self, vm_id: &VmId, attempt: &TaskAttempt) -> Option<&mut Slot> {
+    pub(super) fn slot_mut(&mut self, vm_id: &VmId, attempt: &TaskAttempt) -> Option<&mut Slot> {
         self.vms.get_mut(vm_id)?.table.as_mut()?.get_mut(attempt)
     }
 }
 
+/// Whether the resources of an attempt to start are already reserved.
 #[derive(Clone, Copy)]
-enum Resources {
-    Kept,
-    Wanted,
+enum Reservation {
+    Held,
+    Missing,
 }
 
-fn declined(cx: &mut Context, from: &DaemonId, asked: &StartAsked) {
-    let (vm, reason) = (asked.vm.clone(), Decline::NotHeld);
-    let (task, attempt) = (asked.task, asked.attempt);
+fn decline_start(cx: &mut Context, from: &DaemonId, request: &StartRequest) {
+    let (vm, reason) = (request.vm.clone(), Decline::NotHeld);
+    let (task, attempt) = (request.task, request.attempt);
     cx.send(from, PeerMsg::Declined { vm, task, attempt, reason });
 }
--- a/src/core/holder/outbox.rs
+++ b/src/core/holder/outbox.rs
@@ -1,8 +1,8 @@
-//! Ends and proofs that outlive the control of their VM.
+//! Reports of ended or closed attempts that are kept after the VM's control lease is lost.
 //!
-//! That an attempt ended, or runs no more, stays true when another daemon takes the VM. Were it
-//! dropped with the lease, and the VM restarted before it told the next holder, an attempt that
-//! had ended would be taken as lost and run again.
+//! A report that an attempt ended or no longer runs remains true when another daemon takes the VM.
+//! If it were dropped with the lease and the VM restarted before it reported to the next holder, an
+//! attempt that had ended would be considered lost and run again.
 
 use crate::core::context::Context;
 use crate::ids::VmId;
@@ -11,14 +11,14 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Most reports that are kept; the oldest give way, for the VMs repeat them to the next holder.
+/// Maximum number of reports; the oldest are dropped, as VMs repeat them to their next holder.
 const REPORTS_MAX: usize = 4_096;
 
-/// Reports that writers have not acknowledged.
+/// Reports that their writers have not acknowledged.
 #[derive(Debug, Default)]
 pub struct Outbox {
     reports: IndexMap<Key, PeerMsg>,
-    repeat_at: Duration,
+    retry_at: Duration,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,24 +29,24 @@
 
 impl Outbox {
     /// Keeps a report until it is acknowledged.
-    pub fn put(&mut self, vm: &VmId, attempt: TaskAttempt, msg: PeerMsg) {
+    pub fn insert(&mut self, vm: &VmId, attempt: TaskAttempt, msg: PeerMsg) {
         if self.reports.len() >= REPORTS_MAX {
             self.reports.shift_remove_index(0);
         }
         self.reports.insert(Key { vm: vm.clone(), attempt }, msg);
     }
 
-    /// The writer has it on record.
+    /// Removes a report that the writer has made durable.
     pub fn acknowledge(&mut self, vm: &VmId, attempt: TaskAttempt) {
         self.reports.swap_remove(&Key { vm: vm.clone(), attempt });
     }
 
-    /// Sends all of them again, if it is time.
-    pub fn repeat(&mut self, cx: &mut Context) {
-        if cx.now < self.repeat_at {
+    /// Resends all reports if the retry period has passed.
+    pub fn resend_due(&mut self, cx: &mut Context) {
+        if cx.now < self.retry_at {
             return;
         }
-        self.repeat_at = cx.now + cx.cfg.limits.retry_period;
+        self.retry_at = cx.now + cx.cfg.limits.retry_period;
         for (key, msg) in &self.reports {
             if let Some(to) = cx.members.writer_of(key.attempt.task.partition).cloned() {
                 cx.send(&to, msg.clone());
--- a/src/core/holder/relief.rs
+++ b/src/core/holder/relief.rs
@@ -1,7 +1,8 @@
-//! Steps against suffering: throttling, avoiding a VM, and moving tasks off.
+//! Interference mitigation: throttling tasks, changing a VM's health and evicting tasks.
 //!
-//! A task is checkpointed before it is closed, and only tasks that may run again are moved; a
-//! non-idempotent one that has started could only be ended as unknown.
+//! A task that resumes from a checkpoint is checkpointed before it is closed. Only tasks that may
+//! run again are evicted: a non-idempotent task that has started could only end with an unknown
+//! outcome.
 
 use super::table::{Slot, Stage};
 use super::{Holder, VmStep};
@@ -16,23 +17,28 @@
 use std::time::Duration;
 
 impl Holder {
-    /// Learns from a usage report, and takes the steps that are due.
-    pub(super) fn learn(&mut self, cx: &mut Context, vm_id: &VmId, report: Option<&UsageReport>) {
+    /// Passes a usage report to the policy and applies the mitigations it decides on.
+    pub(super) fn handle_report(
+        &mut self,
+        cx: &mut Context,
+        vm_id: &VmId,
+        report: Option<&UsageReport>,
+    ) {
         if let Some(report) = report {
             self.note_progress(vm_id, report);
             cx.policy.observe(vm_id, report, cx.now);
         }
         if self.vms.get(vm_id).is_some_and(|vm| vm.leaving) {
-            return self.move_off(cx, vm_id);
+            return self.evacuate(cx, vm_id);
         }
         let residents = self.residents(cx, vm_id);
         for decided in cx.policy.relieve(vm_id, &residents, cx.now) {
-            self.relieve(cx, decided);
+            self.apply_relief(cx, decided);
         }
     }
 
-    /// Carries out a step that the policy decided.
-    pub fn relieve(&mut self, cx: &mut Context, decided: Decided<Relief>) {
+    /// Applies a mitigation that the policy decided on.
+    pub fn apply_relief(&mut self, cx: &mut Context, decided: Decided<Relief>) {
         cx.act(Action::Explain(decided.record));
         match decided.choice {
             Relief::Throttle { vm, task, share } => self.throttle(cx, &vm, task, share),
@@ -48,10 +54,10 @@
         }
     }
 
-    /// Moves what can be resumed off a VM that is leaving; the rest runs on while it can.
-    fn move_off(&mut self, cx: &mut Context, vm_id: &VmId) {
+    /// Evicts tasks that can resume from a checkpoint from a leaving VM; others keep running there.
+    fn evacuate(&mut self, cx: &mut Context, vm_id: &VmId) {
         for resident in self.residents(cx, vm_id) {
-            if resident.spec.resumption == Resumption::Checkpoint && may_move(&resident.spec) {
+            if resident.spec.resumption == Resumption::Checkpoint && is_movable(&resident.spec) {
                 let id = TaskAttempt { task: resident.task, attempt: resident.attempt };
                 self.evict(cx, vm_id, id, CloseReason::Leaving);
             }
@@ -59,12 +65,14 @@
     }
 
     fn throttle(&mut self, cx: &mut Context, vm_id: &VmId, task: TaskId, share: f64) {
-        let Some(grip) = self.vms.get(vm_id).and_then(|vm| vm.grip(cx.now)) else { return };
-        let req = ThrottleReq { token: grip.token, task, share };
-        cx.act(Action::Throttle { vm: vm_id.clone(), req, valid_until: grip.valid_until });
+        let Some(lease) = self.vms.get(vm_id).and_then(|vm| vm.active_lease(cx.now)) else {
+            return;
+        };
+        let req = ThrottleReq { token: lease.token, task, share };
+        cx.act(Action::Throttle { vm: vm_id.clone(), req, valid_until: lease.valid_until });
     }
 
-    /// Checkpoints an attempt, then closes it.
+    /// Closes an attempt, after a checkpoint if it can resume from one.
     pub(super) fn evict(
         &mut self,
         cx: &mut Context,
@@ -73,13 +81,13 @@
         why: CloseReason,
     ) {
         let now = cx.now;
-        let Some(grip) = self.vms.get(vm_id).and_then(|vm| vm.grip(now)) else { return };
-        let Some(slot) = self.slot(vm_id, &attempt).filter(|slot| slot.stage == Stage::Running)
+        let Some(lease) = self.vms.get(vm_id).and_then(|vm| vm.active_lease(now)) else { return };
+        let Some(slot) = self.slot_mut(vm_id, &attempt).filter(|slot| slot.stage == Stage::Running)
         else {
             cx.counters.stale += 1;
             return;
         };
-        let movable = slot.spec.as_ref().is_some_and(may_move);
+        let movable = slot.spec.as_ref().is_some_and(is_movable);
         if !movable {
             return cx.explain(Subject::Task(attempt.task), "not moved: it can't run again");
         }
@@ -87,12 +95,12 @@
         if slot.spec.as_ref().is_some_and(|spec| spec.resumption != Resumption::Checkpoint) {
             return self.close(cx, vm_id, attempt, why);
         }
-        slot.enter(Stage::Checkpointing { why }, now);
-        let req = AttemptReq { token: grip.token, task: attempt.task, attempt: attempt.attempt };
-        cx.act(Action::Checkpoint { vm: vm_id.clone(), req, valid_until: grip.valid_until });
+        slot.set_stage(Stage::Checkpointing { why }, now);
+        let req = AttemptReq { token: lease.token, task: attempt.task, attempt: attempt.attempt };
+        cx.act(Action::Checkpoint { vm: vm_id.clone(), req, valid_until: lease.valid_until });
     }
 
-    /// Takes note of an answer to a checkpoint.
+    /// Handles the response to a checkpoint.
     pub fn checkpoint_answered(
         &mut self,
         cx: &mut Context,
@@ -101,7 +109,7 @@
         result: worker::Result<CheckpointId>,
     ) {
         let now = cx.now;
-        let Some(slot) = self.slot(vm_id, &attempt) else { return };
+        let Some(slot) = self.slot_mut(vm_id, &attempt) else { return };
         let Stage::Checkpointing { why } = slot.stage else {
             cx.counters.stale += 1;
             return;
@@ -111,10 +119,10 @@
                 slot.checkpoint_at = Some(now);
                 self.close(cx, vm_id, attempt, why);
             }
-            // A VM that leaves takes the task down anyway; elsewhere the work done is worth more.
+            // A leaving VM ends the task anyway; otherwise an eviction would discard the work done.
             Err(_) if why == CloseReason::Leaving => self.close(cx, vm_id, attempt, why),
             Err(e) => {
-                slot.enter(Stage::Running, now);
+                slot.set_stage(Stage::Running, now);
                 cx.explain(Subject::Task(attempt.task), format!("not moved: no checkpoint ({e})"));
             }
         }
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Batch tasks that run on a held VM.
+    /// Batch tasks running on a held VM.
     pub fn residents(&self, cx: &Context, vm_id: &VmId) -> Vec<Resident> {
         let table = self.vms.get(vm_id).filter(|vm| vm.step == VmStep::Held);
         let Some(table) = table.and_then(|vm| vm.table.as_ref()) else { return Vec::new() };
@@ -140,19 +148,19 @@
             .collect()
     }
 
-    /// VMs that are held now.
+    /// VMs whose control lease is held.
     pub fn held(&self) -> impl Iterator<Item = &VmId> {
         self.vms.iter().filter(|(_, vm)| vm.step == VmStep::Held).map(|(id, _)| id)
     }
 }
 
-fn may_move(spec: &TaskSpec) -> bool {
+fn is_movable(spec: &TaskSpec) -> bool {
     spec.idempotency == Idempotency::Idempotent && spec.resumption != Resumption::Never
 }
 
 fn resident(cx: &Context, id: &TaskAttempt, slot: &Slot) -> Resident {
-    let mut spec = slot.spec.clone().unwrap_or_else(|| guessed_spec(cx, slot));
-    if !may_move(&spec) {
+    let mut spec = slot.spec.clone().unwrap_or_else(|| fallback_spec(cx, slot));
+    if !is_movable(&spec) {
         spec.resumption = Resumption::Never;
     }
     Resident {
@@ -165,8 +173,8 @@
     }
 }
 
-/// Until its writer speaks of it, an attempt found on a VM counts as one that can't be moved.
-fn guessed_spec(cx: &Context, slot: &Slot) -> TaskSpec {
+/// Spec of an attempt found on a VM whose writer hasn't sent its spec yet; it is not movable.
+fn fallback_spec(cx: &Context, slot: &Slot) -> TaskSpec {
     let class = cx.config.batch.get(&slot.class);
     TaskSpec {
         class: slot.class.clone(),
--- a/src/core/holder/table.rs
+++ b/src/core/holder/table.rs
@@ -1,8 +1,8 @@
-//! What a holder knows of a VM's lease table, and the room that is taken there.
+//! A holder's copy of a VM's lease table, and the resources committed on the VM.
 //!
-//! Room is counted as taken from the reservation until the VM proves that the attempt does not
-//! run and will not: also while the answer to a start is missing and while a close is under way.
-//! Counting less would place new work beside an attempt that still runs, and overfill the VM.
+//! Resources count as committed from the reservation until the VM proves that the attempt does not
+//! run and will not run, including while the response to a start or a close is outstanding. Freeing
+//! them earlier would place new work next to an attempt that still runs and overcommit the VM.
 
 use crate::ids::{Attempt, BootId, ClassName, DaemonId, RackId, TaskId, VmId};
 use crate::peer::{ClassCount, CloseReason, PeerMsg};
@@ -12,9 +12,9 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// A VM's lease table, with what is on its way there.
+/// A VM's lease table, including attempts that were reserved or requested.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct LeaseTable {
     pub boot: BootId,
     pub rack: RackId,
     pub size: Resources,
@@ -27,11 +27,11 @@
     pub class: ClassName,
     pub resources: Resources,
     pub kind: TenantKind,
-    /// Known from the task's writer only; the VM doesn't keep it.
+    /// Provided by the task's writer; the VM doesn't store it.
     pub spec: Option<TaskSpec>,
-    /// Incarnation of the VM that the attempt belongs to.
+    /// Incarnation of the VM that the attempt is bound to.
     pub boot: BootId,
-    /// Daemon that last spoke of the attempt.
+    /// Daemon that last sent a request about the attempt.
     pub writer: Option<DaemonId>,
     pub stage: Stage,
     /// Time of the last change of stage.
@@ -39,65 +39,65 @@
     pub started: Duration,
     pub checkpoint_at: Option<Duration>,
     pub progress: f64,
-    /// Time at which to repeat what is unanswered.
-    pub repeat_at: Duration,
+    /// Time at which to retry an unanswered request or report.
+    pub retry_at: Duration,
 }
 
-/// How far an attempt is on its VM.
+/// Stage of an attempt on its VM.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// Room is kept, nothing was sent.
+    /// Resources are reserved; nothing was sent to the VM.
     Reserved {
         until: Duration,
     },
-    /// The start was sent and is not answered.
+    /// The start was sent; its response is outstanding.
     Starting,
-    /// The start's answer was lost; the next table tells.
-    Doubtful,
+    /// The start's response was lost; the VM's next table shows whether it took effect.
+    Unconfirmed,
     Running,
     /// A checkpoint is being taken before the close.
     Checkpointing {
         why: CloseReason,
     },
-    /// Proof of the end is being asked for.
+    /// The VM was asked to end the attempt and to prove that it does not run.
     Closing {
         why: CloseReason,
     },
-    /// Proof is here; the writer hasn't acknowledged it.
+    /// The VM has proved that the attempt doesn't run; the writer hasn't acknowledged it.
     Closed {
         proof: Closed,
         why: CloseReason,
     },
-    /// Ended by itself; the writer hasn't acknowledged it.
+    /// The attempt ended by itself; the writer hasn't acknowledged it.
     Ended {
         outcome: Outcome,
     },
-    /// The writer has acknowledged the end; the VM hasn't forgotten it.
-    Recorded,
+    /// The writer has acknowledged the end; the VM hasn't discarded its record of it.
+    Acknowledged,
 }
 
 impl Stage {
-    /// Whether the attempt may run, now or later.
-    pub fn takes_room(&self) -> bool {
-        !matches!(self, Self::Closed { .. } | Self::Ended { .. } | Self::Recorded)
+    /// Whether the attempt may be running or may still start.
+    pub fn occupies_resources(&self) -> bool {
+        !matches!(self, Self::Closed { .. } | Self::Ended { .. } | Self::Acknowledged)
     }
 }
 
-/// What a newly read table changed.
+/// Differences found when a VM's table was reconciled.
 #[derive(Debug, Default)]
-pub struct Changes {
-    /// Starts that the table confirms.
+pub struct TableChanges {
+    /// Starts that the VM confirmed.
     pub started: Vec<TaskAttempt>,
-    /// Attempts that ran and are gone without an end.
+    /// Attempts that were running and disappeared without a reported end.
     pub lost: Vec<TaskAttempt>,
-    /// Starts in doubt that the table doesn't have.
+    /// Unconfirmed starts that are not in the VM's table.
     pub unstarted: Vec<TaskAttempt>,
-    /// Ends heard of for the first time.
+    /// Ends reported for the first time.
     pub ended: Vec<TaskAttempt>,
 }
 
-impl Table {
-    /// A table of a VM that is not known yet.
+impl LeaseTable {
+    /// Creates an empty table for a VM.
     pub fn new(status: &VmStatus) -> Self {
         Self {
             boot: status.boot,
@@ -107,12 +107,12 @@
         }
     }
 
-    /// The attempt, if known.
+    /// Returns an attempt's slot, if known.
     pub fn get(&self, id: &TaskAttempt) -> Option<&Slot> {
         self.slots.get(id)
     }
 
-    /// The attempt, if known.
+    /// Returns an attempt's slot for modification, if known.
     pub fn get_mut(&mut self, id: &TaskAttempt) -> Option<&mut Slot> {
         self.slots.get_mut(id)
     }
@@ -122,53 +122,53 @@
         self.slots.insert(id, slot);
     }
 
-    /// Forgets attempts.
+    /// Removes the attempts for which `keep` returns false.
     pub fn retain(&mut self, keep: impl FnMut(&TaskAttempt, &mut Slot) -> bool) {
         self.slots.retain(keep);
     }
 
-    /// All attempts.
+    /// Iterates over all attempts.
     pub fn iter(&self) -> impl Iterator<Item = (&TaskAttempt, &Slot)> {
         self.slots.iter()
     }
 
-    /// All attempts.
+    /// Iterates over all attempts for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&TaskAttempt, &mut Slot)> {
         self.slots.iter_mut()
     }
 
-    /// Attempt of the task that takes room.
+    /// The task's attempt that occupies resources.
     pub fn live(&self, task: TaskId) -> Option<TaskAttempt> {
         self.slots
             .iter()
-            .find(|(id, slot)| id.task == task && slot.stage.takes_room())
+            .find(|(id, slot)| id.task == task && slot.stage.occupies_resources())
             .map(|(id, _)| *id)
     }
 
-    /// Sum of what takes room; `None` if it overflows.
+    /// Sum of the committed resources; `None` if it overflows.
     pub fn committed(&self) -> Option<Resources> {
         self.slots
             .values()
-            .filter(|slot| slot.stage.takes_room())
+            .filter(|slot| slot.stage.occupies_resources())
             .try_fold(Resources::ZERO, |sum, slot| sum.checked_add(&slot.resources).ok())
     }
 
-    /// Room that is left; none where the VM is overfilled.
+    /// Uncommitted resources; zero if the VM is overcommitted.
     pub fn free(&self) -> Resources {
         self.committed().map_or(Resources::ZERO, |taken| self.size.saturating_sub(&taken))
     }
 
-    /// Whether what is committed, together with `more`, is within the size.
-    pub fn has_room_for(&self, more: &Resources) -> bool {
+    /// Whether the committed resources plus `more` fit in the VM's size.
+    pub fn can_fit(&self, more: &Resources) -> bool {
         self.committed()
             .and_then(|taken| taken.checked_add(more).ok())
             .is_some_and(|taken| taken.fits_in(&self.size))
     }
 
-    /// Committed tasks of each class.
+    /// Number of committed tasks of each class.
     pub fn classes(&self) -> Vec<ClassCount> {
         let mut counts: IndexMap<&ClassName, u32> = IndexMap::new();
-        for slot in self.slots.values().filter(|slot| slot.stage.takes_room()) {
+        for slot in self.slots.values().filter(|slot| slot.stage.occupies_resources()) {
             *counts.entry(&slot.class).or_insert(0) += 1;
         }
         counts
@@ -177,81 +177,83 @@
             .collect()
     }
 
-    /// Takes over a table that the VM gave in answer to a call sent after `sent`.
+    /// Merges a table that the VM returned to a call sent after `sent`.
     ///
-    /// A table says nothing of changes that were confirmed after the call was sent: without that
-    /// rule an answer that overtook a start would report a running attempt as lost.
-    pub fn absorb(
+    /// The table may predate changes that were confirmed after the call was sent, so it can't
+    /// contradict them. Without this rule, a table read before a start took effect would report the
+    /// running attempt as lost.
+    pub fn reconcile(
         &mut self,
         boot: BootId,
         tenants: &[Tenant],
         ended: &[EndedAttempt],
         sent: Duration,
         now: Duration,
-    ) -> Changes {
-        let mut changes = Changes::default();
+    ) -> TableChanges {
+        let mut changes = TableChanges::default();
         if self.boot != boot {
+            // The incarnation that had the reserved resources is gone.
             self.boot = boot;
-            self.forget_unsent();
+            self.drop_reservations();
         }
         for tenant in tenants {
-            self.absorb_tenant(tenant, now, &mut changes);
+            self.reconcile_tenant(tenant, now, &mut changes);
         }
         for end in ended {
-            self.absorb_end(end, now, &mut changes);
+            self.reconcile_end(end, now, &mut changes);
         }
-        self.find_missing(tenants, ended, sent, &mut changes);
+        self.reconcile_missing(tenants, ended, sent, &mut changes);
         changes
     }
 
-    /// Drops reservations: the incarnation that had the room is gone.
-    fn forget_unsent(&mut self) {
+    /// Drops reservations, for which nothing was sent to the VM.
+    fn drop_reservations(&mut self) {
         self.slots.retain(|_, slot| !matches!(slot.stage, Stage::Reserved { .. }));
     }
 
-    /// The lease is lost: nothing more is sent, and what is under way is in doubt.
-    pub fn suspend(&mut self, now: Duration) {
-        self.forget_unsent();
+    /// Drops reservations and marks outstanding starts as unconfirmed after the lease is lost.
+    pub fn mark_lease_lost(&mut self, now: Duration) {
+        self.drop_reservations();
         for slot in self.slots.values_mut() {
             match slot.stage {
-                Stage::Starting => slot.enter(Stage::Doubtful, now),
-                Stage::Checkpointing { .. } => slot.enter(Stage::Running, now),
+                Stage::Starting => slot.set_stage(Stage::Unconfirmed, now),
+                Stage::Checkpointing { .. } => slot.set_stage(Stage::Running, now),
                 _ => {}
             }
         }
     }
 
-    fn absorb_tenant(&mut self, tenant: &Tenant, now: Duration, changes: &mut Changes) {
+    fn reconcile_tenant(&mut self, tenant: &Tenant, now: Duration, changes: &mut TableChanges) {
         let id = TaskAttempt { task: tenant.task, attempt: tenant.attempt };
         let boot = self.boot;
-        let slot = self.slots.entry(id).or_insert_with(|| Slot::found(tenant, boot, now));
+        let slot = self.slots.entry(id).or_insert_with(|| Slot::from_tenant(tenant, boot, now));
         slot.resources = tenant.resources;
-        if matches!(slot.stage, Stage::Starting | Stage::Doubtful | Stage::Reserved { .. }) {
-            slot.enter(Stage::Running, now);
+        if matches!(slot.stage, Stage::Starting | Stage::Unconfirmed | Stage::Reserved { .. }) {
+            slot.set_stage(Stage::Running, now);
             slot.started = now;
             changes.started.push(id);
         }
     }
 
-    fn absorb_end(&mut self, end: &EndedAttempt, now: Duration, changes: &mut Changes) {
+    fn reconcile_end(&mut self, end: &EndedAttempt, now: Duration, changes: &mut TableChanges) {
         let id = TaskAttempt { task: end.task, attempt: end.attempt };
         let known = self.slots.get(&id).map(|slot| &slot.stage);
-        if known.is_some_and(|stage| !stage.takes_room()) {
+        if known.is_some_and(|stage| !stage.occupies_resources()) {
             return;
         }
         let boot = self.boot;
         let slot = self.slots.entry(id).or_insert_with(|| Slot::unknown(boot, now));
-        slot.enter(Stage::Ended { outcome: end.outcome.clone() }, now);
-        slot.repeat_at = now;
+        slot.set_stage(Stage::Ended { outcome: end.outcome.clone() }, now);
+        slot.retry_at = now;
         changes.ended.push(id);
     }
 
-    fn find_missing(
+    fn reconcile_missing(
         &mut self,
         tenants: &[Tenant],
         ended: &[EndedAttempt],
         sent: Duration,
-        changes: &mut Changes,
+        changes: &mut TableChanges,
     ) {
         let here = |id: &TaskAttempt| {
             tenants.iter().any(|tenant| tenant.task == id.task && tenant.attempt == id.attempt)
@@ -265,18 +267,18 @@
                 changes.lost.push(*id);
                 true
             }
-            Stage::Doubtful if slot.since < sent && !here(id) => {
+            Stage::Unconfirmed if slot.since < sent && !here(id) => {
                 changes.unstarted.push(*id);
                 true
             }
-            Stage::Recorded => slot.since >= sent || ended_here(id),
+            Stage::Acknowledged => slot.since >= sent || ended_here(id),
             _ => true,
         });
     }
 }
 
 impl Slot {
-    /// An attempt that room is kept for.
+    /// Creates a slot with reserved resources.
     pub fn reserved(spec: &TaskSpec, boot: BootId, until: Duration, now: Duration) -> Self {
         Self {
             class: spec.class.clone(),
@@ -290,11 +292,11 @@
             started: now,
             checkpoint_at: None,
             progress: 0.0,
-            repeat_at: now,
+            retry_at: now,
         }
     }
 
-    /// An attempt that is asked about and isn't known here.
+    /// Creates a slot for an attempt of which only the ID is known.
     pub fn unknown(boot: BootId, now: Duration) -> Self {
         Self {
             class: ClassName::new(""),
@@ -303,22 +305,22 @@
             spec: None,
             boot,
             writer: None,
-            stage: Stage::Doubtful,
+            stage: Stage::Unconfirmed,
             since: now,
             started: now,
             checkpoint_at: None,
             progress: 0.0,
-            repeat_at: now,
+            retry_at: now,
         }
     }
 
-    /// Moves to another stage.
-    pub fn enter(&mut self, stage: Stage, now: Duration) {
+    /// Sets the stage and the time of the change.
+    pub fn set_stage(&mut self, stage: Stage, now: Duration) {
         self.stage = stage;
         self.since = now;
     }
 
-    /// What the task's writer is to be told.
+    /// The report to the task's writer, if the stage calls for one.
     pub fn report(&self, vm: &VmId, id: &TaskAttempt) -> Option<PeerMsg> {
         if self.kind == TenantKind::Service {
             return None;
@@ -336,7 +338,7 @@
         }
     }
 
-    fn found(tenant: &Tenant, boot: BootId, now: Duration) -> Self {
+    fn from_tenant(tenant: &Tenant, boot: BootId, now: Duration) -> Self {
         Self {
             class: tenant.class.clone(),
             resources: tenant.resources,
@@ -347,7 +349,7 @@
     }
 }
 
-/// The attempt's id, as the VM names it.
-pub fn id(task: TaskId, attempt: Attempt) -> TaskAttempt {
+/// Identifies an attempt of a task.
+pub fn task_attempt(task: TaskId, attempt: Attempt) -> TaskAttempt {
     TaskAttempt { task, attempt }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,12 +1,13 @@
-//! The decisions, without I/O: `(state, event, now) → actions`.
+//! Deterministic scheduling logic without I/O: `(state, event, now) → actions`.
 //!
-//! Nothing here reads a clock, a socket or a random source of its own, and nothing depends on the
-//! order of a hash. The same events at the same times give the same actions, so that a recorded
-//! decision can be repeated and explained.
+//! The core reads no clock, socket or random source, and does not depend on hash iteration order.
+//! The same events at the same times produce the same actions, so a recorded decision can be
+//! replayed and explained.
 //!
-//! A daemon plays two parts at once. As the writer of some partitions it steps their tasks through
-//! their lives ([`life`]); as the holder of some VMs' control leases it alone starts and closes
-//! attempts there ([`holder`]). The two talk by [`PeerMsg`] also where they are one daemon.
+//! A daemon has two roles. As the writer of partitions it drives their tasks through the task
+//! lifecycle ([`life`]). As the holder of VMs' control leases it is the only daemon that starts and
+//! closes attempts on them ([`holder`]). The two roles communicate through [`PeerMsg`] even within
+//! one daemon.
 
 mod context;
 pub mod event;
@@ -29,18 +30,18 @@
 use crate::peer::{Decline, PeerMsg};
 use crate::worker::TaskAttempt;
 use context::{Context, Draining};
-use holder::{Holder, StartAsked};
+use holder::{Holder, StartRequest};
 use indexmap::IndexMap;
 use life::Writer;
 use policy::{Candidate, Resident};
 use std::time::Duration;
 
-/// Most tasks evicted for an urgent one in a step.
-const EVICTIONS_MAX: u32 = 8;
+/// Maximum number of evictions per step on behalf of one urgent task.
+const MAX_EVICTIONS_PER_STEP: u32 = 8;
 
-/// Whether room is being made.
+/// Whether at least one eviction was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Evicting {
+enum EvictionStarted {
     Yes,
     No,
 }
@@ -54,17 +55,17 @@
 }
 
 impl Core {
-    /// A core that knows nothing yet; fails only if its state charts don't load.
+    /// Creates an empty core; fails only if its state charts are invalid.
     pub fn new(cfg: CoreSettings) -> crate::chart::Result<Self> {
         Ok(Self { cx: Context::new(cfg), writer: Writer::new()?, holder: Holder::new()? })
     }
 
-    /// Takes note of an event, and returns what is to be done about it, in order.
+    /// Processes an event and returns the resulting actions in the order to perform them.
     pub fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.cx.now = self.cx.now.max(now);
         self.handle(event);
         for candidate in self.writer.advance(&mut self.cx) {
-            if self.make_room(&candidate) == Evicting::No {
+            if self.evict_for(&candidate) == EvictionStarted::No {
                 self.writer.ask_others(&mut self.cx, &candidate);
             }
         }
@@ -85,14 +86,14 @@
             }
             Event::Listed(listed) => {
                 self.writer.listed(&listed);
-                self.holder.list(cx, listed);
+                self.holder.update_list(cx, listed);
             }
             Event::Members(members) => {
                 let partitions = std::mem::take(&mut cx.cfg.partitions);
                 cx.members.update(&members, &partitions);
                 cx.cfg.partitions = partitions;
                 self.writer.members_changed(cx);
-                self.holder.propose(cx);
+                self.holder.update_preferences(cx);
             }
             Event::Acquired { vm, sent, result } => self.holder.acquired(cx, &vm, sent, result),
             Event::Synced { vm, sent, result } => self.holder.synced(cx, &vm, sent, result),
@@ -110,7 +111,7 @@
             }
             Event::Superseded { partition } => self.writer.superseded(cx, partition),
             Event::Committed { ticket, result } => self.writer.committed(cx, ticket, &result),
-            Event::Peer { from, msg } => self.peer(&from, msg),
+            Event::Peer { from, msg } => self.handle_peer(&from, msg),
             Event::Submit { ticket, partition, key, spec } => {
                 self.writer.submit(cx, ticket, partition, key, spec);
             }
@@ -122,25 +123,25 @@
         }
     }
 
-    fn peer(&mut self, from: &DaemonId, msg: PeerMsg) {
+    fn handle_peer(&mut self, from: &DaemonId, msg: PeerMsg) {
         let cx = &mut self.cx;
         match msg {
             PeerMsg::Views { views } => self.writer.views(cx, from, views),
             PeerMsg::Reserve { vm, task, attempt, spec } => {
                 let wanted = TaskAttempt { task, attempt };
-                let kept = self.holder.reserve(cx, from, &vm, wanted, &spec);
-                if kept == Err(Decline::NoRoom) && spec.urgency == Urgency::Urgent {
+                let reserved = self.holder.reserve(cx, from, &vm, wanted, &spec);
+                if reserved == Err(Decline::NoRoom) && spec.urgency == Urgency::Urgent {
                     let (waited, avoid) = (Duration::ZERO, Vec::new());
-                    self.make_room(&Candidate { task, attempt, spec, waited, avoid });
+                    self.evict_for(&Candidate { task, attempt, spec, waited, avoid });
                 }
             }
             PeerMsg::Start { vm, boot, task, attempt, spec, resume } => {
-                let asked = StartAsked { vm, boot, task, attempt, spec, resume };
-                self.holder.start(cx, from, asked);
+                let request = StartRequest { vm, boot, task, attempt, spec, resume };
+                self.holder.start(cx, from, request);
             }
             PeerMsg::Close { vm, boot, task, attempt, why } => {
                 let attempt = TaskAttempt { task, attempt };
-                self.holder.close_asked(cx, from, &vm, boot, attempt, why);
+                self.holder.close_requested(cx, from, &vm, boot, attempt, why);
             }
             PeerMsg::EndedAck { vm, task, attempt } => {
                 self.holder.end_recorded(cx, &vm, TaskAttempt { task, attempt });
@@ -149,18 +150,18 @@
         }
     }
 
-    /// Looks for tasks to evict for an urgent one, on the VMs held here.
-    fn make_room(&mut self, candidate: &Candidate) -> Evicting {
+    /// Evicts tasks on the VMs held by this daemon to make room for an urgent one.
+    fn evict_for(&mut self, candidate: &Candidate) -> EvictionStarted {
         let cx = &mut self.cx;
         let held: Vec<VmId> = self.holder.held().cloned().collect();
         let residents: IndexMap<VmId, Vec<Resident>> =
             held.into_iter().map(|vm| (vm.clone(), self.holder.residents(cx, &vm))).collect();
-        let mut evicting = Evicting::No;
-        for _ in 0..EVICTIONS_MAX {
+        let mut started = EvictionStarted::No;
+        for _ in 0..MAX_EVICTIONS_PER_STEP {
             let Some(decided) = cx.policy.make_room(candidate, &residents, cx.now) else { break };
-            self.holder.relieve(cx, decided);
-            evicting = Evicting::Yes;
+            self.holder.apply_relief(cx, decided);
+            started = EvictionStarted::Yes;
         }
-        evicting
+        started
     }
 }
