--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -2,8 +2,8 @@
 //!
 //! Rendezvous hashing within the VM's failure domain selects the daemon that requests the lease;
 //! the VM's lease table is authoritative. Every operation that has an effect on a VM goes through
-//! [`Vm::active_lease`], which checks the lease's expiry against the clock. A daemon that was paused
-//! beyond the expiry thus can't act on a VM that another daemon holds.
+//! [`Vm::active_lease`], which checks the lease's expiry against the clock. Thus a daemon that was
+//! paused beyond the expiry can't act on a VM that another daemon holds.
 
 mod attempts;
 mod outbox;
--- a/src/core/holder/attempts.rs
+++ b/src/core/holder/attempts.rs
@@ -112,8 +112,8 @@
         slot.stage = Stage::Starting;
         table.insert(wanted, slot);
         self.views_changed = true;
-        // The attempt is bound to an earlier incarnation of the VM and may have run there, so a start
-        // now could be its second one. The close proves that it isn't running.
+        // The attempt is bound to an earlier incarnation of the VM and may have run there, so a
+        // start now could be its second one. The close proves that it isn't running.
         if boot != request.boot {
             self.close(cx, &request.vm, wanted, CloseReason::Lost);
         } else if !fits || leaving {
--- a/src/core/lease.rs
+++ b/src/core/lease.rs
@@ -5,8 +5,8 @@
 //! a message. This is the sender's side of Ma et al., "SafeTimer" (USENIX ATC 2018): the check is
 //! passive and is the last step before each message that has an effect. A holder that resumes after
 //! a pause reads the clock, finds that the lease has expired and sends nothing. A message delayed
-//! between that check and the send carries the lease's fencing [`Token`], which a VM rejects once it
-//! has granted a newer one.
+//! between that check and the send carries the lease's fencing [`Token`], which a VM rejects once
+//! it has granted a newer one.
 
 use crate::ids::Token;
 use std::time::Duration;
--- a/src/core/life.rs
+++ b/src/core/life.rs
@@ -1,8 +1,9 @@
-//! The writer's side: the life of the tasks whose partitions this daemon writes.
+//! Lifecycle of the tasks whose partitions this daemon writes.
 //!
-//! Rendezvous proposes a writer for each partition; the compare-and-swap on the partition's log
-//! is what keeps two writers apart. For a moment two daemons may believe that they write one: the
-//! commits of the one that lost come back as not written, and it drops the partition.
+//! Rendezvous hashing selects the preferred writer of each partition; the compare-and-swap on the
+//! partition's log ensures that only one daemon's commits succeed. Two daemons may briefly both
+//! consider themselves the writer. The commits of the superseded one are reported as not written,
+//! and it drops the partition.
 
 pub mod fleet;
 pub mod log;
@@ -23,82 +24,82 @@
 use indexmap::{IndexMap, IndexSet};
 use log::Pending;
 use losses::Losses;
-use partition::{Known, Partition};
+use partition::{Partition, Settled};
 use std::sync::Arc;
 use std::time::Duration;
-use steps::{About, Proof};
+use steps::{AttemptReport, Proof};
 use task::TaskChart;
 
-/// Least time between two rounds in which every waiting task is looked at again.
+/// Minimum time between two rounds that reconsider all waiting tasks.
 const UNBLOCK_PERIOD: Duration = Duration::from_millis(200);
 
-/// Time between two looks for holders that fell silent and VMs that are off the list.
-const LOOK_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between scans for silent holders and for VMs that are off the platform's list.
+const SCAN_PERIOD: Duration = Duration::from_secs(1);
 
-/// The partitions that this daemon writes or may come to write.
+/// All partitions, and this daemon's role in each.
 #[derive(Debug)]
 pub struct Writer {
     chart: Arc<TaskChart>,
     roles: IndexMap<PartitionId, Role>,
     losses: IndexMap<PartitionId, Losses>,
     fleet: Fleet,
-    /// Commits in flight of partitions that were dropped.
-    orphans: IndexMap<Ticket, Vec<Orphan>>,
+    /// In-flight commits of partitions that were dropped.
+    orphaned: IndexMap<Ticket, Vec<OrphanedRecord>>,
     room_changed: bool,
     next_unblock: Duration,
     listed: IndexSet<VmId>,
-    /// VMs with bound attempts that are off the list, and since when.
+    /// VMs with bound attempts that are off the list, with the time since when.
     unlisted: IndexMap<VmId, Duration>,
-    next_look: Duration,
-    /// Counts requests for room that isn't there.
-    turn: usize,
+    next_scan: Duration,
+    /// Number of eviction requests so far; rotates them among VMs.
+    eviction_requests: usize,
 }
 
-/// What this daemon is to a partition.
+/// Role of this daemon for a partition.
 #[derive(Debug)]
 enum Role {
-    /// Another daemon writes it; `since` is when this one was proposed, if it is.
+    /// Another daemon writes it; `since` is when this daemon became the preferred writer, if it is.
     Other {
         since: Option<Duration>,
     },
     /// Its log is being loaded.
     ///
-    /// Another load isn't asked for until this one is answered, even if another daemon is proposed
-    /// meanwhile: a second answer could overtake a commit, and a state without that commit's
-    /// records would be taken for what the log holds.
+    /// No other load is requested until this one completes, even if another daemon becomes the
+    /// preferred writer meanwhile. The response to a second load could overtake a commit, and a
+    /// state without that commit's records would be taken for the content of the log.
     Recovering,
     Writing {
         partition: Box<Partition>,
-        other_since: Option<Duration>,
+        other_preferred_since: Option<Duration>,
     },
 }
 
-/// A record in flight of a partition that was dropped.
+/// An in-flight record of a partition that was dropped.
 #[derive(Debug)]
-struct Orphan {
+struct OrphanedRecord {
     pending: Pending,
     state: Option<TaskState>,
 }
 
 impl Writer {
-    /// A writer of no partition.
+    /// Creates a writer without partitions; fails if the state chart is invalid.
     pub fn new() -> crate::chart::Result<Self> {
         Ok(Self {
             chart: Arc::new(task::load_chart()?),
             roles: IndexMap::new(),
             losses: IndexMap::new(),
             fleet: Fleet::default(),
-            orphans: IndexMap::new(),
+            orphaned: IndexMap::new(),
             room_changed: false,
             next_unblock: Duration::ZERO,
             listed: IndexSet::new(),
             unlisted: IndexMap::new(),
-            next_look: Duration::ZERO,
-            turn: 0,
+            next_scan: Duration::ZERO,
+            eviction_requests: 0,
         })
     }
 
-    /// The members changed.
+    /// Updates the roles after a change of members.
     pub fn members_changed(&mut self, cx: &mut Context) {
         self.fleet.expire(cx);
         for home in &cx.cfg.partitions {
@@ -108,32 +109,34 @@
                 Role::Other { since } if mine => *since = since.or(Some(cx.now)),
                 Role::Other { since } => *since = None,
                 Role::Recovering => {}
-                Role::Writing { partition, other_since } if mine => {
-                    if other_since.take().is_some() {
-                        partition.doubt();
+                Role::Writing { partition, other_preferred_since } if mine => {
+                    if other_preferred_since.take().is_some() {
+                        partition.mark_suspect();
                     }
                 }
-                Role::Writing { other_since, .. } => *other_since = other_since.or(Some(cx.now)),
+                Role::Writing { other_preferred_since, .. } => {
+                    *other_preferred_since = other_preferred_since.or(Some(cx.now))
+                }
             }
         }
     }
 
-    /// What is due: becoming a writer, repeating, dropping what another daemon writes.
+    /// Claims and hands over partitions, and retries unanswered messages, as they become due.
     pub fn tick(&mut self, cx: &mut Context) {
-        self.own(cx);
+        self.update_roles(cx);
         for role in self.roles.values_mut() {
             if let Role::Writing { partition, .. } = role {
                 partition.tick(cx, &self.fleet);
             }
         }
-        if cx.now >= self.next_look {
-            self.next_look = cx.now + LOOK_PERIOD;
+        if cx.now >= self.next_scan {
+            self.next_scan = cx.now + SCAN_PERIOD;
             self.fleet.expire(cx);
-            self.close_gone(cx);
+            self.close_removed_vms(cx);
         }
     }
 
-    fn own(&mut self, cx: &mut Context) {
+    fn update_roles(&mut self, cx: &mut Context) {
         let limits = cx.cfg.limits.clone();
         for (id, role) in &mut self.roles {
             match role {
@@ -143,15 +146,15 @@
                     *role = Role::Recovering;
                     cx.act(Action::Recover { partition: *id });
                 }
-                // Another daemon seems to have written meanwhile. With nothing to commit this one
-                // would never learn of it, and would leave that daemon's tasks without a writer.
+                // Another daemon seems to have written the partition. Without a commit this daemon
+                // would never notice, and that daemon's tasks would be left without a writer.
                 Role::Writing { partition, .. }
-                    if partition.is_doubted(cx.now, limits.store_backoff_max) =>
+                    if partition.needs_reload(cx.now, limits.store_backoff_max) =>
                 {
                     *role = Role::Recovering;
                     cx.act(Action::Recover { partition: *id });
                 }
-                Role::Writing { partition, other_since: Some(since) }
+                Role::Writing { partition, other_preferred_since: Some(since) }
                     if cx.now >= *since + limits.handover_after && partition.log.is_idle() =>
                 {
                     *role = Role::Other { since: None };
@@ -161,7 +164,7 @@
         }
     }
 
-    /// This daemon writes a partition from now on.
+    /// Becomes the writer of a partition whose log was loaded.
     pub fn recovered(
         &mut self,
         cx: &mut Context,
@@ -175,19 +178,20 @@
         }
         let partition = Partition::recovered(cx, id, self.chart.clone(), tasks, next_number);
         let mine = cx.members.writer_of(id) == Some(&cx.cfg.me);
-        let other_since = if mine { None } else { Some(cx.now) };
-        self.roles.insert(id, Role::Writing { partition: Box::new(partition), other_since });
+        let other_preferred_since = if mine { None } else { Some(cx.now) };
+        self.roles
+            .insert(id, Role::Writing { partition: Box::new(partition), other_preferred_since });
         self.room_changed = true;
     }
 
-    /// Another daemon writes the partition.
+    /// Drops a partition that another daemon writes.
     pub fn superseded(&mut self, cx: &mut Context, id: PartitionId) {
         if !matches!(self.roles.get(&id), Some(Role::Writing { .. })) {
             return;
         }
         let mine = cx.members.writer_of(id) == Some(&cx.cfg.me);
         let least = cx.cfg.limits.recover_after;
-        let wait = self.losses.entry(id).or_default().note(cx.now, least);
+        let wait = self.losses.entry(id).or_default().record(cx.now, least);
         let role = Role::Other { since: mine.then_some(cx.now + wait) };
         let Some(Role::Writing { partition, .. }) = self.roles.insert(id, role) else { return };
         let tasks = partition.tasks;
@@ -200,26 +204,26 @@
             let state = |pending: &Pending| {
                 tasks.get(&pending.record.task.number).map(|task| task.state.clone())
             };
-            let orphan = |pending: Pending| Orphan { state: state(&pending), pending };
-            self.orphans.insert(ticket, records.into_iter().map(orphan).collect());
+            let orphan = |pending: Pending| OrphanedRecord { state: state(&pending), pending };
+            self.orphaned.insert(ticket, records.into_iter().map(orphan).collect());
         }
     }
 
-    /// A commit is settled.
+    /// Handles the outcome of a commit.
     pub fn committed(&mut self, cx: &mut Context, ticket: Ticket, result: &CommitResult) {
         for role in self.roles.values_mut() {
             if let Role::Writing { partition, .. } = role
-                && partition.committed(cx, &self.fleet, ticket, result) == Known::Yes
+                && partition.committed(cx, &self.fleet, ticket, result) == Settled::Yes
             {
                 return;
             }
         }
-        for orphan in self.orphans.swap_remove(&ticket).into_iter().flatten() {
+        for orphan in self.orphaned.swap_remove(&ticket).into_iter().flatten() {
             orphan.settle(cx, result);
         }
     }
 
-    /// A caller submits a task.
+    /// Handles a caller's submission.
     pub fn submit(
         &mut self,
         cx: &mut Context,
@@ -230,69 +234,75 @@
     ) {
         match self.roles.get_mut(&id) {
             Some(Role::Writing { partition, .. }) => partition.submit(cx, ticket, key, spec),
-            _ => not_written_here(cx, ticket, id),
+            _ => reply_not_writer(cx, ticket, id),
         }
     }
 
-    /// A caller asks for a task's end.
+    /// Handles a caller's cancellation.
     pub fn cancel(&mut self, cx: &mut Context, ticket: Ticket, task: TaskId) {
         match self.roles.get_mut(&task.partition) {
             Some(Role::Writing { partition, .. }) => partition.cancel(cx, ticket, task.number),
-            _ => not_written_here(cx, ticket, task.partition),
+            _ => reply_not_writer(cx, ticket, task.partition),
         }
     }
 
-    /// A holder tells which VMs it holds.
+    /// Handles a holder's list of the VMs that it holds.
     pub fn views(&mut self, cx: &mut Context, from: &DaemonId, views: Vec<VmView>) {
-        let moved = self.fleet.told(cx, from, views);
+        let changed = self.fleet.update_views(cx, from, views);
         self.room_changed = true;
         for partition in self.partitions_mut() {
-            for vm in &moved {
-                partition.ask_again(cx, vm);
+            for vm in &changed {
+                partition.requery_bound(cx, vm);
             }
         }
     }
 
-    /// A configuration came into force: every waiting task is looked at again.
+    /// Schedules a round that reconsiders all waiting tasks, after a configuration change.
     pub fn room_may_have_changed(&mut self) {
         self.room_changed = true;
     }
 
-    /// A holder answers about an attempt.
+    /// Handles a holder's message about an attempt.
     pub fn answered(&mut self, cx: &mut Context, from: &DaemonId, msg: PeerMsg) {
         let from = from.clone();
         match msg {
             PeerMsg::Reserved { vm, boot, task, attempt } => {
-                let about = About { from, vm, task, attempt };
-                self.fleet.answered(&about.vm, &about.id());
-                self.with(cx, task, |partition, cx| partition.reserved(cx, &about, boot));
+                let report = AttemptReport { from, vm, task, attempt };
+                self.fleet.reservation_answered(&report.vm, &report.id());
+                self.with_partition(cx, task, |partition, cx| {
+                    partition.reserved(cx, &report, boot)
+                });
             }
             PeerMsg::Declined { vm, task, attempt, reason } => {
-                let about = About { from, vm, task, attempt };
-                self.fleet.answered(&about.vm, &about.id());
+                let report = AttemptReport { from, vm, task, attempt };
+                self.fleet.reservation_answered(&report.vm, &report.id());
                 if reason == crate::peer::Decline::NotHeld {
-                    self.fleet.not_held(cx, &about.vm, &about.from);
+                    self.fleet.not_held(cx, &report.vm, &report.from);
                 }
-                self.with(cx, task, |partition, cx| partition.declined(cx, &about, reason));
+                self.with_partition(cx, task, |partition, cx| {
+                    partition.declined(cx, &report, reason)
+                });
             }
             PeerMsg::Started { vm, task, attempt } => {
-                let about = About { from, vm, task, attempt };
-                self.with(cx, task, |partition, cx| partition.started(cx, &about));
+                let report = AttemptReport { from, vm, task, attempt };
+                self.with_partition(cx, task, |partition, cx| partition.started(cx, &report));
             }
             PeerMsg::Ended { vm, task, attempt, outcome } => {
-                let about = About { from, vm, task, attempt };
-                self.with(cx, task, |partition, cx| partition.ended(cx, &about, outcome));
+                let report = AttemptReport { from, vm, task, attempt };
+                self.with_partition(cx, task, |partition, cx| {
+                    partition.ended(cx, &report, outcome)
+                });
             }
             PeerMsg::Closed { vm, task, attempt, ended, checkpoint, started, why } => {
-                let about = About { from, vm, task, attempt };
+                let report = AttemptReport { from, vm, task, attempt };
                 let proof = Proof { ended, checkpoint, started, why };
-                self.with(cx, task, |partition, cx| partition.closed(cx, &about, proof));
+                self.with_partition(cx, task, |partition, cx| partition.closed(cx, &report, proof));
             }
             _ => cx.counters.stale += 1,
         }
     }
 
-    fn with(
+    fn with_partition(
         &mut self,
         cx: &mut Context,
         task: TaskId,
@@ -304,7 +314,7 @@
         }
     }
 
-    /// Places what waits, then begins the commits that are due.
+    /// Places waiting tasks, then starts the commits that are due; returns unplaced urgent tasks.
     pub fn advance(&mut self, cx: &mut Context) -> Vec<Candidate> {
         if self.room_changed && cx.now >= self.next_unblock {
             self.room_changed = false;
@@ -312,24 +322,27 @@
             self.partitions_mut().for_each(|partition| partition.waiting.unblock());
         }
         let mut budget = cx.cfg.limits.places_per_step;
-        let mut stuck = Vec::new();
+        let mut unplaced = Vec::new();
         for role in self.roles.values_mut() {
             if let Role::Writing { partition, .. } = role {
-                stuck.extend(partition.place(cx, &mut self.fleet, &mut budget));
+                unplaced.extend(partition.place(cx, &mut self.fleet, &mut budget));
                 let id = partition.id;
                 partition.log.flush(cx, id);
             }
         }
-        stuck
+        unplaced
     }
 
-    /// Asks a holder for room that it doesn't have, so that it makes some for an urgent task.
+    /// Sends a reservation to a holder without enough free resources, so that it evicts tasks for
+    /// an urgent one.
     ///
-    /// The task goes on waiting meanwhile: whatever VM first has room takes it.
-    pub fn ask_others(&mut self, cx: &mut Context, candidate: &Candidate) {
-        self.turn = self.turn.wrapping_add(1);
+    /// The task remains queued and is placed on the first VM that has room.
+    pub fn request_eviction(&mut self, cx: &mut Context, candidate: &Candidate) {
+        self.eviction_requests = self.eviction_requests.wrapping_add(1);
         let room = &candidate.spec.resources;
-        let Some(vm) = self.fleet.large_enough(room, &cx.cfg.me, self.turn).cloned() else {
+        let Some(vm) =
+            self.fleet.find_large_enough(room, &cx.cfg.me, self.eviction_requests).cloned()
+        else {
             return;
         };
         let Some(to) = self.fleet.holder(&vm).cloned() else { return };
@@ -337,16 +350,16 @@
         cx.send(&to, PeerMsg::Reserve { vm, task, attempt, spec: candidate.spec.clone() });
     }
 
-    /// Takes over the platform's list, to learn which VMs are gone for good.
+    /// Replaces the platform's list, which shows which VMs have been removed.
     ///
-    /// A list that names no VM at all says more about the list than about the VMs.
+    /// An empty list is ignored, as it more likely means a faulty list than that all VMs are gone.
     pub fn listed(&mut self, listed: &[ListedVm]) {
         if !listed.is_empty() {
             self.listed = listed.iter().map(|listed| listed.vm.clone()).collect();
         }
     }
 
-    fn note_unlisted(&mut self, cx: &Context) {
+    fn update_unlisted(&mut self, cx: &Context) {
         let mut unlisted = IndexMap::new();
         for vm in self.partitions().flat_map(Partition::bound_vms) {
             if !self.listed.contains(vm) {
@@ -357,24 +370,24 @@
         self.unlisted = unlisted;
     }
 
-    /// Takes the attempts on VMs that are gone for good as lost.
+    /// Closes the attempts on VMs that have been removed as lost.
     ///
-    /// A VM that is off the platform's list for `gone_after`, which covers the list's lag and the
-    /// task leases' time to live, and that no daemon holds, runs nothing any more.
-    fn close_gone(&mut self, cx: &mut Context) {
+    /// A VM runs nothing any more if no daemon holds it and it has been off the platform's list for
+    /// `gone_after`, which covers the list's delay and the TTL of the task leases.
+    fn close_removed_vms(&mut self, cx: &mut Context) {
         if self.listed.is_empty() {
             return;
         }
-        self.note_unlisted(cx);
+        self.update_unlisted(cx);
         let gone_after = cx.cfg.limits.gone_after;
-        let gone: Vec<VmId> = self
+        let removed: Vec<VmId> = self
             .unlisted
             .iter()
             .filter(|(_, since)| cx.now >= **since + gone_after)
             .filter(|(vm, _)| self.fleet.holder(vm).is_none())
             .map(|(vm, _)| vm.clone())
             .collect();
-        for vm in gone {
+        for vm in removed {
             cx.explain(Subject::Vm(vm.clone()), "gone: off the platform's list, held by nobody");
             self.close_all(cx, &vm);
         }
@@ -384,15 +397,15 @@
         let from = cx.cfg.me.clone();
         for partition in self.partitions_mut() {
             for TaskAttempt { task, attempt } in partition.bound_to(vm) {
-                let about = About { from: from.clone(), vm: vm.clone(), task, attempt };
+                let report = AttemptReport { from: from.clone(), vm: vm.clone(), task, attempt };
                 let why = CloseReason::Lost;
                 let proof = Proof { ended: None, checkpoint: None, started: true, why };
-                partition.closed(cx, &about, proof);
+                partition.closed(cx, &report, proof);
             }
         }
     }
 
-    /// Partitions written here.
+    /// Partitions written by this daemon.
     pub fn partitions(&self) -> impl Iterator<Item = &Partition> {
         self.roles.values().filter_map(|role| match role {
             Role::Writing { partition, .. } => Some(&**partition),
@@ -407,19 +420,19 @@
         })
     }
 
-    /// The partition, if it is written here.
+    /// Returns the partition if this daemon writes it.
     pub fn partition(&self, id: PartitionId) -> Option<&Partition> {
         self.partitions().find(|partition| partition.id == id)
     }
 
-    /// Who holds which VM.
+    /// The VMs reported by their holders.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 }
 
-impl Orphan {
-    /// Answers the callers with what became of the record.
+impl OrphanedRecord {
+    /// Replies to the callers with the outcome of the record.
     fn settle(self, cx: &mut Context, result: &CommitResult) {
         let tickets = self.pending.tickets;
         let record = self.pending.record;
@@ -440,7 +453,7 @@
     }
 }
 
-fn not_written_here(cx: &mut Context, ticket: Ticket, id: PartitionId) {
+fn reply_not_writer(cx: &mut Context, ticket: Ticket, id: PartitionId) {
     let reason = format!("partition {id} isn't written by this daemon now; ask again in a second");
     cx.reply(ticket, Answer::NotRun { reason });
 }
--- a/src/core/life/fleet.rs
+++ b/src/core/life/fleet.rs
@@ -1,4 +1,4 @@
-//! The VMs as their holders tell of them.
+//! State of the VMs as reported by their holders.
 
 use crate::core::context::Context;
 use crate::ids::{DaemonId, VmId};
@@ -8,37 +8,37 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// Who holds which VM, and the room there.
+/// The holder and the free resources of each VM.
 #[derive(Debug, Default)]
 pub struct Fleet {
     vms: IndexMap<VmId, KnownVm>,
 }
 
-/// A VM that a holder has told of.
+/// A VM that a holder has reported.
 #[derive(Debug)]
 struct KnownVm {
     holder: Option<DaemonId>,
     view: VmView,
-    /// Time of the last word of its holder.
-    seen: Duration,
-    /// Room asked for by this daemon and not answered yet.
-    asked: IndexMap<TaskAttempt, Asked>,
+    /// Time of the holder's last report.
+    last_report: Duration,
+    /// Reservations that this daemon requested and the holder hasn't answered.
+    requested: IndexMap<TaskAttempt, RequestedReservation>,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct RequestedReservation {
     room: Resources,
     until: Duration,
 }
 
 impl Fleet {
-    /// Daemon that last said that it holds the VM.
+    /// Daemon that last reported holding the VM.
     pub fn holder(&self, vm: &VmId) -> Option<&DaemonId> {
         self.vms.get(vm)?.holder.as_ref()
     }
 
-    /// A VM held by another daemon that is large enough; a different one each `turn`.
-    pub fn large_enough(&self, room: &Resources, me: &DaemonId, turn: usize) -> Option<&VmId> {
+    /// A large enough VM held by another daemon; `turn` selects a different one each time.
+    pub fn find_large_enough(&self, room: &Resources, me: &DaemonId, turn: usize) -> Option<&VmId> {
         let fits = |vm: &KnownVm| {
             let other = vm.holder.as_ref().is_some_and(|holder| holder != me);
             other && vm.view.health == VmHealth::Open && room.fits_in(&vm.view.size)
@@ -48,8 +48,13 @@
         found.nth(turn.checked_rem(count)?).map(|(id, _)| id)
     }
 
-    /// Takes over all that a holder tells; returns the VMs that changed hands.
-    pub fn told(&mut self, cx: &mut Context, from: &DaemonId, views: Vec<VmView>) -> Vec<VmId> {
+    /// Replaces all views of a holder; returns the VMs that changed holder.
+    pub fn update_views(
+        &mut self,
+        cx: &mut Context,
+        from: &DaemonId,
+        views: Vec<VmView>,
+    ) -> Vec<VmId> {
         for (id, vm) in &mut self.vms {
             let held = vm.holder.as_ref() == Some(from);
             if held && !views.iter().any(|view| view.vm == *id) {
@@ -63,31 +68,38 @@
             if self.holder(&id) != Some(from) {
                 moved.push(id.clone());
             }
-            let asked = self.vms.swap_remove(&id).map(|vm| vm.asked).unwrap_or_default();
-            let mut known = KnownVm { holder: Some(from.clone()), view, seen: cx.now, asked };
-            known.asked.retain(|_, asked| asked.until > cx.now);
-            cx.policy.upsert_vm(known.reduced());
+            let requested = self.vms.swap_remove(&id).map(|vm| vm.requested).unwrap_or_default();
+            let mut known =
+                KnownVm { holder: Some(from.clone()), view, last_report: cx.now, requested };
+            known.requested.retain(|_, requested| requested.until > cx.now);
+            cx.policy.upsert_vm(known.effective_view());
             self.vms.insert(id, known);
         }
         moved
     }
 
-    /// Room is asked for.
-    pub fn ask(&mut self, cx: &mut Context, id: &VmId, attempt: TaskAttempt, room: Resources) {
+    /// Notes that a reservation was requested.
+    pub fn reservation_requested(
+        &mut self,
+        cx: &mut Context,
+        id: &VmId,
+        attempt: TaskAttempt,
+        room: Resources,
+    ) {
         let until = cx.now + 2 * cx.cfg.limits.retry_period;
         let Some(vm) = self.vms.get_mut(id) else { return };
-        vm.asked.insert(attempt, Asked { room, until });
-        cx.policy.upsert_vm(vm.reduced());
+        vm.requested.insert(attempt, RequestedReservation { room, until });
+        cx.policy.upsert_vm(vm.effective_view());
     }
 
-    /// The holder kept the room, or declined. What it keeps shows in its next view.
-    pub fn answered(&mut self, id: &VmId, attempt: &TaskAttempt) {
+    /// Notes that the holder answered; a granted reservation shows in its next view.
+    pub fn reservation_answered(&mut self, id: &VmId, attempt: &TaskAttempt) {
         if let Some(vm) = self.vms.get_mut(id) {
-            vm.asked.swap_remove(attempt);
+            vm.requested.swap_remove(attempt);
         }
     }
 
-    /// The daemon doesn't hold the VM any more.
+    /// Notes that the daemon no longer holds the VM.
     pub fn not_held(&mut self, cx: &mut Context, id: &VmId, by: &DaemonId) {
         let Some(vm) = self.vms.get_mut(id) else { return };
         if vm.holder.as_ref() == Some(by) {
@@ -96,13 +108,13 @@
         }
     }
 
-    /// Forgets what daemons told that departed, or that fell silent for a lease's time.
+    /// Discards reports of daemons that left, or that were silent for the duration of a lease.
     ///
-    /// A view that was on its way when its sender died would otherwise name a holder for ever
-    /// that answers nothing.
+    /// Otherwise a view in transit when its sender failed would permanently name a holder that
+    /// doesn't answer.
     pub fn expire(&mut self, cx: &mut Context) {
         for (id, vm) in &mut self.vms {
-            let silent = cx.now >= vm.seen + cx.cfg.lease_ttl;
+            let silent = cx.now >= vm.last_report + cx.cfg.lease_ttl;
             if vm.holder.as_ref().is_some_and(|holder| silent || !cx.members.contains(holder)) {
                 vm.holder = None;
                 cx.policy.remove_vm(id);
@@ -112,10 +124,11 @@
 }
 
 impl KnownVm {
-    /// The view, less what is asked for and not in it yet.
-    fn reduced(&self) -> VmView {
-        let asked = self.asked.values();
-        let free = asked.fold(self.view.free, |free, asked| free.saturating_sub(&asked.room));
+    /// The view with requested reservations subtracted from the free resources.
+    fn effective_view(&self) -> VmView {
+        let requested = self.requested.values();
+        let free =
+            requested.fold(self.view.free, |free, requested| free.saturating_sub(&requested.room));
         VmView { free, ..self.view.clone() }
     }
 }
--- a/src/core/life/losses.rs
+++ b/src/core/life/losses.rs
@@ -1,34 +1,34 @@
-//! How soon a daemon claims a partition again that another one took from it.
+//! Backoff before a daemon reclaims a partition that another daemon took over.
 //!
-//! Two daemons that both reach the key-value service and don't hear of each other each think that
-//! they are proposed. Each claims the partition as soon as it has lost it, and each claim reads the
-//! whole log: without a growing wait the partition changes hands twice a second, and nothing but
-//! claims gets through. With it one of them writes for minutes at a time.
+//! Two daemons that can both reach the key-value service but not each other both consider
+//! themselves the preferred writer. Each reclaims the partition as soon as it loses it, and each
+//! claim reads the whole log. Without an increasing delay the partition changes writer twice a
+//! second and no other work gets through; with it one daemon writes for minutes at a time.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-const LONGEST_WAIT: Duration = Duration::from_secs(120);
-/// A partition kept for this long was not fought over.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(300);
+const MAX_DELAY: Duration = Duration::from_secs(120);
+/// Time without a loss after which the backoff is reset.
+const RESET_AFTER: Duration = Duration::from_secs(300);
 
-/// Losses of one partition, one soon after another.
+/// Recent losses of one partition.
 #[derive(Debug, Default)]
 pub struct Losses {
-    wait: Duration,
+    delay: Duration,
     last: Option<Duration>,
 }
 
 impl Losses {
-    /// Notes a loss, and returns the wait before the partition is claimed again. The first loss is
-    /// taken for a change of members that is over by then.
-    pub fn note(&mut self, now: Duration, least: Duration) -> Duration {
-        let fought = self.last.is_some_and(|last| now < last + FORGOTTEN_AFTER);
-        self.wait =
-            if fought { (self.wait * 2).max(least).min(LONGEST_WAIT) } else { Duration::ZERO };
+    /// Records a loss and returns the delay before the partition is reclaimed. The first loss has
+    /// no delay, as it is assumed to come from a change of members that has completed.
+    pub fn record(&mut self, now: Duration, min_delay: Duration) -> Duration {
+        let contested = self.last.is_some_and(|last| now < last + RESET_AFTER);
+        self.delay =
+            if contested { (self.delay * 2).max(min_delay).min(MAX_DELAY) } else { Duration::ZERO };
         self.last = Some(now);
-        self.wait
+        self.delay
     }
 }
--- a/src/core/life/partition.rs
+++ b/src/core/life/partition.rs
@@ -1,4 +1,4 @@
-//! One partition of the task log, as its writer keeps it.
+//! A partition of the task log, as managed by its writer.
 
 use super::fleet::Fleet;
 use super::log::{Ack, Log, Pending};
@@ -18,10 +18,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bound tasks whose holders are asked about them at once after a recovery or a hand-over.
-const ASKED_AT_ONCE: usize = 64;
+/// Number of bound tasks queried at once after a recovery or a change of holder.
+const QUERY_BATCH_SIZE: usize = 64;
 
-/// A partition that is written here.
+/// A partition that this daemon writes.
 #[derive(Debug)]
 pub struct Partition {
     pub(super) id: PartitionId,
@@ -31,20 +31,20 @@
     pub(super) waiting: Waiting,
     keys: IndexMap<IdempotencyKey, u64>,
     next_number: u64,
-    /// Every number below belongs to a task that was accepted durably, or to none ever.
+    /// Each lower number belongs to a durably accepted task, or will never belong to any task.
     pub(super) durable_below: u64,
     deadlines: BTreeSet<Deadline>,
     bound_on: IndexMap<VmId, BTreeSet<u64>>,
     ended: VecDeque<u64>,
     recovered_at: Duration,
-    standing: Standing,
+    freshness: Freshness,
 }
 
-/// Whether this daemon has reason to think that another one writes the partition.
+/// Whether another daemon may have written the partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    Sure,
-    Doubted,
+enum Freshness {
+    Current,
+    Suspect,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -54,7 +54,7 @@
 }
 
 impl Partition {
-    /// A partition as its log leaves it.
+    /// Creates a partition from the state in its log.
     pub fn recovered(
         cx: &mut Context,
         id: PartitionId,
@@ -75,15 +75,15 @@
             bound_on: IndexMap::new(),
             ended: VecDeque::new(),
             recovered_at: cx.now,
-            standing: Standing::Sure,
+            freshness: Freshness::Current,
         };
         for state in tasks {
-            partition.adopt(cx, state);
+            partition.insert_recovered(cx, state);
         }
         partition
     }
 
-    fn adopt(&mut self, cx: &mut Context, state: TaskState) {
+    fn insert_recovered(&mut self, cx: &mut Context, state: TaskState) {
         let number = state.id.number;
         self.keys.insert(state.key.clone(), number);
         self.next_number = self.next_number.max(number + 1);
@@ -92,35 +92,35 @@
         let (step, vm) = (task.step, task.vm.clone());
         self.tasks.insert(number, task);
         match step {
-            Step::Queued => self.queue(cx, number),
+            Step::Queued => self.enqueue(cx, number),
             Step::Ended => self.ended.push_back(number),
             _ => {
                 if let Some(vm) = vm {
                     self.bound_on.entry(vm).or_default().insert(number);
                 }
-                let turn = self.deadlines.len() / ASKED_AT_ONCE;
-                self.set_deadline(number, Some(cx.now + self.pace(cx, turn)));
+                let batch = self.deadlines.len() / QUERY_BATCH_SIZE;
+                self.set_deadline(number, Some(cx.now + self.batch_delay(cx, batch)));
             }
         }
     }
 
-    fn pace(&self, cx: &Context, turn: usize) -> Duration {
-        cx.cfg.limits.commit_interval * u32::try_from(turn).unwrap_or(u32::MAX)
+    fn batch_delay(&self, cx: &Context, batch: usize) -> Duration {
+        cx.cfg.limits.commit_interval * u32::try_from(batch).unwrap_or(u32::MAX)
     }
 
-    /// Another daemon may have written the partition since it was loaded.
-    pub fn doubt(&mut self) {
-        self.standing = Standing::Doubted;
+    /// Notes that another daemon may have written the partition since it was loaded.
+    pub fn mark_suspect(&mut self) {
+        self.freshness = Freshness::Suspect;
     }
 
-    /// Whether the log is to be loaded again, which is done when nothing is under way, and not
-    /// more often than every `period`.
-    pub fn is_doubted(&self, now: Duration, period: Duration) -> bool {
+    /// Whether the log must be reloaded, which happens only when no record is queued or in flight,
+    /// and at most once every `period`.
+    pub fn needs_reload(&self, now: Duration, period: Duration) -> bool {
         let due = now >= self.recovered_at + period;
-        due && self.standing == Standing::Doubted && self.log.is_idle()
+        due && self.freshness == Freshness::Suspect && self.log.is_idle()
     }
 
-    /// A caller submits a task.
+    /// Handles a caller's submission.
     pub fn submit(
         &mut self,
         cx: &mut Context,
@@ -131,7 +131,7 @@
         if let Some(number) = self.keys.get(&key).copied() {
             return self.submit_again(cx, ticket, number);
         }
-        if let Some(reason) = self.refusal(cx) {
+        if let Some(reason) = self.rejection_reason(cx) {
             return cx.reply(ticket, Answer::NotRun { reason });
         }
         let id = TaskId::new(self.id, self.next_number);
@@ -160,20 +160,20 @@
         }
     }
 
-    fn refusal(&self, cx: &Context) -> Option<String> {
+    fn rejection_reason(&self, cx: &Context) -> Option<String> {
         if cx.draining == Draining::Yes {
             return Some("this daemon stops; submit to another".to_owned());
         }
-        if let Some(trouble) = self.log.trouble(cx) {
+        if let Some(unavailable) = self.log.unavailable_reason(cx) {
             let wait = cx.cfg.limits.store_backoff_max.as_secs();
-            return Some(format!("{trouble}; submit again in {wait} s"));
+            return Some(format!("{unavailable}; submit again in {wait} s"));
         }
         let waiting = self.waiting.len() + self.log.len();
         (waiting >= cx.cfg.limits.waiting_max)
             .then(|| format!("{waiting} tasks wait already; submit again in a minute"))
     }
 
-    /// A caller asks for a task's end.
+    /// Handles a caller's cancellation.
     pub fn cancel(&mut self, cx: &mut Context, ticket: Ticket, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else {
             return cx.reply(ticket, Answer::NotFound);
@@ -181,8 +181,9 @@
         if task.state.ended() {
             return cx.reply(ticket, Answer::Cancelling { task: task.state.clone() });
         }
-        if let Some(trouble) = self.log.trouble(cx) {
-            let reason = format!("{trouble}; the cancellation is not recorded, ask again later");
+        if let Some(unavailable) = self.log.unavailable_reason(cx) {
+            let reason =
+                format!("{unavailable}; the cancellation is not recorded, ask again later");
             return cx.reply(ticket, Answer::NotRun { reason });
         }
         match task.step {
@@ -195,15 +196,15 @@
         }
     }
 
-    /// Takes a waiting task out of its line for a while.
-    pub(super) fn hold(&mut self, number: u64, until: Duration) {
+    /// Removes a waiting task from its queue until the given time.
+    pub(super) fn defer(&mut self, number: u64, until: Duration) {
         let Some(task) = self.tasks.get(&number) else { return };
         let spec = task.state.spec.clone();
         self.waiting.remove(&spec, number);
         self.set_deadline(number, Some(until));
     }
 
-    /// Ends a cancelled task that no VM was bound to.
+    /// Ends a cancelled task that isn't bound to a VM.
     fn end_unbound(&mut self, cx: &mut Context, number: u64, ticket: Option<Ticket>) {
         let Some(task) = self.fire(cx, number, TaskEvent::Cancelled) else { return };
         let (id, attempt, spec) = (task.state.id, task.state.attempt, task.state.spec.clone());
@@ -215,8 +216,8 @@
         self.log.push(pending);
     }
 
-    /// Puts a task in line for a VM, or ends it if its end was asked for.
-    fn queue(&mut self, cx: &mut Context, number: u64) {
+    /// Queues a task for a VM, or ends it if it was cancelled.
+    fn enqueue(&mut self, cx: &mut Context, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.vm = None;
         let spec = task.state.spec.clone();
@@ -226,15 +227,15 @@
         self.waiting.push(&spec, number);
     }
 
-    /// A commit is settled.
+    /// Handles the outcome of a commit.
     pub fn committed(
         &mut self,
         cx: &mut Context,
         fleet: &Fleet,
         ticket: Ticket,
         result: &CommitResult,
-    ) -> Known {
-        let Some(records) = self.log.settle(ticket) else { return Known::No };
+    ) -> Settled {
+        let Some(records) = self.log.settle(ticket) else { return Settled::No };
         match result {
             CommitResult::Durable => {
                 self.log.store_is_up();
@@ -247,7 +248,7 @@
                 self.not_written(cx, records, reason);
             }
         }
-        Known::Yes
+        Settled::Yes
     }
 
     fn durable(&mut self, cx: &mut Context, fleet: &Fleet, pending: Pending) {
@@ -266,18 +267,18 @@
             Change::Released { .. } => {
                 self.unbind(number);
                 if self.fire(cx, number, TaskEvent::Durable).is_some() {
-                    self.queue(cx, number);
+                    self.enqueue(cx, number);
                 }
             }
             Change::Ended { .. } => {
                 self.unbind(number);
                 self.fire(cx, number, TaskEvent::Durable);
-                self.remember_ended(cx, number);
+                self.retain_ended(cx, number);
                 answer_all(cx, &tickets, &Answer::Cancelling { task: state });
             }
             Change::CancelAsked => {
                 answer_all(cx, &tickets, &Answer::Cancelling { task: state });
-                self.act_on_cancel(cx, fleet, number);
+                self.apply_cancellation(cx, fleet, number);
             }
         }
     }
@@ -289,19 +290,19 @@
         self.durable_below = self.durable_below.max(number + 1);
         answer_all(cx, tickets, &Answer::Accepted { task: id, repeated: false });
         answer_all(cx, &repeats, &Answer::Accepted { task: id, repeated: true });
-        self.queue(cx, number);
+        self.enqueue(cx, number);
     }
 
     fn bound(&mut self, cx: &mut Context, fleet: &Fleet, number: u64, vm: VmId) {
         self.bound_on.entry(vm).or_default().insert(number);
         let Some(task) = self.fire(cx, number, TaskEvent::Durable) else { return };
         if task.state.cancel_asked {
-            return self.act_on_cancel(cx, fleet, number);
+            return self.apply_cancellation(cx, fleet, number);
         }
         self.send_start(cx, fleet, number);
     }
 
-    fn act_on_cancel(&mut self, cx: &mut Context, fleet: &Fleet, number: u64) {
+    fn apply_cancellation(&mut self, cx: &mut Context, fleet: &Fleet, number: u64) {
         let Some(task) = self.tasks.get(&number) else { return };
         match task.step {
             Step::Queued | Step::Reserving => self.end_unbound(cx, number, None),
@@ -325,7 +326,7 @@
         self.set_deadline(number, None);
     }
 
-    fn remember_ended(&mut self, cx: &Context, number: u64) {
+    fn retain_ended(&mut self, cx: &Context, number: u64) {
         self.ended.push_back(number);
         while self.ended.len() > cx.cfg.limits.ended_kept {
             let oldest = self.ended.pop_front().and_then(|number| self.tasks.remove(&number));
@@ -335,19 +336,19 @@
         }
     }
 
-    /// Nothing of a batch took effect.
+    /// Handles a batch that wasn't written.
     ///
-    /// Submissions and cancellations are given back to their callers; ends and releases rest on
-    /// proof that was already given, so they are kept until the store takes them.
+    /// Submissions and cancellations are rejected. Ends and releases are based on proof that was
+    /// already received, so they are retained until the store writes them.
     fn not_written(&mut self, cx: &mut Context, records: Vec<Pending>, reason: &str) {
         let mut kept = Vec::new();
         for pending in records {
             let number = pending.record.task.number;
             match &pending.record.change {
-                Change::Accepted { .. } => self.refuse(cx, &pending, reason),
+                Change::Accepted { .. } => self.reject(cx, &pending, reason),
                 Change::Bound { .. } => {
                     if self.fire(cx, number, TaskEvent::NotWritten).is_some() {
-                        self.queue(cx, number);
+                        self.enqueue(cx, number);
                     }
                 }
                 Change::CancelAsked => {
@@ -356,26 +357,26 @@
                     }
                     not_run(cx, &pending.tickets, reason);
                 }
-                Change::Ended { .. } if self.may_give_back(number) => {
+                Change::Ended { .. } if self.is_queued_cancellation(number) => {
                     not_run(cx, &pending.tickets, reason);
                     if self.fire(cx, number, TaskEvent::NotWritten).is_some() {
-                        self.queue(cx, number);
+                        self.enqueue(cx, number);
                     }
                 }
                 Change::Released { .. } | Change::Ended { .. } => kept.push(pending),
             }
         }
-        self.log.put_back(kept);
+        self.log.requeue(kept);
     }
 
-    /// Whether an end in flight is the cancellation of a queued task, and only that.
-    fn may_give_back(&self, number: u64) -> bool {
+    /// Whether an in-flight end is only the cancellation of a queued task, which can be rejected.
+    fn is_queued_cancellation(&self, number: u64) -> bool {
         let state = self.tasks.get(&number).map(|task| &task.state);
         state.is_some_and(|state| state.phase == Phase::Waiting && !state.cancel_asked)
     }
 
-    /// Gives a submission back that surely isn't recorded.
-    fn refuse(&mut self, cx: &mut Context, pending: &Pending, reason: &str) {
+    /// Rejects a submission that is known not to be recorded.
+    fn reject(&mut self, cx: &mut Context, pending: &Pending, reason: &str) {
         let number = pending.record.task.number;
         let Some(task) = self.fire(cx, number, TaskEvent::NotWritten) else { return };
         let repeats = std::mem::take(&mut task.repeats);
@@ -384,27 +385,27 @@
         not_run(cx, &repeats, reason);
         self.keys.swap_remove(&key);
         self.tasks.remove(&number);
-        for orphan in self.log.take_of(number) {
-            answer_all(cx, &orphan.tickets, &Answer::NotFound);
+        for pending in self.log.take_task_records(number) {
+            answer_all(cx, &pending.tickets, &Answer::NotFound);
         }
     }
 
-    /// What is due: refusing overdue submissions, repeating, committing.
+    /// Rejects overdue submissions and handles expired deadlines.
     pub fn tick(&mut self, cx: &mut Context, fleet: &Fleet) {
         for pending in self.log.take_overdue(cx) {
-            self.refuse(cx, &pending, "the key-value service doesn't answer; submit again later");
+            self.reject(cx, &pending, "the key-value service doesn't answer; submit again later");
         }
         while let Some(due) = self.deadlines.first().copied().filter(|due| due.at <= cx.now) {
             self.set_deadline(due.number, None);
-            self.overdue(cx, fleet, due.number);
+            self.handle_deadline(cx, fleet, due.number);
         }
     }
 
-    fn overdue(&mut self, cx: &mut Context, fleet: &Fleet, number: u64) {
+    fn handle_deadline(&mut self, cx: &mut Context, fleet: &Fleet, number: u64) {
         let Some(task) = self.tasks.get(&number) else { return };
         match task.step {
-            Step::Queued => self.queue(cx, number),
-            Step::Reserving => self.give_up_reserving(cx, number),
+            Step::Queued => self.enqueue(cx, number),
+            Step::Reserving => self.abandon_reservation(cx, number),
             Step::Starting if task.state.cancel_asked => {
                 self.start_close(cx, fleet, number, CloseReason::Cancelled);
             }
@@ -414,18 +415,18 @@
         }
     }
 
-    /// The room was declined or not answered for: another VM is chosen.
-    pub(super) fn give_up_reserving(&mut self, cx: &mut Context, number: u64) {
+    /// Requeues a task whose reservation was declined or not answered.
+    pub(super) fn abandon_reservation(&mut self, cx: &mut Context, number: u64) {
         let now = cx.now;
         let Some(task) = self.fire(cx, number, TaskEvent::Declined) else { return };
         if let Some(vm) = task.vm.take() {
             task.avoid(vm, now);
         }
         self.set_deadline(number, None);
-        self.queue(cx, number);
+        self.enqueue(cx, number);
     }
 
-    /// Asks the holder to start the attempt, or to confirm that it runs.
+    /// Asks the holder to start the attempt, or to confirm that it is running.
     pub(super) fn send_start(&mut self, cx: &mut Context, fleet: &Fleet, number: u64) {
         self.set_deadline(number, Some(cx.now + cx.cfg.limits.retry_period));
         let Some(task) = self.tasks.get_mut(&number) else { return };
@@ -443,7 +444,7 @@
         cx.send(&to, msg);
     }
 
-    /// Asks for the attempt's end and for proof of it.
+    /// Asks the holder to close the attempt and to prove that it doesn't run.
     pub(super) fn start_close(
         &mut self,
         cx: &mut Context,
@@ -452,7 +453,7 @@
         why: CloseReason,
     ) {
         let Some(task) = self.fire(cx, number, TaskEvent::Close) else { return };
-        task.why = why;
+        task.close_reason = why;
         let id = task.state.id;
         cx.explain(Subject::Task(id), format!("asked to close attempt ({why:?})"));
         self.send_close(cx, fleet, number);
@@ -466,25 +467,25 @@
         task.holder = Some(to.clone());
         let (id, attempt) = (task.state.id, task.state.attempt);
         let boot = task.boot();
-        cx.send(&to, PeerMsg::Close { vm, boot, task: id, attempt, why: task.why });
+        cx.send(&to, PeerMsg::Close { vm, boot, task: id, attempt, why: task.close_reason });
     }
 
-    /// A VM changed hands: its new holder is asked about every attempt bound there.
-    pub fn ask_again(&mut self, cx: &mut Context, vm: &VmId) {
+    /// Queries the new holder of a VM about all attempts bound to the VM.
+    pub fn requery_bound(&mut self, cx: &mut Context, vm: &VmId) {
         let numbers: Vec<u64> = self.bound_on.get(vm).into_iter().flatten().copied().collect();
-        for (turn, number) in numbers.into_iter().enumerate() {
+        for (index, number) in numbers.into_iter().enumerate() {
             let step = self.tasks.get(&number).map(|task| task.step);
             if step == Some(Step::Running) {
                 self.fire(cx, number, TaskEvent::Declined);
             }
             if matches!(step, Some(Step::Running | Step::Starting | Step::Closing)) {
-                let wait = self.pace(cx, turn / ASKED_AT_ONCE);
+                let wait = self.batch_delay(cx, index / QUERY_BATCH_SIZE);
                 self.set_deadline(number, Some(cx.now + wait));
             }
         }
     }
 
-    /// The partition in figures.
+    /// Summary of the partition.
     pub fn summary(&self) -> PartitionSummary {
         PartitionSummary {
             id: self.id,
@@ -494,39 +495,39 @@
         }
     }
 
-    /// All tasks, as their durable records leave them.
+    /// Durable states of all accepted tasks.
     pub fn states(&self) -> impl Iterator<Item = &TaskState> {
         self.tasks.values().filter(|task| task.step != Step::Submitting).map(|task| &task.state)
     }
 
-    /// A task.
+    /// Returns a task.
     pub fn get(&self, number: u64) -> Option<&Task> {
         self.tasks.get(&number)
     }
 
-    /// Waiting tasks of each class.
+    /// Number of waiting tasks by class and shape.
     pub fn queues(&self) -> impl Iterator<Item = (&ClassName, usize)> {
         self.waiting.by_class()
     }
 
-    /// What waiting tasks like this one wait for.
+    /// Reason why tasks of this shape are waiting.
     pub fn waiting_reason(&self, spec: &TaskSpec) -> Option<&str> {
         self.waiting.reason(spec)
     }
 
-    /// VMs that attempts are bound to.
+    /// VMs with bound attempts.
     pub fn bound_vms(&self) -> impl Iterator<Item = &VmId> {
         self.bound_on.keys()
     }
 
-    /// Tasks bound to a VM.
+    /// Attempts bound to a VM.
     pub fn bound_to(&self, vm: &VmId) -> Vec<TaskAttempt> {
         let numbers = self.bound_on.get(vm).into_iter().flatten();
         let states = numbers.filter_map(|number| self.tasks.get(number)).map(|task| &task.state);
         states.map(|state| TaskAttempt { task: state.id, attempt: state.attempt }).collect()
     }
 
-    /// Moves a task on; `None` if there is none, or its chart doesn't have the event there.
+    /// Applies an event to a task; `None` if it is unknown or the event is undeclared in its step.
     pub(super) fn fire(
         &mut self,
         cx: &mut Context,
@@ -548,21 +549,21 @@
     }
 }
 
-/// Whether a ticket belongs to a partition's commit.
+/// Whether a ticket settled a commit of the partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum Settled {
     Yes,
     No,
 }
 
-/// Gives callers the same answer.
+/// Sends the same reply to several callers.
 pub(super) fn answer_all(cx: &mut Context, tickets: &[Ticket], answer: &Answer) {
     for ticket in tickets {
         cx.reply(*ticket, answer.clone());
     }
 }
 
-/// Tells callers that nothing was recorded.
+/// Replies to callers that nothing was recorded.
 pub(super) fn not_run(cx: &mut Context, tickets: &[Ticket], reason: &str) {
     answer_all(cx, tickets, &Answer::NotRun { reason: reason.to_owned() });
 }
--- a/src/core/life/steps.rs
+++ b/src/core/life/steps.rs
@@ -1,7 +1,7 @@
-//! Placing tasks, and what holders answer.
+//! Task placement, and the handling of holders' responses.
 //!
-//! A message about an attempt counts only if it is the task's present attempt on its present VM;
-//! anything older has been overtaken by a durable record and has no effect.
+//! A message about an attempt takes effect only if it concerns the task's current attempt on its
+//! current VM; anything older has been superseded by a durable record.
 
 use super::fleet::Fleet;
 use super::log::{Ack, Pending};
@@ -18,19 +18,19 @@
 use crate::worker::TaskAttempt;
 use std::time::Duration;
 
-/// Longest time that tasks of a shape aren't looked at after the policy said to wait.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Maximum time for which tasks aren't reconsidered after the policy decided to wait.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An attempt that a message is about, and who sent it.
+/// The attempt that a holder's message concerns, and the sender.
 #[derive(Clone, Debug)]
-pub struct About {
+pub struct AttemptReport {
     pub from: DaemonId,
     pub vm: VmId,
     pub task: TaskId,
     pub attempt: Attempt,
 }
 
-/// Proof that an attempt doesn't run and won't.
+/// Proof that an attempt doesn't run and won't run.
 #[derive(Clone, Debug)]
 pub struct Proof {
     pub ended: Option<Outcome>,
@@ -40,56 +40,56 @@
     pub why: CloseReason,
 }
 
-/// What a message about an attempt means.
+/// Relation of a holder's message to the task's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    /// The task's present attempt, bound durably.
-    Present,
-    /// Settled by a durable record.
+enum ReportStatus {
+    /// The task's current attempt, durably bound.
+    Current,
+    /// An attempt settled by a durable record.
     Settled,
-    /// Being settled here.
-    Open,
-    /// Further on than anything that is durable here: another daemon has written it.
+    /// An attempt whose next record isn't durable yet.
+    Settling,
+    /// An attempt or task later than any in this daemon's state: another daemon has written it.
     Ahead,
 }
 
-impl About {
-    /// The attempt.
+impl AttemptReport {
+    /// The attempt that the message concerns.
     pub fn id(&self) -> TaskAttempt {
         TaskAttempt { task: self.task, attempt: self.attempt }
     }
 }
 
 impl Partition {
-    /// Places waiting tasks while the budget lasts; returns urgent ones that found no room.
+    /// Places waiting tasks within the budget; returns urgent ones that couldn't be placed.
     pub fn place(
         &mut self,
         cx: &mut Context,
         fleet: &mut Fleet,
         budget: &mut usize,
     ) -> Vec<Candidate> {
-        let mut stuck = Vec::new();
-        if cx.draining == Draining::Yes || self.log.trouble(cx).is_some() {
-            return stuck;
+        let mut unplaced = Vec::new();
+        if cx.draining == Draining::Yes || self.log.unavailable_reason(cx).is_some() {
+            return unplaced;
         }
-        for shape in self.in_turn(cx) {
+        for shape in self.shapes_by_rank(cx) {
             while let Some(number) = self.waiting.first(&shape) {
                 if *budget == 0 {
-                    return stuck;
+                    return unplaced;
                 }
                 *budget -= 1;
                 if let Placed::No(candidate) = self.place_one(cx, fleet, number, &shape) {
-                    stuck.extend(Some(candidate).filter(|c| c.spec.urgency == Urgency::Urgent));
+                    unplaced.extend(Some(candidate).filter(|c| c.spec.urgency == Urgency::Urgent));
                     break;
                 }
             }
         }
-        stuck
+        unplaced
     }
 
-    /// Shapes to ask the policy about, by the rank of their first tasks.
-    fn in_turn(&self, cx: &Context) -> Vec<Shape> {
-        let mut shapes = self.waiting.askable(cx.now);
+    /// Unblocked shapes, ordered by the rank of their first tasks.
+    fn shapes_by_rank(&self, cx: &Context) -> Vec<Shape> {
+        let mut shapes = self.waiting.unblocked(cx.now);
         shapes.sort_by_cached_key(|shape| {
             let first = self.waiting.first(shape).and_then(|number| self.tasks.get(&number));
             first.map(|task| cx.policy.rank(&candidate(task, cx.now)))
@@ -104,22 +104,22 @@
         number: u64,
         shape: &Shape,
     ) -> Placed {
-        let Some(task) = self.tasks.get(&number) else { return Placed::Passed };
+        let Some(task) = self.tasks.get(&number) else { return Placed::Dequeued };
         let wanted = candidate(task, cx.now);
         let decided = cx.policy.choose(&wanted, cx.now);
         match decided.choice {
             Choice::Place { vm } => {
                 cx.act(Action::Explain(decided.record));
-                self.ask_for_room(cx, fleet, number, vm);
-                Placed::Passed
+                self.request_reservation(cx, fleet, number, vm);
+                Placed::Dequeued
             }
-            // Another task of the shape may go where this one doesn't want to.
+            // Another task of the shape may be placed on a VM that this one avoids.
             Choice::Wait { .. } if !wanted.avoid.is_empty() => {
-                self.hold(number, cx.now + ASK_AGAIN);
-                Placed::Passed
+                self.defer(number, cx.now + RETRY_DELAY);
+                Placed::Dequeued
             }
             Choice::Wait { reason } | Choice::Never { reason, .. } => {
-                if self.waiting.block(shape, cx.now + ASK_AGAIN, &reason) {
+                if self.waiting.block(shape, cx.now + RETRY_DELAY, &reason) {
                     cx.act(Action::Explain(decided.record));
                 }
                 Placed::No(wanted)
@@ -127,22 +127,22 @@
         }
     }
 
-    fn ask_for_room(&mut self, cx: &mut Context, fleet: &mut Fleet, number: u64, vm: VmId) {
+    fn request_reservation(&mut self, cx: &mut Context, fleet: &mut Fleet, number: u64, vm: VmId) {
         let Some(task) = self.fire(cx, number, TaskEvent::Chosen) else { return };
         task.vm = Some(vm.clone());
         let (id, attempt, spec) = (task.state.id, task.attempt(), task.state.spec.clone());
         self.waiting.remove(&spec, number);
         self.set_deadline(number, Some(cx.now + cx.cfg.limits.retry_period));
-        fleet.ask(cx, &vm, TaskAttempt { task: id, attempt }, spec.resources);
+        fleet.reservation_requested(cx, &vm, TaskAttempt { task: id, attempt }, spec.resources);
         if let Some(to) = fleet.holder(&vm).cloned() {
             cx.send(&to, PeerMsg::Reserve { vm, task: id, attempt, spec });
         }
     }
 
-    /// The holder keeps the room: the binding is written before any start is sent.
-    pub fn reserved(&mut self, cx: &mut Context, about: &About, boot: BootId) {
-        let number = about.task.number;
-        if !self.is_asking(about) {
+    /// Handles a granted reservation: the binding is made durable before a start is sent.
+    pub fn reserved(&mut self, cx: &mut Context, report: &AttemptReport, boot: BootId) {
+        let number = report.task.number;
+        if !self.is_reserving(report) {
             cx.counters.stale += 1;
             return;
         }
@@ -150,162 +150,163 @@
             return;
         }
         self.set_deadline(number, None);
-        let change = Change::Bound { vm: about.vm.clone(), boot, attempt: about.attempt };
-        self.log.push(Pending::new(Record { task: about.task, change }));
+        let change = Change::Bound { vm: report.vm.clone(), boot, attempt: report.attempt };
+        self.log.push(Pending::new(Record { task: report.task, change }));
     }
 
-    /// The holder has no room, or doesn't hold the VM.
-    pub fn declined(&mut self, cx: &mut Context, about: &About, reason: Decline) {
-        if self.is_asking(about) {
-            cx.explain(Subject::Task(about.task), format!("{} declined: {reason:?}", about.vm));
-            return self.give_up_reserving(cx, about.task.number);
+    /// Handles a declined reservation.
+    pub fn declined(&mut self, cx: &mut Context, report: &AttemptReport, reason: Decline) {
+        if self.is_reserving(report) {
+            cx.explain(Subject::Task(report.task), format!("{} declined: {reason:?}", report.vm));
+            return self.abandon_reservation(cx, report.task.number);
         }
         cx.counters.stale += 1;
     }
 
-    fn is_asking(&self, about: &About) -> bool {
-        self.tasks.get(&about.task.number).is_some_and(|task| {
+    fn is_reserving(&self, report: &AttemptReport) -> bool {
+        self.tasks.get(&report.task.number).is_some_and(|task| {
             task.step == Step::Reserving
-                && task.vm.as_ref() == Some(&about.vm)
-                && task.attempt() == about.attempt
+                && task.vm.as_ref() == Some(&report.vm)
+                && task.attempt() == report.attempt
         })
     }
 
-    /// The attempt runs.
-    pub fn started(&mut self, cx: &mut Context, about: &About) {
-        let step = self.tasks.get(&about.task.number).map(|task| task.step);
-        if self.standing(about) != Standing::Present || step != Some(Step::Starting) {
+    /// Handles the report that an attempt is running.
+    pub fn started(&mut self, cx: &mut Context, report: &AttemptReport) {
+        let step = self.tasks.get(&report.task.number).map(|task| task.step);
+        if self.report_status(report) != ReportStatus::Current || step != Some(Step::Starting) {
             cx.counters.stale += 1;
             return;
         }
-        self.set_deadline(about.task.number, None);
-        self.fire(cx, about.task.number, TaskEvent::Started);
+        self.set_deadline(report.task.number, None);
+        self.fire(cx, report.task.number, TaskEvent::Started);
     }
 
-    /// The attempt ended by itself.
-    pub fn ended(&mut self, cx: &mut Context, about: &About, outcome: Outcome) {
-        match self.standing(about) {
-            Standing::Present => self.settle_end(cx, about, outcome, None),
-            Standing::Settled => acknowledge(cx, about),
-            Standing::Open => cx.counters.stale += 1,
-            Standing::Ahead => self.doubt(),
+    /// Handles the report that an attempt ended by itself.
+    pub fn ended(&mut self, cx: &mut Context, report: &AttemptReport, outcome: Outcome) {
+        match self.report_status(report) {
+            ReportStatus::Current => self.settle_end(cx, report, outcome, None),
+            ReportStatus::Settled => acknowledge(cx, report),
+            ReportStatus::Settling => cx.counters.stale += 1,
+            ReportStatus::Ahead => self.mark_suspect(),
         }
     }
 
-    /// The attempt doesn't run and won't.
-    pub fn closed(&mut self, cx: &mut Context, about: &About, proof: Proof) {
-        match self.standing(about) {
-            Standing::Present => self.settle_close(cx, about, proof),
-            Standing::Settled => acknowledge(cx, about),
-            Standing::Open => cx.counters.stale += 1,
-            Standing::Ahead => self.doubt(),
+    /// Handles the proof that an attempt doesn't run and won't run.
+    pub fn closed(&mut self, cx: &mut Context, report: &AttemptReport, proof: Proof) {
+        match self.report_status(report) {
+            ReportStatus::Current => self.settle_close(cx, report, proof),
+            ReportStatus::Settled => acknowledge(cx, report),
+            ReportStatus::Settling => cx.counters.stale += 1,
+            ReportStatus::Ahead => self.mark_suspect(),
         }
     }
 
-    fn settle_close(&mut self, cx: &mut Context, about: &About, proof: Proof) {
+    fn settle_close(&mut self, cx: &mut Context, report: &AttemptReport, proof: Proof) {
         if let Some(outcome) = proof.ended {
-            return self.settle_end(cx, about, outcome, proof.checkpoint);
+            return self.settle_end(cx, report, outcome, proof.checkpoint);
         }
-        let Some(task) = self.tasks.get(&about.task.number) else { return };
-        let once = task.state.spec.idempotency == Idempotency::NonIdempotent;
+        let Some(task) = self.tasks.get(&report.task.number) else { return };
+        let non_idempotent = task.state.spec.idempotency == Idempotency::NonIdempotent;
         if task.cancel_asked {
-            return self.end(cx, about, Outcome::Cancelled);
+            return self.end(cx, report, Outcome::Cancelled);
         }
-        if once && proof.started {
+        if non_idempotent && proof.started {
             let reason =
-                format!("it may have run on {} ({:?}); not run again", about.vm, proof.why);
-            return self.end(cx, about, Outcome::Unknown { reason });
+                format!("it may have run on {} ({:?}); not run again", report.vm, proof.why);
+            return self.end(cx, report, Outcome::Unknown { reason });
         }
-        self.release(cx, about, proof.checkpoint, Failure::No, proof.why);
+        self.release(cx, report, proof.checkpoint, Failure::No, proof.why);
     }
 
     fn settle_end(
         &mut self,
         cx: &mut Context,
-        about: &About,
+        report: &AttemptReport,
         outcome: Outcome,
         checkpoint: Option<CheckpointId>,
     ) {
-        let Some(task) = self.tasks.get(&about.task.number) else { return };
-        let again = may_run_again(task);
+        let Some(task) = self.tasks.get(&report.task.number) else { return };
+        let retryable = is_retryable(task);
         match outcome {
-            Outcome::Failed { .. } | Outcome::Unknown { .. } if again => {
-                self.release(cx, about, checkpoint, Failure::Yes, CloseReason::Lost);
+            Outcome::Failed { .. } | Outcome::Unknown { .. } if retryable => {
+                self.release(cx, report, checkpoint, Failure::Yes, CloseReason::Lost);
             }
             Outcome::Cancelled if !task.cancel_asked => {
                 let reason = "stopped on the VM without a cancellation".to_owned();
-                self.settle_end(cx, about, Outcome::Failed { reason }, checkpoint);
+                self.settle_end(cx, report, Outcome::Failed { reason }, checkpoint);
             }
-            outcome => self.end(cx, about, outcome),
+            outcome => self.end(cx, report, outcome),
         }
     }
 
-    fn end(&mut self, cx: &mut Context, about: &About, outcome: Outcome) {
-        if self.fire(cx, about.task.number, TaskEvent::EndReported).is_none() {
+    fn end(&mut self, cx: &mut Context, report: &AttemptReport, outcome: Outcome) {
+        if self.fire(cx, report.task.number, TaskEvent::EndReported).is_none() {
             return;
         }
-        cx.explain(Subject::Task(about.task), format!("ended on {}: {outcome:?}", about.vm));
-        let change = Change::Ended { attempt: about.attempt, outcome };
-        self.settle(about, change);
+        cx.explain(Subject::Task(report.task), format!("ended on {}: {outcome:?}", report.vm));
+        let change = Change::Ended { attempt: report.attempt, outcome };
+        self.settle(report, change);
     }
 
     fn release(
         &mut self,
         cx: &mut Context,
-        about: &About,
+        report: &AttemptReport,
         checkpoint: Option<CheckpointId>,
         failure: Failure,
         why: CloseReason,
     ) {
-        let Some(task) = self.fire(cx, about.task.number, TaskEvent::Closed) else { return };
-        task.avoid(about.vm.clone(), cx.now);
+        let Some(task) = self.fire(cx, report.task.number, TaskEvent::Closed) else { return };
+        task.avoid(report.vm.clone(), cx.now);
         cx.explain(
-            Subject::Task(about.task),
-            format!("released from {} ({why:?}), to run again elsewhere", about.vm),
+            Subject::Task(report.task),
+            format!("released from {} ({why:?}), to run again elsewhere", report.vm),
         );
         let failed = failure == Failure::Yes;
-        let change = Change::Released { attempt: about.attempt, checkpoint, failed };
-        self.settle(about, change);
+        let change = Change::Released { attempt: report.attempt, checkpoint, failed };
+        self.settle(report, change);
     }
 
-    fn settle(&mut self, about: &About, change: Change) {
-        self.set_deadline(about.task.number, None);
-        let ack = Ack { to: about.from.clone(), vm: about.vm.clone(), attempt: about.attempt };
-        let record = Record { task: about.task, change };
+    fn settle(&mut self, report: &AttemptReport, change: Change) {
+        self.set_deadline(report.task.number, None);
+        let ack = Ack { to: report.from.clone(), vm: report.vm.clone(), attempt: report.attempt };
+        let record = Record { task: report.task, change };
         self.log.push(Pending::new(record).with_ack(ack));
     }
 
-    fn standing(&self, about: &About) -> Standing {
-        let Some(task) = self.tasks.get(&about.task.number) else {
-            // A task below that is unknown ended long ago. Above it, a number may be one that
-            // this daemon gave out in vain while another daemon's task has it: acknowledging that
-            // one's end would make its VM forget it unrecorded, and the task would run again.
-            let ended = about.task.number < self.durable_below;
-            return if ended { Standing::Settled } else { Standing::Ahead };
+    fn report_status(&self, report: &AttemptReport) -> ReportStatus {
+        let Some(task) = self.tasks.get(&report.task.number) else {
+            // An unknown task below `durable_below` ended long ago. A higher number may have been
+            // assigned here to a rejected submission while another daemon's task has it.
+            // Acknowledging that task's end would make its VM discard an end that isn't recorded,
+            // and the task would run again.
+            let ended = report.task.number < self.durable_below;
+            return if ended { ReportStatus::Settled } else { ReportStatus::Ahead };
         };
         let state = &task.state;
-        if about.attempt < state.attempt || state.ended() {
-            return Standing::Settled;
+        if report.attempt < state.attempt || state.ended() {
+            return ReportStatus::Settled;
         }
-        if about.attempt > state.attempt {
-            return Standing::Ahead;
+        if report.attempt > state.attempt {
+            return ReportStatus::Ahead;
         }
         match (&state.phase, task.step) {
-            (Phase::Waiting, _) => Standing::Settled,
+            (Phase::Waiting, _) => ReportStatus::Settled,
             (Phase::Bound { vm }, Step::Starting | Step::Running | Step::Closing)
-                if *vm == about.vm =>
+                if *vm == report.vm =>
             {
-                Standing::Present
+                ReportStatus::Current
             }
-            _ => Standing::Open,
+            _ => ReportStatus::Settling,
         }
     }
 }
 
-/// How a placement went.
+/// Outcome of a placement.
 enum Placed {
-    /// The task no longer stands first in its line.
-    Passed,
+    /// The task is no longer first in its queue.
+    Dequeued,
     No(Candidate),
 }
 
@@ -315,27 +316,27 @@
     No,
 }
 
-/// Whether another attempt may follow one that failed.
-fn may_run_again(task: &Task) -> bool {
+/// Whether the task may be attempted again after a failure.
+fn is_retryable(task: &Task) -> bool {
     let state = &task.state;
     state.spec.idempotency == Idempotency::Idempotent
         && !task.cancel_asked
         && state.failures + 1 < state.spec.max_failures
 }
 
-fn acknowledge(cx: &mut Context, about: &About) {
-    let About { from, vm, task, attempt } = about;
+fn acknowledge(cx: &mut Context, report: &AttemptReport) {
+    let AttemptReport { from, vm, task, attempt } = report;
     cx.counters.stale += 1;
     cx.send(from, PeerMsg::EndedAck { vm: vm.clone(), task: *task, attempt: *attempt });
 }
 
-/// The task as the policy sees it.
+/// The task as the policy's input.
 pub(super) fn candidate(task: &Task, now: Duration) -> Candidate {
     Candidate {
         task: task.state.id,
         attempt: task.state.attempt.next(),
         spec: task.state.spec.clone(),
-        waited: now.saturating_sub(task.known),
+        waited: now.saturating_sub(task.first_seen),
         avoid: task.avoided(now),
     }
 }
--- a/src/core/life/task.rs
+++ b/src/core/life/task.rs
@@ -1,4 +1,4 @@
-//! A task as its writer handles it: the durable state, and the step it is at.
+//! A task as managed by its writer: its durable state and its lifecycle step.
 
 use crate::chart::{Chart, Label, Machine};
 use crate::core::context::Context;
@@ -7,11 +7,13 @@
 use crate::task::{Phase, TaskState};
 use std::time::Duration;
 
-/// VMs that a task keeps off at a time, and for how long.
-const AVOID_MAX: usize = 3;
-const AVOID_TIME: Duration = Duration::from_secs(5);
+/// Maximum number of VMs that a task avoids at a time.
+const MAX_AVOIDED_VMS: usize = 3;
 
-/// Step of a task's life; the transitions are in `charts/task.toml`.
+/// Time for which a task avoids a VM.
+const AVOID_PERIOD: Duration = Duration::from_secs(5);
+
+/// Lifecycle step of a task; the transitions are in `charts/task.toml`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Submitting,
@@ -27,7 +29,7 @@
     Ended,
 }
 
-/// What moves a task on.
+/// Event that causes a lifecycle transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
     Durable,
@@ -73,64 +75,66 @@
     ];
 }
 
-/// The chart of a task's life.
+/// State chart of the task lifecycle.
 pub type TaskChart = Machine<Step, TaskEvent>;
 
-/// Loads the chart of a task's life.
+/// Loads the state chart of the task lifecycle.
 pub fn load_chart() -> crate::chart::Result<TaskChart> {
     Machine::new(&Chart::parse(include_str!("../../../charts/task.toml"))?)
 }
 
-/// A VM that an attempt failed on, or that declined.
+/// A VM on which an attempt failed, or whose holder declined the task.
 #[derive(Clone, Debug)]
 struct Avoided {
     vm: VmId,
     until: Duration,
 }
 
-/// A task of a partition written here.
+/// A task of a partition that this daemon writes.
 #[derive(Debug)]
 pub struct Task {
-    /// What is durable.
+    /// Durable state.
     pub state: TaskState,
     pub step: Step,
     /// Time of the last change of step.
     pub since: Duration,
-    /// Time at which it was first heard of here.
-    pub known: Duration,
-    /// VM of the attempt under way.
+    /// Time at which this daemon first learned of the task.
+    pub first_seen: Duration,
+    /// VM of the current attempt.
     pub vm: Option<VmId>,
-    /// Daemon that was last asked about the attempt.
+    /// Daemon that was last sent a request about the attempt.
     pub holder: Option<DaemonId>,
-    /// Time at which to repeat what is unanswered.
+    /// Time at which to retry an unanswered request, or to requeue the task.
     pub deadline: Option<Duration>,
     avoid: Vec<Avoided>,
-    pub why: CloseReason,
-    /// Whether a caller asked for the end, durable or not yet.
+    /// Why the attempt is being closed.
+    pub close_reason: CloseReason,
+    /// Whether a caller requested cancellation, even if that isn't durable yet.
     pub cancel_asked: bool,
-    /// Callers that submitted the same key while the first submission was under way.
+    /// Callers that submitted the same key before the first submission was durable.
     pub repeats: Vec<Ticket>,
 }
 
 impl Task {
-    /// A task that is being submitted.
+    /// Creates a task at a lifecycle step.
     pub fn new(state: TaskState, step: Step, now: Duration) -> Self {
         Self {
             cancel_asked: state.cancel_asked,
             state,
             step,
             since: now,
-            known: now,
+            first_seen: now,
             vm: None,
             holder: None,
             deadline: None,
             avoid: Vec::new(),
-            why: CloseReason::NotStarted,
+            close_reason: CloseReason::NotStarted,
             repeats: Vec::new(),
         }
     }
 
-    /// A task as the log leaves it. One that is bound may run, so its holder is asked.
+    /// Creates a task from its state in the log. A bound task may be running, so its holder is
+    /// queried.
     pub fn recovered(state: TaskState, now: Duration) -> Self {
         let (step, vm) = match &state.phase {
             Phase::Waiting => (Step::Queued, None),
@@ -140,7 +144,7 @@
         Self { vm, ..Self::new(state, step, now) }
     }
 
-    /// Moves on; an event that the chart doesn't have here is counted and changes nothing.
+    /// Applies an event to the state chart; an undeclared event is only counted.
     pub fn fire(&mut self, chart: &TaskChart, event: TaskEvent, cx: &mut Context) -> Fired {
         match chart.next(self.step, event) {
             Ok(step) => {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Attempt that is being placed, or the last one.
+    /// The attempt being placed, or otherwise the last one.
     pub fn attempt(&self) -> Attempt {
         match self.step {
             Step::Queued | Step::Reserving | Step::Binding => self.state.attempt.next(),
@@ -165,30 +169,30 @@
         }
     }
 
-    /// Incarnation of the VM that the attempt is bound to.
+    /// VM incarnation that the attempt is bound to.
     pub fn boot(&self) -> BootId {
         self.state.boot
     }
 
-    /// Keeps off a VM for a while.
+    /// Avoids a VM for a limited time.
     ///
-    /// Not for good: the VM that declined may be the only one that the task can run on.
+    /// The time is limited because the VM may be the only one that the task can run on.
     pub fn avoid(&mut self, vm: VmId, now: Duration) {
         self.avoid.retain(|avoided| avoided.vm != vm);
-        self.avoid.push(Avoided { vm, until: now + AVOID_TIME });
-        if self.avoid.len() > AVOID_MAX {
+        self.avoid.push(Avoided { vm, until: now + AVOID_PERIOD });
+        if self.avoid.len() > MAX_AVOIDED_VMS {
             self.avoid.remove(0);
         }
     }
 
-    /// VMs to keep off now.
+    /// VMs to avoid at `now`.
     pub fn avoided(&self, now: Duration) -> Vec<VmId> {
-        let still = self.avoid.iter().filter(|avoided| avoided.until > now);
-        still.map(|avoided| avoided.vm.clone()).collect()
+        let active = self.avoid.iter().filter(|avoided| avoided.until > now);
+        active.map(|avoided| avoided.vm.clone()).collect()
     }
 }
 
-/// Whether an event moved a task.
+/// Whether an event caused a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fired {
     Moved,
--- a/src/core/life/waiting.rs
+++ b/src/core/life/waiting.rs
@@ -1,7 +1,8 @@
-//! Tasks that wait for a VM, by shape.
+//! Tasks waiting for a VM, grouped by shape.
 //!
-//! Tasks of one shape meet the same answer from the policy, so that one `wait` answers for all of
-//! them, and a wave of ten thousand like tasks costs one decision a round, not ten thousand.
+//! The policy gives all tasks of a shape the same answer, so a single `wait` applies to all of
+//! them. A burst of ten thousand similar tasks costs one decision per round instead of ten
+//! thousand.
 
 use crate::ids::{ClassName, PoolName, TeamName};
 use crate::model::Urgency;
@@ -11,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the policy's answer depends on.
+/// The task properties that determine the policy's decision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Shape {
     urgency: Urgency,
@@ -24,21 +25,21 @@
 /// The waiting tasks of a partition.
 #[derive(Debug, Default)]
 pub struct Waiting {
-    shapes: IndexMap<Shape, Line>,
+    shapes: IndexMap<Shape, Queue>,
     len: usize,
 }
 
-/// Waiting tasks of one shape, first come first served.
+/// Waiting tasks of one shape, in submission order.
 #[derive(Debug, Default)]
-struct Line {
+struct Queue {
     tasks: BTreeSet<u64>,
-    /// Time before which the policy isn't asked again, unless something changes.
+    /// Time until which the policy isn't consulted again, unless something changes.
     blocked_until: Duration,
     reason: String,
 }
 
 impl Shape {
-    /// Shape of a task.
+    /// Returns the shape of a task.
     pub fn of(spec: &TaskSpec) -> Self {
         Self {
             urgency: spec.urgency,
@@ -58,32 +59,32 @@
         }
     }
 
-    /// Takes a task out.
+    /// Removes a task.
     pub fn remove(&mut self, spec: &TaskSpec, number: u64) {
         let shape = Shape::of(spec);
-        let Some(line) = self.shapes.get_mut(&shape) else { return };
-        if line.tasks.remove(&number) {
+        let Some(queue) = self.shapes.get_mut(&shape) else { return };
+        if queue.tasks.remove(&number) {
             self.len -= 1;
         }
-        if line.tasks.is_empty() {
+        if queue.tasks.is_empty() {
             self.shapes.shift_remove(&shape);
         }
     }
 
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Waiting tasks of each class.
+    /// Number of waiting tasks by class and shape.
     pub fn by_class(&self) -> impl Iterator<Item = (&ClassName, usize)> {
-        self.shapes.iter().map(|(shape, line)| (&shape.class, line.tasks.len()))
+        self.shapes.iter().map(|(shape, queue)| (&shape.class, queue.tasks.len()))
     }
 
-    /// Shapes to ask the policy about.
-    pub fn askable(&self, now: Duration) -> Vec<Shape> {
-        let open = self.shapes.iter().filter(|(_, line)| line.blocked_until <= now);
-        open.map(|(shape, _)| shape.clone()).collect()
+    /// Shapes that are not blocked.
+    pub fn unblocked(&self, now: Duration) -> Vec<Shape> {
+        let unblocked = self.shapes.iter().filter(|(_, queue)| queue.blocked_until <= now);
+        unblocked.map(|(shape, _)| shape.clone()).collect()
     }
 
     /// First task of a shape.
@@ -91,27 +92,27 @@
         self.shapes.get(shape)?.tasks.first().copied()
     }
 
-    /// Doesn't ask about the shape again until then; tells whether the reason is news.
+    /// Blocks a shape until the given time; returns whether the reason changed.
     pub fn block(&mut self, shape: &Shape, until: Duration, reason: &str) -> bool {
-        let Some(line) = self.shapes.get_mut(shape) else { return false };
-        line.blocked_until = until;
-        let news = line.reason != reason;
-        if news {
-            line.reason = reason.to_owned();
+        let Some(queue) = self.shapes.get_mut(shape) else { return false };
+        queue.blocked_until = until;
+        let changed = queue.reason != reason;
+        if changed {
+            queue.reason = reason.to_owned();
         }
-        news
+        changed
     }
 
-    /// Something changed: every shape may be asked about again.
+    /// Unblocks all shapes after a change that may allow placements.
     pub fn unblock(&mut self) {
-        for line in self.shapes.values_mut() {
-            line.blocked_until = Duration::ZERO;
+        for queue in self.shapes.values_mut() {
+            queue.blocked_until = Duration::ZERO;
         }
     }
 
-    /// What tasks like this one wait for.
+    /// Reason why tasks of this shape are waiting.
     pub fn reason(&self, spec: &TaskSpec) -> Option<&str> {
-        let line = self.shapes.get(&Shape::of(spec))?;
-        Some(line.reason.as_str()).filter(|reason| !reason.is_empty())
+        let queue = self.shapes.get(&Shape::of(spec))?;
+        Some(queue.reason.as_str()).filter(|reason| !reason.is_empty())
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -66,7 +66,7 @@
         self.handle(event);
         for candidate in self.writer.advance(&mut self.cx) {
             if self.evict_for(&candidate) == EvictionStarted::No {
-                self.writer.ask_others(&mut self.cx, &candidate);
+                self.writer.request_eviction(&mut self.cx, &candidate);
             }
         }
         self.cx.take_actions()
--- a/src/core/settings.rs
+++ b/src/core/settings.rs
@@ -47,7 +47,7 @@
     /// Maximum estimated size of one commit, in bytes.
     pub commit_bytes: usize,
     /// Age of an unanswered commit after which submissions queued behind it are rejected.
-    pub commit_patience: Duration,
+    pub slow_commit_after: Duration,
     /// Initial delay after a commit that the store did not write.
     pub store_backoff: Duration,
     /// Maximum delay after repeated commits that the store did not write.
@@ -75,7 +75,7 @@
             commit_burst: 48 << 10,
             commit_records: 2_000,
             commit_bytes: 512 << 10,
-            commit_patience: Duration::from_secs(3),
+            slow_commit_after: Duration::from_secs(3),
             store_backoff: Duration::from_millis(500),
             store_backoff_max: Duration::from_secs(5),
             waiting_max: 50_000,
