--- a/tests/core_path.rs
+++ b/tests/core_path.rs
@@ -1,6 +1,6 @@
-//! The path of a task through two daemons without faults, and the stops that are planned.
+//! Task execution on two daemons without faults, and with planned shutdowns.
 
-#[allow(dead_code)] // each test program uses a part of it
+#[allow(dead_code)] // each test binary uses only part of the module
 mod common;
 
 use common::world::{Sound, World};
@@ -62,8 +62,8 @@
     assert_eq!(world.violations(), Vec::<String>::new());
 }
 
-/// A VM leaves while narrations and a print build run on it. The narrations are checkpointed,
-/// closed and resumed once each elsewhere; the print build may run only once, so it stays.
+/// Guards against a leaving VM disrupting its tasks. Narrations are checkpointed, closed and
+/// resumed exactly once on another VM; a print build may run only once, so it stays.
 #[test]
 fn what_can_resume_leaves_a_leaving_vm_once_and_the_rest_stays() {
     let mut world = world();
@@ -94,8 +94,8 @@
     assert_eq!(world.violations(), Vec::<String>::new());
 }
 
-/// Both tasks fail each time they run. The narration may be tried again, three times in all; a
-/// second try of the print build could print a book twice.
+/// Guards against retries of a non-idempotent task: a second run of the print build could print a
+/// book twice. Both tasks fail on every run; the narration is attempted three times in total.
 #[test]
 fn a_failed_print_build_is_not_run_again() {
     let mut world = world();
--- a/tests/core_steps.rs
+++ b/tests/core_steps.rs
@@ -1,6 +1,6 @@
-//! Single steps of one core, in orders that matter.
+//! Individual steps of one core, in event orders that have caused or could cause faults.
 
-#[allow(dead_code)] // each test program uses a part of it
+#[allow(dead_code)] // each test binary uses only part of the module
 mod common;
 
 use common::solo::{ME, Solo, listed, member, tenant};
@@ -36,8 +36,8 @@
     }
 }
 
-/// A spec that fills a VM.
-fn whole_vm() -> TaskSpec {
+/// A task that requires all resources of a VM.
+fn vm_sized_task() -> TaskSpec {
     TaskSpec { resources: Resources::new(4_000, 8_192, 0), ..spec(Kind::Narration, ms(60_000)) }
 }
 
@@ -54,7 +54,7 @@
     solo.actions.iter().filter(|action| matches!(action, Action::Close { .. })).count()
 }
 
-/// A core that holds w0, on which another daemon's task 0 runs.
+/// A core that holds w0, on which task 0 of another daemon runs.
 fn with_a_running_task(spec: &TaskSpec) -> Solo {
     let mut solo = Solo::at_work(&["w0"]);
     solo.hear(OTHER, reserve(0, spec));
@@ -64,27 +64,25 @@
     solo
 }
 
-/// A caller's task waits for the whole VM. The VM was asked to close the task that fills it, and
-/// has not answered: that task may still run. Given the room now, two tasks would fill the VM
-/// twice over. Room is free only with the proof.
+/// Guards against overcommitting a VM. While the VM hasn't answered a close, the task that occupies
+/// it may still run; its resources become available only with the VM's proof.
 #[test]
 fn room_stays_taken_until_the_vm_proves_the_close() {
-    let mut solo = with_a_running_task(&whole_vm());
+    let mut solo = with_a_running_task(&vm_sized_task());
     let (vm, boot, attempt) = (VmId::new("w0"), BootId(1), Attempt(1));
     let why = CloseReason::Cancelled;
     solo.hear(OTHER, PeerMsg::Close { vm, boot, task: task(0), attempt, why });
     assert_eq!(closes(&solo), 1);
-    solo.hear(OTHER, reserve(1, &whole_vm()));
+    solo.hear(OTHER, reserve(1, &vm_sized_task()));
     assert!(declined(&solo, Decline::NoRoom));
     solo.take();
     solo.closed("w0", task(0), 1);
-    solo.hear(OTHER, reserve(1, &whole_vm()));
+    solo.hear(OTHER, reserve(1, &vm_sized_task()));
     assert!(!declined(&solo, Decline::NoRoom));
 }
 
-/// A renewal is under way when a start is sent; its answer, read before the start took effect,
-/// arrives after the start was confirmed. Taken at its word, it would have the running task closed
-/// as lost.
+/// Guards against closing a running task as lost. The response to a renewal is read before a start
+/// takes effect but arrives after the start was confirmed, so it doesn't list the task.
 #[test]
 fn a_table_read_before_a_start_does_not_report_the_task_lost() {
     let spec = spec(Kind::PrintBuild, ms(60_000));
@@ -103,9 +101,9 @@
     assert_eq!(closes(&solo), 1);
 }
 
-/// The grant's answer took four seconds. The VM counts from when it granted, which may be just
-/// after the request was sent; counting from the answer would outlive the lease by four seconds,
-/// in which another daemon may hold the VM.
+/// Guards against overestimating a lease's validity. The response to the request takes 4 s, and the
+/// VM may have granted the lease right after the request was sent. Counting from the response would
+/// exceed the lease by 4 s, during which another daemon may hold the VM.
 #[test]
 fn a_lease_is_counted_from_before_its_request_was_sent() {
     let mut solo = Solo::new(&["w0"]);
@@ -118,8 +116,9 @@
     assert_eq!(solo.core.vms()[0].valid_for, ms(10_000 - 500 - 4_000));
 }
 
-/// The daemon stands still past its lease, another takes the VM. What the first finds in its queue
-/// when it wakes must not act on the VM, nor promise room on it.
+/// Guards against a paused daemon acting on a VM after its lease expired, when another daemon may
+/// hold the VM. Messages queued during the pause must neither start an attempt nor reserve
+/// resources.
 #[test]
 fn after_a_pause_past_the_lease_nothing_is_sent() {
     let spec = spec(Kind::Narration, ms(1_000));
@@ -134,8 +133,8 @@
     assert!(solo.core.vms().is_empty());
 }
 
-/// A daemon comes and goes every few seconds. Each time it would be proposed for some VMs. Handing
-/// them over and back would interrupt placement on them; they stay until the change has lasted.
+/// Guards against moving VMs back and forth while a daemon joins and leaves every few seconds,
+/// which would interrupt placement on them. VMs are handed over only once the change has lasted.
 #[test]
 fn vms_stay_while_a_daemon_flaps_and_move_once_it_stays() {
     let vms: Vec<String> = (0..40).map(|number| format!("w{number}")).collect();
@@ -193,9 +192,9 @@
     assert_eq!(decisions.count(), 0);
 }
 
-/// The store is slow. The first submission is in a commit that may take effect at any time, so its
-/// caller must wait for the truth. The second has not been sent; it surely isn't recorded, and its
-/// caller is told so at once.
+/// Guards against wrong replies while the store is slow. The first submission is in a commit that
+/// may still take effect, so its caller must wait for the outcome. The second was not sent and is
+/// known not to be recorded, so its caller is told so without waiting for that commit.
 #[test]
 fn a_submission_in_a_slow_commit_waits_and_one_behind_it_is_given_back() {
     let mut solo = Solo::at_work(&["w0"]);
@@ -216,10 +215,10 @@
     assert!(matches!(solo.answer(first), Some(Answer::Accepted { repeated: false, .. })));
 }
 
-/// Two daemons took themselves for the writer. A commit of the one that lost is in flight when it
-/// learns so; what became of it is still told to the caller as it was.
+/// Guards against a wrong reply when a daemon loses a partition while a commit is in flight, after
+/// two daemons considered themselves the writer. The caller gets the commit's actual outcome.
 #[test]
-fn a_commit_in_flight_at_the_loss_of_a_partition_is_answered_truly() {
+fn a_commit_in_flight_at_the_loss_of_a_partition_is_answered_with_its_outcome() {
     for (result, accepted) in [
         (CommitResult::Durable, true),
         (CommitResult::NotWritten { reason: "superseded".to_owned() }, false),
@@ -231,15 +230,16 @@
         solo.tell(Event::Superseded { partition: PARTITION });
         assert_eq!(solo.answer(caller), None);
         solo.tell(Event::Committed { ticket, result });
-        let told = matches!(solo.answer(caller), Some(Answer::Accepted { .. }));
-        assert_eq!(told, accepted);
+        let accepted_reply = matches!(solo.answer(caller), Some(Answer::Accepted { .. }));
+        assert_eq!(accepted_reply, accepted);
     }
 }
 
-/// The VM told the end of a task, then the daemon lost it. Before the writer had the end on record
-/// the VM restarted and forgot it. The daemon still knows, and goes on telling the writer.
+/// Guards against losing the end of a task. The VM reports the end, the daemon loses the VM, and
+/// the VM could restart and lose the end before the writer records it. The daemon keeps reporting
+/// the end until the writer acknowledges it.
 #[test]
-fn an_end_is_told_on_after_its_vm_is_lost() {
+fn an_end_is_still_reported_after_its_vm_is_lost() {
     let spec = spec(Kind::Narration, ms(1_000));
     let mut solo = with_a_running_task(&spec);
     let members = vec![member(ME), member(OTHER)];
@@ -253,8 +253,8 @@
     solo.take();
     solo.wait(ms(2_500));
     let is_end = |msg: &&PeerMsg| matches!(msg, PeerMsg::Ended { .. });
-    let told = [ME, OTHER].iter().flat_map(|to| solo.sent_to(to)).filter(is_end).count();
-    assert_eq!(told, 1);
+    let reported = [ME, OTHER].iter().flat_map(|to| solo.sent_to(to)).filter(is_end).count();
+    assert_eq!(reported, 1);
     let (vm, attempt) = (VmId::new("w0"), Attempt(1));
     solo.hear(OTHER, PeerMsg::EndedAck { vm, task: task(0), attempt });
     solo.take();
@@ -262,10 +262,11 @@
     assert!(![ME, OTHER].iter().flat_map(|to| solo.sent_to(to)).any(|msg| is_end(&msg)));
 }
 
-/// The VM of a bound task vanished from the platform's list. For a while that may be the list's
-/// lag, or a list that came back empty; the task may still run, so it isn't placed elsewhere.
+/// Guards against running a task twice when its VM disappears from the platform's list. The list
+/// may be out of date or empty by mistake, so the task may still run and isn't released until
+/// `gone_after` has passed.
 #[test]
-fn a_task_on_a_vanished_vm_is_released_only_after_the_wait() {
+fn a_task_on_a_delisted_vm_is_released_only_after_the_delay() {
     let mut solo = Solo::at_work(&["w0"]);
     solo.submit(1, spec(Kind::Narration, ms(60_000)));
     solo.settle();
@@ -291,9 +292,10 @@
     assert!(released(&solo));
 }
 
-/// The daemon is to stop. It takes nothing new, gives its VMs back, and the tasks on them run on.
+/// Guards against a shutdown that interrupts tasks: a draining daemon accepts no new work and
+/// releases its VMs without closing the tasks on them.
 #[test]
-fn a_draining_daemon_refuses_and_gives_its_vms_back() {
+fn a_draining_daemon_rejects_work_and_releases_its_vms() {
     let mut solo = with_a_running_task(&spec(Kind::Narration, ms(60_000)));
     solo.tell(Event::Drain);
     let draining = Member { state: MemberState::Draining, ..member(ME) };
@@ -306,8 +308,8 @@
     assert_eq!(closes(&solo), 0);
 }
 
-/// Ends come in while the store is down. They are kept in order and written when it is back, and
-/// the VM is told to forget them only then.
+/// Guards against losing ends that are reported during a store outage. They are kept in order and
+/// written when the store recovers, and only then is the VM told to discard them.
 #[test]
 fn ends_are_kept_through_an_outage_and_written_in_order() {
     let mut solo = Solo::at_work(&["w0"]);
@@ -328,8 +330,8 @@
         outcome: Outcome::Succeeded,
     });
     solo.synced("w0", sent, Vec::new(), ended.collect());
-    let told: Vec<PeerMsg> = solo.sent_to(ME).into_iter().cloned().collect();
-    told.into_iter().for_each(|msg| solo.hear(ME, msg));
+    let reports: Vec<PeerMsg> = solo.sent_to(ME).into_iter().cloned().collect();
+    reports.into_iter().for_each(|msg| solo.hear(ME, msg));
     let mut tries = 0;
     for _ in 0..3_600 {
         solo.wait(ms(1_000));
@@ -352,7 +354,7 @@
 }
 
 #[test]
-fn a_daemon_that_holds_a_vm_again_closes_what_it_no_longer_finds() {
+fn a_daemon_that_reacquires_a_vm_closes_attempts_missing_from_its_table() {
     let spec = spec(Kind::Narration, ms(60_000));
     let mut solo = with_a_running_task(&spec);
     solo.wait(ms(11_000));
@@ -369,19 +371,19 @@
 }
 
 #[test]
-fn a_daemon_names_itself_in_its_views() {
+fn a_lone_daemon_holds_the_vm_and_is_the_preferred_writer() {
     let solo = Solo::at_work(&["w0"]);
     assert_eq!(solo.core.vms().len(), 1);
     assert_eq!(solo.core.writer_of(PARTITION), Some(daemon(ME)));
 }
 
-/// An urgent task of another writer finds the VM full of a narration that can resume elsewhere.
-/// Its writer can't see who could give way there; the holder can, and makes room.
+/// Guards against an urgent task waiting behind a narration that could resume on another VM. The
+/// urgent task's writer doesn't know the tasks on the VM, so the holder selects one to evict.
 #[test]
 fn a_holder_without_room_evicts_for_an_urgent_task() {
-    let mut solo = with_a_running_task(&whole_vm());
+    let mut solo = with_a_running_task(&vm_sized_task());
     solo.wait(ms(100));
-    let urgent = TaskSpec { urgency: Urgency::Urgent, ..whole_vm() };
+    let urgent = TaskSpec { urgency: Urgency::Urgent, ..vm_sized_task() };
     solo.hear(OTHER, reserve(1, &urgent));
     assert!(declined(&solo, Decline::NoRoom));
     let checkpoints =
@@ -390,17 +392,18 @@
     let mut solo = with_a_running_task(&TaskSpec {
         idempotency: Idempotency::NonIdempotent,
         resumption: Resumption::FromStart,
-        ..whole_vm()
+        ..vm_sized_task()
     });
     solo.wait(ms(100));
     solo.hear(OTHER, reserve(1, &urgent));
     assert_eq!(closes(&solo), 0);
 }
 
-/// The only VM is held by another daemon and full. The writer of an urgent task asks there for
-/// room all the same, so that the holder makes some; the task goes on waiting for whatever comes.
+/// Guards against an urgent task waiting forever when the only VM is full and held by another
+/// daemon. The writer requests a reservation anyway, so that the holder evicts a task; the urgent
+/// task remains queued.
 #[test]
-fn an_urgent_task_without_room_is_asked_for_at_another_holder() {
+fn an_urgent_task_without_room_is_requested_from_another_holder() {
     let mut solo = Solo::at_work(&[]);
     solo.tell(Event::Members(vec![member(ME), member(OTHER)]));
     let full = VmView {
@@ -414,7 +417,7 @@
         health: VmHealth::Open,
     };
     solo.hear(OTHER, PeerMsg::Views { views: vec![full] });
-    let urgent = TaskSpec { urgency: Urgency::Urgent, ..whole_vm() };
+    let urgent = TaskSpec { urgency: Urgency::Urgent, ..vm_sized_task() };
     solo.submit(1, urgent);
     solo.settle();
     solo.wait(ms(1_500));
