--- a/tests/core_faults.rs
+++ b/tests/core_faults.rs
@@ -1,12 +1,13 @@
-//! Every named step of a task's life met by every fault.
+//! Fault injection at every named step of the task lifecycle.
 //!
-//! Each file of the table names a step and the faults that meet its first and third occurrence.
-//! Meanwhile a VM leaves, so that tasks are checkpointed and moved, and a daemon is drained, so
-//! that VMs and the partition change hands. Callers whose submission was not answered, or was
-//! answered "not run", submit the same key again. Then everything must come to rest with no
-//! promise broken; the number of cases is printed.
+//! Each table file names a step, the occurrences of the step at which a fault is injected (the
+//! first, and in most tables the third), and the faults. During the run a VM leaves, so that tasks
+//! are checkpointed and moved, and a daemon is drained, so that VMs and the partition are handed
+//! over. Callers submit their keys again, as they would after no answer or the answer "not run".
+//! Afterwards the system must become quiescent without a violated guarantee. The number of cases is
+//! printed.
 
-#[allow(dead_code)] // each test program uses a part of it
+#[allow(dead_code)] // each test binary uses only part of the module
 mod common;
 
 use common::promises::{Submission, Summary, broken_at_rest, broken_now, summary};
@@ -23,16 +24,16 @@
 use waxwingstall::task::{Change, Phase, TaskState};
 use waxwingstall_standin::worker::TableSettings;
 
-/// Longer than a control lease and its hand-over.
+/// Longer than a control lease and its handover.
 const LONG_PAUSE: Duration = Duration::from_secs(25);
-const LATE: Duration = Duration::from_secs(6);
+const MESSAGE_DELAY: Duration = Duration::from_secs(6);
 const OUTAGE: Duration = Duration::from_secs(30);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Table {
     step: Step,
-    /// Occurrences of the step that are met.
+    /// Occurrences of the step at which the fault is injected.
     occurrences: Vec<u32>,
     #[serde(rename = "case")]
     cases: Vec<Case>,
@@ -42,7 +43,8 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 struct Case {
     fault: Fault,
-    /// Non-idempotent tasks that may end as unknown: only where an attempt is really lost.
+    /// Maximum number of non-idempotent tasks with an unknown outcome; non-zero only for faults
+    /// that lose an attempt.
     #[serde(default)]
     unknown: usize,
 }
@@ -88,7 +90,7 @@
 }
 
 impl Step {
-    fn is(self, action: &Action) -> bool {
+    fn matches(self, action: &Action) -> bool {
         match (self, action) {
             (Self::Submit, Action::Commit { records, .. }) => {
                 records.iter().any(|record| matches!(record.change, Change::Accepted { .. }))
@@ -102,12 +104,12 @@
             (Self::End, Action::Commit { records, .. }) => {
                 records.iter().any(|record| matches!(record.change, Change::Ended { .. }))
             }
-            (step, Action::Send { msg, .. }) => step.is_msg(msg),
-            (step, action) => step.is_call(action),
+            (step, Action::Send { msg, .. }) => step.matches_message(msg),
+            (step, action) => step.matches_call(action),
         }
     }
 
-    fn is_msg(self, msg: &PeerMsg) -> bool {
+    fn matches_message(self, msg: &PeerMsg) -> bool {
         matches!(
             (self, msg),
             (Self::Reserve, PeerMsg::Reserve { .. })
@@ -121,7 +123,7 @@
         )
     }
 
-    fn is_call(self, action: &Action) -> bool {
+    fn matches_call(self, action: &Action) -> bool {
         matches!(
             (self, action),
             (Self::Start, Action::Start { .. })
@@ -144,7 +146,7 @@
             Self::PausedAfterCheck => Fate::PausedAfterCheck(LONG_PAUSE),
             Self::Lost => Fate::Dropped,
             Self::Repeated => Fate::Twice,
-            Self::Late => Fate::Late(LATE),
+            Self::Late => Fate::Late(MESSAGE_DELAY),
             Self::AnswerLost => Fate::AnswerLost,
             Self::VmRestarted => Fate::VmRestarted,
             Self::WriterReplaced => Fate::WriterReplaced,
@@ -153,24 +155,24 @@
     }
 }
 
-/// Meets one occurrence of a step with a fault.
-struct Once {
+/// Injects a fault at one occurrence of a step.
+struct SingleFault {
     step: Step,
     fault: Fault,
-    left: u32,
+    remaining: u32,
 }
 
-impl Faults for Once {
+impl Faults for SingleFault {
     fn meet(&mut self, _: Duration, _: &DaemonId, action: &Action) -> Fate {
-        if self.left == 0 || !self.step.is(action) {
+        if self.remaining == 0 || !self.step.matches(action) {
             return Fate::Done;
         }
-        self.left -= 1;
-        if self.left == 0 { self.fault.fate() } else { Fate::Done }
+        self.remaining -= 1;
+        if self.remaining == 0 { self.fault.fate() } else { Fate::Done }
     }
 }
 
-fn submit_all(world: &mut World<Once>) -> Vec<Submission> {
+fn submit_all(world: &mut World<SingleFault>) -> Vec<Submission> {
     let kinds = [Kind::Narration, Kind::Narration, Kind::PrintBuild].into_iter().cycle().take(8);
     let mut submissions = Vec::new();
     for (number, kind) in kinds.enumerate() {
@@ -182,7 +184,7 @@
     submissions
 }
 
-fn submit_again(world: &mut World<Once>, submissions: &[Submission]) -> Vec<Submission> {
+fn submit_again(world: &mut World<SingleFault>, submissions: &[Submission]) -> Vec<Submission> {
     let again = |submission: &Submission| {
         let ticket = world.submit(&submission.key, spec(submission.kind, ms(8_000)));
         Submission { ticket, ..submission.clone() }
@@ -190,8 +192,8 @@
     submissions.iter().map(again).collect()
 }
 
-/// A VM from which a task will be moved when it leaves.
-fn vm_with_a_narration(world: &World<Once>) -> VmId {
+/// A VM with a task that will be moved when the VM leaves.
+fn vm_with_a_narration(world: &World<SingleFault>) -> VmId {
     let bound = |task: &TaskState| match &task.phase {
         Phase::Bound { vm } if task.spec.resumption == Resumption::Checkpoint => Some(vm.clone()),
         _ => None,
@@ -199,9 +201,9 @@
     world.tasks().iter().find_map(bound).unwrap_or_else(|| VmId::new("w0"))
 }
 
-/// Runs one case; returns what was broken and what it came to.
+/// Runs one case; returns its summary, or the violated guarantees.
 fn run(step: Step, fault: Fault, occurrence: u32) -> Result<Summary, Vec<String>> {
-    let faults = Once { step, fault, left: occurrence };
+    let faults = SingleFault { step, fault, remaining: occurrence };
     let mut world = World::new(faults, &TableSettings::default());
     world.run_for(ms(5_000));
     let mut submissions = submit_all(&mut world);
@@ -211,7 +213,7 @@
     world.run_for(ms(4_000));
     world.drain(&DaemonId::new("b"));
     world.run_for(ms(20_000));
-    // Also ends a view of the members that differs from the others'.
+    // Adding a daemon also resolves a membership view that differs between daemons.
     world.add_daemon("c");
     for _ in 0..8 {
         world.run_for(ms(5_000));
@@ -225,7 +227,7 @@
         world.run_for(ms(45_000));
     }
     let mut broken = broken_at_rest(&world, &submissions);
-    if world.faults.left > 0 {
+    if world.faults.remaining > 0 {
         broken.push(format!("{step:?} occurred less than {occurrence} times"));
     }
     if broken.is_empty() { Ok(summary(&world)) } else { Err(broken) }
--- a/tests/core_properties.rs
+++ b/tests/core_properties.rs
@@ -1,11 +1,12 @@
-//! Two daemons, three VMs and a log, interleaved at random with faults, by seed.
+//! Randomized fault injection with two daemons, three VMs and a log, reproducible by seed.
 //!
-//! Messages are lost, late, doubled and out of order; answers are lost after the call took effect;
-//! daemons are killed or stand still at any action, also between their last check and the send;
-//! VMs restart, leave and vanish; the log refuses, or changes writers. The promises are checked
-//! after each step, and once more when the faults have ended and everything has settled.
+//! Messages are lost, delayed, duplicated and reordered, and responses are lost after the call took
+//! effect. Daemons are killed or paused at any action, including between the last lease check and
+//! the send. VMs restart, leave and disappear from the list; the log rejects writes or changes its
+//! writer. The guarantees are checked after each step, and again once the faults have ended and the
+//! system is quiescent.
 
-#[allow(dead_code)] // each test program uses a part of it
+#[allow(dead_code)] // each test binary uses only part of the module
 mod common;
 
 use common::promises::{Submission, broken_at_rest, broken_now, summary};
@@ -19,25 +20,25 @@
 use waxwingstall::ids::{DaemonId, VmId};
 use waxwingstall_standin::worker::TableSettings;
 
-/// Seeds that once showed a broken promise; they stay.
+/// Regression seeds that once violated a guarantee; keep them.
 const FAILED_SEEDS: [u64; 8] = [83, 209, 507, 662, 1_254, 1_941, 11_827, 15_097];
 
-/// Further seeds that each run of the tests tries.
+/// Additional seeds for each test run.
 const SEEDS: std::ops::Range<u64> = 0..100;
 
-/// Names a range of seeds to try instead, as in `0..5000`.
+/// Environment variable with a range of seeds to use instead, such as `0..5000`.
 const SEEDS_VARIABLE: &str = "CORE_SEEDS";
 
 const STEPS: u32 = 160;
 const TASKS_MAX: usize = 14;
 
-/// Meets actions with faults at random.
-struct Random {
+/// Injects faults into random actions.
+struct RandomFaults {
     rng: StdRng,
     active: bool,
 }
 
-impl Faults for Random {
+impl Faults for RandomFaults {
     fn meet(&mut self, _: Duration, _: &DaemonId, _: &Action) -> Fate {
         if !self.active {
             return Fate::Done;
@@ -61,22 +62,22 @@
     }
 }
 
-/// One run.
+/// State of one randomized run.
 struct Run {
-    world: World<Random>,
+    world: World<RandomFaults>,
     rng: StdRng,
     submissions: Vec<Submission>,
 }
 
 impl Run {
     fn new(seed: u64) -> Self {
-        let faults = Random { rng: StdRng::seed_from_u64(seed), active: true };
+        let faults = RandomFaults { rng: StdRng::seed_from_u64(seed), active: true };
         let mut world = World::new(faults, &TableSettings::default());
         world.excused = Excused::Forgotten;
         Self { world, rng: StdRng::seed_from_u64(seed ^ u64::MAX), submissions: Vec::new() }
     }
 
-    fn happen(&mut self) {
+    fn inject_random_event(&mut self) {
         match self.rng.random_range(0..200) {
             0..40 => self.submit(),
             40..44 => self.cancel(),
@@ -160,7 +161,7 @@
     run.world.suspect_after = suspect_after;
     run.world.run_for(ms(3_000));
     for step in 0..STEPS {
-        run.happen();
+        run.inject_random_event();
         let time = ms(run.rng.random_range(20..800));
         run.world.run_for(time);
         let broken = broken_now(&run.world);
@@ -178,8 +179,8 @@
 }
 
 fn seeds() -> Vec<u64> {
-    let given = std::env::var(SEEDS_VARIABLE).ok();
-    let range = given.as_deref().and_then(|text| {
+    let variable = std::env::var(SEEDS_VARIABLE).ok();
+    let range = variable.as_deref().and_then(|text| {
         let (from, to) = text.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
     });
@@ -195,11 +196,11 @@
 }
 
 #[test]
-fn no_promise_is_broken_whatever_fails_in_whatever_order() {
+fn guarantees_hold_under_random_faults() {
     check_all(None);
 }
 
 #[test]
-fn no_promise_is_broken_when_daemons_that_stand_still_are_taken_for_dead() {
+fn guarantees_hold_when_paused_daemons_are_considered_dead() {
     check_all(Some(ms(4_000)));
 }
