--- a/benches/core_fencing.rs
+++ b/benches/core_fencing.rs
@@ -1,11 +1,12 @@
-//! What two daemons let through to VMs under injected pauses, with each safeguard and without.
+//! Effectiveness of the lease check and the fencing token when daemons are paused.
 //!
-//! Daemons stand still for 2 to 30 seconds, half of the times before their last look at the clock
-//! and half between that look and the send; after 5 seconds the other takes a paused one for dead
-//! and takes its VMs over. Counted are starts, checkpoints and closes that a VM carried out for a
-//! daemon whose lease had lapsed, or whose VM another daemon held, and what came of them.
+//! Daemons are paused for 2 to 30 s, half of the times before their last clock check and half
+//! between that check and the send. After 5 s the other daemon considers a paused one dead and
+//! takes over its VMs. With each combination of the two safeguards, the benchmark counts the
+//! starts, checkpoints and closes that a VM executed for a daemon whose lease had expired or whose
+//! VM was held by another daemon, and their consequences.
 
-#[allow(dead_code)] // the tests use the rest
+#[allow(dead_code)] // the rest is used by the tests
 #[path = "../tests/common/mod.rs"]
 mod common;
 
@@ -21,23 +22,23 @@
 
 const SEEDS: u64 = 200;
 const SUBMISSIONS: u32 = 200;
-/// Actions in a thousand that meet a pause.
-const PAUSES: u32 = 25;
+/// Starts, closes and checkpoints, per thousand, at which a daemon is paused.
+const PAUSES_PER_THOUSAND: u32 = 25;
 
-struct Pauses {
+struct RandomPauses {
     rng: StdRng,
 }
 
-impl Faults for Pauses {
+impl Faults for RandomPauses {
     fn meet(&mut self, _: Duration, _: &DaemonId, action: &Action) -> Fate {
-        let acts = matches!(
+        let has_effect = matches!(
             action,
             Action::Start { .. } | Action::Close { .. } | Action::Checkpoint { .. }
         );
         let pause = ms(self.rng.random_range(2_000..30_000));
         match self.rng.random_range(0..2_000) {
-            n if !acts || n >= 2 * PAUSES => Fate::Done,
-            n if n < PAUSES => Fate::PausedBeforeCheck(pause),
+            n if !has_effect || n >= 2 * PAUSES_PER_THOUSAND => Fate::Done,
+            n if n < PAUSES_PER_THOUSAND => Fate::PausedBeforeCheck(pause),
             _ => Fate::PausedAfterCheck(pause),
         }
     }
@@ -47,7 +48,7 @@
     }
 }
 
-/// What a combination of safeguards came to.
+/// Totals for one combination of safeguards.
 #[derive(Default)]
 struct Total {
     acts: Acts,
@@ -57,7 +58,7 @@
 }
 
 fn run(seed: u64, clock: ClockCheck, tokens: TokenCheck, total: &mut Total) {
-    let faults = Pauses { rng: StdRng::seed_from_u64(seed) };
+    let faults = RandomPauses { rng: StdRng::seed_from_u64(seed) };
     let settings = TableSettings { tokens, ..TableSettings::default() };
     let mut world = World::new(faults, &settings).with_clock_check(clock);
     world.suspect_after = Some(ms(5_000));
@@ -82,7 +83,9 @@
 }
 
 fn main() {
-    println!("{SEEDS} runs of {SUBMISSIONS} submissions each, {PAUSES} of 1000 acts paused");
+    println!(
+        "{SEEDS} runs of {SUBMISSIONS} submissions each, {PAUSES_PER_THOUSAND} of 1000 acts paused"
+    );
     println!(
         "| t_valid | tokens | accepted | withheld | fenced | lapsed lease | other's VM | \
          runs with a broken promise | finished | unknown |"
--- a/benches/core_step.rs
+++ b/benches/core_step.rs
@@ -1,10 +1,10 @@
-//! What a step of the core costs, as the number of running tasks grows.
+//! Cost of a core step as the number of running tasks grows.
 //!
-//! A writer with 1,000 to 130,000 running tasks sees tasks through from submission to end, among
-//! 1,000 VMs that another daemon holds; and a holder of seven VMs with ten tasks each is ticked and
-//! answers renewals. A step must not grow with the tasks that merely run.
+//! A writer with 1,000 to 130,000 running tasks processes tasks from submission to end, with 1,000
+//! VMs held by another daemon. A holder of seven VMs with ten tasks each processes ticks and the
+//! responses to renewals. The cost of a step must not grow with the number of running tasks.
 
-#[allow(dead_code)] // the tests use the rest
+#[allow(dead_code)] // the rest is used by the tests
 #[path = "../tests/common/mod.rs"]
 mod common;
 
@@ -22,7 +22,7 @@
 
 const HOLDER: &str = "holder";
 const VMS: u64 = 1_000;
-const CYCLES: u64 = 2_000;
+const SUBMISSIONS: u64 = 2_000;
 const TICKS: u32 = 2_000;
 const HELD: [&str; 7] = ["w0", "w1", "w2", "w3", "w4", "w5", "w6"];
 
@@ -48,7 +48,7 @@
     state
 }
 
-/// A writer of `tasks` running tasks.
+/// Creates a writer with `tasks` running tasks.
 fn writer(tasks: u64) -> Solo {
     let mut solo = Solo::new(&[]);
     let members = [common::solo::ME, HOLDER].map(common::solo::member).to_vec();
@@ -65,33 +65,33 @@
     solo
 }
 
-/// What was seen of the core.
+/// Counters of a measurement.
 #[derive(Default)]
-struct Seen {
+struct Progress {
     steps: u64,
     ended: u64,
 }
 
-/// Answers everything that the core asked for, until it asks for nothing more.
-fn answer_all(solo: &mut Solo, seen: &mut Seen) {
+/// Responds to the core's actions until it requests nothing more.
+fn respond_to_all(solo: &mut Solo, progress: &mut Progress) {
     loop {
         let actions = solo.take();
-        let mut answered = false;
+        let mut responded = false;
         for action in actions {
             let acknowledged = matches!(action, Action::Send { msg: PeerMsg::EndedAck { .. }, .. });
-            seen.ended += u64::from(acknowledged);
-            let Some(event) = answer(action) else { continue };
+            progress.ended += u64::from(acknowledged);
+            let Some(event) = response_to(action) else { continue };
             solo.tell(event);
-            seen.steps += 1;
-            answered = true;
+            progress.steps += 1;
+            responded = true;
         }
-        if !answered {
+        if !responded {
             return;
         }
     }
 }
 
-fn answer(action: Action) -> Option<Event> {
+fn response_to(action: Action) -> Option<Event> {
     let msg = match action {
         Action::Commit { ticket, .. } => {
             return Some(Event::Committed { ticket, result: CommitResult::Durable });
@@ -111,13 +111,13 @@
     time.as_secs_f64() * 1e6 / count as f64
 }
 
-/// The holder tells of its VMs, as it does at each renewal, and the core is ticked.
-fn pass_two_seconds(solo: &mut Solo, seen: &mut Seen) {
+/// Sends the holder's views, as at each renewal, and ticks the core for two seconds.
+fn advance_two_seconds(solo: &mut Solo, progress: &mut Progress) {
     solo.hear(HOLDER, PeerMsg::Views { views: (0..VMS).map(view).collect() });
     for _ in 0..20 {
         solo.wait(ms(100));
-        seen.steps += 1;
-        answer_all(solo, seen);
+        progress.steps += 1;
+        respond_to_all(solo, progress);
     }
 }
 
@@ -130,18 +130,18 @@
     let tick = micros(clock.now() - begin, u64::from(TICKS));
     solo.take();
     let begin = clock.now();
-    let mut seen = Seen::default();
-    for number in 0..CYCLES {
+    let mut progress = Progress::default();
+    for number in 0..SUBMISSIONS {
         solo.submit(tasks + number, spec(Kind::Narration, ms(1_000)));
         if number % 100 == 99 {
-            pass_two_seconds(&mut solo, &mut seen);
+            advance_two_seconds(&mut solo, &mut progress);
         }
     }
-    while seen.ended < CYCLES {
-        pass_two_seconds(&mut solo, &mut seen);
+    while progress.ended < SUBMISSIONS {
+        advance_two_seconds(&mut solo, &mut progress);
     }
-    let whole = micros(clock.now() - begin, CYCLES);
-    [tick, whole, micros(clock.now() - begin, seen.steps + CYCLES)]
+    let whole = micros(clock.now() - begin, SUBMISSIONS);
+    [tick, whole, micros(clock.now() - begin, progress.steps + SUBMISSIONS)]
 }
 
 fn measure_holder(clock: &SystemClock) -> [f64; 2] {
@@ -174,7 +174,7 @@
 
 fn main() {
     let clock = SystemClock;
-    println!("writer among {VMS} VMs, {CYCLES} tasks from submission to end");
+    println!("writer among {VMS} VMs, {SUBMISSIONS} tasks from submission to end");
     println!("| running tasks | µs a tick | µs a task | µs a step | ticks to 1,000 tasks' |");
     println!("|---|---|---|---|---|");
     let mut first = None;
