--- a/src/core/context.rs
+++ b/src/core/context.rs
@@ -46,7 +46,7 @@
     pub commits: u64,
     pub records: u64,
     pub leases_lost: u64,
-    pub hand_overs: u64,
+    pub handovers: u64,
 }
 
 impl Context {
--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -211,14 +211,14 @@
     /// Recomputes which VMs this daemon is the preferred holder of.
     pub fn update_preferences(&mut self, cx: &mut Context) {
         for (id, listed) in &self.listed {
-            let mine = cx.members.holder_of(id, &listed.domain) == Some(&cx.cfg.me);
-            if mine {
+            let preferred = cx.members.holder_of(id, &listed.domain) == Some(&cx.cfg.me);
+            if preferred {
                 self.vms.entry(id.clone()).or_insert_with(|| Vm::new(listed.domain.clone()));
             }
             if let Some(vm) = self.vms.get_mut(id) {
                 vm.leaving |= listed.state == ListedState::Leaving;
                 vm.other_preferred_since =
-                    if mine { None } else { vm.other_preferred_since.or(Some(cx.now)) };
+                    if preferred { None } else { vm.other_preferred_since.or(Some(cx.now)) };
             }
         }
         let chart = &self.chart;
@@ -324,7 +324,7 @@
             return;
         }
         cx.act(Action::Release { vm: id.clone(), token: lease.token });
-        cx.counters.hand_overs += 1;
+        cx.counters.handovers += 1;
         cx.explain(Subject::Vm(id.clone()), "control given back for another daemon to take");
         fire(&self.chart, vm, VmEvent::Released, cx);
         self.clear_lease(cx, id);
