--- a/src/core/holder/outbox.rs
+++ b/src/core/holder/outbox.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Maximum number of reports; the oldest are dropped, as VMs repeat them to their next holder.
-const REPORTS_MAX: usize = 4_096;
+const MAX_REPORTS: usize = 4_096;
 
 /// Reports that their writers have not acknowledged.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
 impl Outbox {
     /// Keeps a report until it is acknowledged.
     pub fn insert(&mut self, vm: &VmId, attempt: TaskAttempt, msg: PeerMsg) {
-        if self.reports.len() >= REPORTS_MAX {
+        if self.reports.len() >= MAX_REPORTS {
             self.reports.shift_remove_index(0);
         }
         self.reports.insert(Key { vm: vm.clone(), attempt }, msg);
