--- a/src/core/life.rs
+++ b/src/core/life.rs
@@ -31,7 +31,7 @@
 use task::TaskChart;
 
 /// Minimum time between two rounds that reconsider all waiting tasks.
-const UNBLOCK_PERIOD: Duration = Duration::from_millis(200);
+const PLACEMENT_ROUND_PERIOD: Duration = Duration::from_millis(200);
 
 /// Interval between scans for silent holders and for VMs that are off the platform's list.
 const SCAN_PERIOD: Duration = Duration::from_secs(1);
@@ -45,8 +45,8 @@
     fleet: Fleet,
     /// In-flight commits of partitions that were dropped.
     orphaned: IndexMap<Ticket, Vec<OrphanedRecord>>,
-    room_changed: bool,
-    next_unblock: Duration,
+    placement_round_due: bool,
+    next_placement_round: Duration,
     listed: IndexSet<VmId>,
     /// VMs with bound attempts that are off the list, with the time since when.
     unlisted: IndexMap<VmId, Duration>,
@@ -90,8 +90,8 @@
             losses: IndexMap::new(),
             fleet: Fleet::default(),
             orphaned: IndexMap::new(),
-            room_changed: false,
-            next_unblock: Duration::ZERO,
+            placement_round_due: false,
+            next_placement_round: Duration::ZERO,
             listed: IndexSet::new(),
             unlisted: IndexMap::new(),
             next_scan: Duration::ZERO,
@@ -103,13 +103,13 @@
     pub fn members_changed(&mut self, cx: &mut Context) {
         self.fleet.expire(cx);
         for home in &cx.cfg.partitions {
-            let mine = cx.members.writer_of(home.id) == Some(&cx.cfg.me);
+            let preferred = cx.members.writer_of(home.id) == Some(&cx.cfg.me);
             let role = self.roles.entry(home.id).or_insert(Role::Other { since: None });
             match role {
-                Role::Other { since } if mine => *since = since.or(Some(cx.now)),
+                Role::Other { since } if preferred => *since = since.or(Some(cx.now)),
                 Role::Other { since } => *since = None,
                 Role::Recovering => {}
-                Role::Writing { partition, other_preferred_since } if mine => {
+                Role::Writing { partition, other_preferred_since } if preferred => {
                     if other_preferred_since.take().is_some() {
                         partition.mark_suspect();
                     }
@@ -177,11 +177,11 @@
             return;
         }
         let partition = Partition::recovered(cx, id, self.chart.clone(), tasks, next_number);
-        let mine = cx.members.writer_of(id) == Some(&cx.cfg.me);
-        let other_preferred_since = if mine { None } else { Some(cx.now) };
+        let preferred = cx.members.writer_of(id) == Some(&cx.cfg.me);
+        let other_preferred_since = if preferred { None } else { Some(cx.now) };
         self.roles
             .insert(id, Role::Writing { partition: Box::new(partition), other_preferred_since });
-        self.room_changed = true;
+        self.placement_round_due = true;
     }
 
     /// Drops a partition that another daemon writes.
@@ -189,10 +189,10 @@
         if !matches!(self.roles.get(&id), Some(Role::Writing { .. })) {
             return;
         }
-        let mine = cx.members.writer_of(id) == Some(&cx.cfg.me);
+        let preferred = cx.members.writer_of(id) == Some(&cx.cfg.me);
         let least = cx.cfg.limits.recover_after;
         let wait = self.losses.entry(id).or_default().record(cx.now, least);
-        let role = Role::Other { since: mine.then_some(cx.now + wait) };
+        let role = Role::Other { since: preferred.then_some(cx.now + wait) };
         let Some(Role::Writing { partition, .. }) = self.roles.insert(id, role) else { return };
         let tasks = partition.tasks;
         let (queued, in_flight) = partition.log.into_parts();
@@ -249,7 +249,7 @@
     /// Handles a holder's list of the VMs that it holds.
     pub fn views(&mut self, cx: &mut Context, from: &DaemonId, views: Vec<VmView>) {
         let changed = self.fleet.update_views(cx, from, views);
-        self.room_changed = true;
+        self.placement_round_due = true;
         for partition in self.partitions_mut() {
             for vm in &changed {
                 partition.requery_bound(cx, vm);
@@ -258,8 +258,8 @@
     }
 
     /// Schedules a round that reconsiders all waiting tasks, after a configuration change.
-    pub fn room_may_have_changed(&mut self) {
-        self.room_changed = true;
+    pub fn schedule_placement_round(&mut self) {
+        self.placement_round_due = true;
     }
 
     /// Handles a holder's message about an attempt.
@@ -316,9 +316,9 @@
 
     /// Places waiting tasks, then starts the commits that are due; returns unplaced urgent tasks.
     pub fn advance(&mut self, cx: &mut Context) -> Vec<Candidate> {
-        if self.room_changed && cx.now >= self.next_unblock {
-            self.room_changed = false;
-            self.next_unblock = cx.now + UNBLOCK_PERIOD;
+        if self.placement_round_due && cx.now >= self.next_placement_round {
+            self.placement_round_due = false;
+            self.next_placement_round = cx.now + PLACEMENT_ROUND_PERIOD;
             self.partitions_mut().for_each(|partition| partition.waiting.unblock());
         }
         let mut budget = cx.cfg.limits.places_per_step;
@@ -370,7 +370,7 @@
         self.unlisted = unlisted;
     }
 
-    /// Closes the attempts on VMs that have been removed as lost.
+    /// Closes, as lost, the attempts on VMs that have been removed from the platform.
     ///
     /// A VM runs nothing any more if no daemon holds it and it has been off the platform's list for
     /// `gone_after`, which covers the list's delay and the TTL of the task leases.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -82,7 +82,7 @@
             Event::Configured(config) => {
                 cx.config = config.clone();
                 cx.policy.configure(config);
-                self.writer.room_may_have_changed();
+                self.writer.schedule_placement_round();
             }
             Event::Listed(listed) => {
                 self.writer.listed(&listed);
