--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -26,7 +26,7 @@
 pub mod stop;
 pub mod view;
 
-use crate::kv::{Item, Kv, Put};
+use crate::kv::{Item, KvStore, Put};
 use crate::permit::PermitPort;
 use crate::queues::Queues;
 use crate::upkeep::{MachinePort, Wave, WaveState};
@@ -53,7 +53,7 @@
 /// Clients for the platform's services, and decoders for its entries in the store.
 pub trait Platform: Clone + Send + Unpin + 'static {
     /// Client for the store.
-    type Store: Kv + Clone + Unpin + 'static;
+    type Store: KvStore + Clone + Unpin + 'static;
     /// Client for the VMs.
     type Vms: VmPort + Clone + Unpin + 'static;
     /// Client for the service that permits steps on VMs.
--- a/src/jobs/claim.rs
+++ b/src/jobs/claim.rs
@@ -6,7 +6,7 @@
 use crate::ids::DaemonId;
 use crate::job::progress::{Progress, decode, encode};
 use crate::job::{Job, JobId};
-use crate::kv::{Condition, Error, Freshness, Item, Kv, Put, Rev, Txn};
+use crate::kv::{Condition, Error, Freshness, Item, KvStore, Put, Rev, Txn};
 use crate::shard::{CommitResult, Keys, PreviousOwner, Recovered, SilentVm, WriteOutcome};
 use crate::vm::Fence;
 use bytes::Bytes;
@@ -41,7 +41,7 @@
 const MAX_CLAIM_ATTEMPTS: u32 = 4;
 
 /// Claims a shard and reads its state from the store.
-pub async fn claim<S: Kv>(
+pub async fn claim<S: KvStore>(
     store: &MonitoredStore<S>,
     me: &DaemonId,
     shard: &str,
@@ -88,7 +88,7 @@
     Err(ClaimError { head: Some(present), reason })
 }
 
-async fn write_claim<S: Kv>(
+async fn write_claim<S: KvStore>(
     store: &MonitoredStore<S>,
     keys: &Keys,
     head: &Head,
@@ -126,7 +126,7 @@
 }
 
 /// Reads a shard's head.
-pub async fn read_head<S: Kv>(
+pub async fn read_head<S: KvStore>(
     store: &MonitoredStore<S>,
     shard: &str,
 ) -> Result<Option<(Rev, Head)>> {
@@ -136,7 +136,7 @@
 }
 
 /// Reads the heads of all shards.
-pub async fn read_heads<S: Kv>(store: &MonitoredStore<S>) -> Result<Vec<(String, Head)>> {
+pub async fn read_heads<S: KvStore>(store: &MonitoredStore<S>) -> Result<Vec<(String, Head)>> {
     let (items, _) = read_all(store, Keys::HEADS, Freshness::Latest).await?;
     let head = |item: &Item| {
         let head = with_fence(decode_head(item)?, item.rev);
@@ -196,7 +196,7 @@
     }
 
     /// Retries a commit until it is durable, or it is certain that it is not and never will be.
-    pub async fn commit<S: Kv>(
+    pub async fn commit<S: KvStore>(
         &mut self,
         store: &MonitoredStore<S>,
         seq: u64,
--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -9,7 +9,7 @@
 use crate::cluster::plan::PLAN_KEY;
 use crate::cluster::{Member, Plan};
 use crate::job::progress::{decode, encode};
-use crate::kv::{Condition, Error, Freshness, Item, Kv, LeaseId, More, Put, Result, Rev, Txn};
+use crate::kv::{Condition, Error, Freshness, Item, KvStore, LeaseId, More, Put, Result, Rev, Txn};
 use crate::note::{Ms, Note, Word};
 use crate::vm::VmEntry;
 use actix::Recipient;
@@ -171,7 +171,7 @@
     }
 }
 
-async fn register<S: Kv>(
+async fn register<S: KvStore>(
     store: &MonitoredStore<S>,
     key: &str,
     me: &Member,
@@ -185,7 +185,7 @@
 
 /// Reads every page of a range. Returns the revision of the first page; a watch from there reports
 /// all later changes.
-pub(super) async fn read_all<S: Kv>(
+pub(super) async fn read_all<S: KvStore>(
     store: &MonitoredStore<S>,
     prefix: &str,
     freshness: Freshness,
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -14,7 +14,7 @@
 use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
 use crate::jobs::{Platform, UnreadableEntry};
-use crate::kv::{Change, Freshness, Item, Kv, Result, Rev, Watch};
+use crate::kv::{Change, Freshness, Item, KvStore, Result, Rev, Watch};
 use crate::note::{Ms, Note};
 use crate::shard::FleetListStatus;
 use crate::vm::VmEntry;
--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -9,7 +9,7 @@
 use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
 use crate::jobs::{OperatorEntry, Platform};
-use crate::kv::{Change, Changes, Error, Freshness, Item, Kv, Result, Rev, Watch};
+use crate::kv::{Change, Changes, Error, Freshness, Item, KvStore, Result, Rev, Watch};
 use crate::queues::Queues;
 use std::time::Duration;
 
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -9,7 +9,7 @@
 use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
-use crate::kv::{self, Condition, Kv, Put, Rev, Txn};
+use crate::kv::{self, Condition, KvStore, Put, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::upkeep::duty::{Action, Event};
 use crate::upkeep::{MachinePort, Record};
@@ -78,7 +78,7 @@
     }
 }
 
-async fn read_record<S: Kv>(store: &MonitoredStore<S>, wave: u64) -> Event {
+async fn read_record<S: KvStore>(store: &MonitoredStore<S>, wave: u64) -> Event {
     let key = Record::key(wave);
     match store.call(|store| store.get(&key)).await {
         Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
@@ -90,7 +90,7 @@
     }
 }
 
-async fn write_record<S: Kv>(
+async fn write_record<S: KvStore>(
     store: &MonitoredStore<S>,
     wave: u64,
     rev: Rev,
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -12,7 +12,7 @@
 use crate::cluster::{Member, Replaced, StoreReach};
 use crate::ids::DaemonId;
 use crate::job::JobId;
-use crate::kv::{Error, Kv, Result, Rev, Revised, Txn};
+use crate::kv::{Error, KvStore, Result, Rev, Revised, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::shard::{Keys, PreviousOwner};
 use actix::prelude::*;
@@ -103,7 +103,7 @@
     clock: Arc<dyn Clock>,
 }
 
-impl<S: Kv> MonitoredStore<S> {
+impl<S: KvStore> MonitoredStore<S> {
     /// Wraps a client that has made no calls yet.
     pub fn new(store: S, clock: Arc<dyn Clock>) -> Self {
         Self { store, reach: Rc::default(), clock }
@@ -265,7 +265,7 @@
 }
 
 /// Writes a shard's commits in sequence, until the shard is lost.
-async fn write_commits<S: Kv>(
+async fn write_commits<S: KvStore>(
     store: MonitoredStore<S>,
     control: Recipient<StoreEvent>,
     shard: String,
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -204,7 +204,7 @@
 }
 
 /// Client of the platform's store.
-pub trait Kv {
+pub trait KvStore {
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>>>;
 
--- a/standin/src/fakes.rs
+++ b/standin/src/fakes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::clock::Clock;
-use waxwingstall::kv::{self, Changes, Freshness, Item, Kv, LeaseId, Page, Rev, Txn, Watch};
+use waxwingstall::kv::{self, Changes, Freshness, Item, KvStore, LeaseId, Page, Rev, Txn, Watch};
 use waxwingstall::vm::{
     self, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmPort, VmTime,
 };
@@ -36,7 +36,7 @@
     }
 }
 
-impl Kv for FakeStore {
+impl KvStore for FakeStore {
     async fn get(&self, key: &str) -> kv::Result<Option<Item>> {
         let key = key.to_owned();
         self.call(move |table, _| Ok(table.get(&key)))
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -17,7 +17,7 @@
 use waxwingstall::jobs::records::{ClaimShard, Records};
 use waxwingstall::jobs::{OperatorEntry, Platform, UnreadableEntry};
 use waxwingstall::kv::{
-    self, Change, Changes, Freshness, Item, Kv, LeaseId, Page, Put, Rev, Txn, Watch,
+    self, Change, Changes, Freshness, Item, KvStore, LeaseId, Page, Put, Rev, Txn, Watch,
 };
 use waxwingstall::permit::{self, PermitPort, PermitReq, PermitResp};
 use waxwingstall::queues::Queues;
@@ -80,7 +80,7 @@
     }
 }
 
-impl Kv for SlowStore {
+impl KvStore for SlowStore {
     async fn get(&self, key: &str) -> kv::Result<Option<Item>> {
         tokio::time::sleep(self.latency).await;
         self.check_allowed(key)?;
