--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -154,7 +154,7 @@
     let key = format!("{MEMBER_PREFIX}{}", me.name);
     let lease_id = match *lease {
         Some(lease_id) => lease_id,
-        None => *lease.insert(store.call(|store| store.grant(lease_ttl)).await?),
+        None => *lease.insert(store.call(|store| store.grant_lease(lease_ttl)).await?),
     };
     register(store, &key, me, lease_id).await?;
     loop {
@@ -163,7 +163,7 @@
         ctx.control.do_send(StoreEvent::Members(members));
         failures.record_success(store.clock().now());
         tokio::time::sleep(MEMBER_POLL_INTERVAL).await;
-        store.call(|store| store.keep(lease_id)).await?;
+        store.call(|store| store.renew_lease(lease_id)).await?;
         // Keys can vanish while their lease is still valid.
         if !items.iter().any(|item| item.key == key) {
             register(store, &key, me, lease_id).await?;
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -223,11 +223,11 @@
     fn commit(&self, txn: &Txn) -> impl Future<Output = Result<Rev>>;
 
     /// Grants a lease.
-    fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId>>;
+    fn grant_lease(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId>>;
 
     /// Renews a lease.
-    fn keep(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
+    fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
 
     /// Ends a lease and deletes the keys attached to it.
-    fn end(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
+    fn end_lease(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
 }
--- a/standin/src/fakes.rs
+++ b/standin/src/fakes.rs
@@ -57,15 +57,15 @@
         self.call(move |table, _| table.commit(&txn))
     }
 
-    async fn grant(&self, ttl: Duration) -> kv::Result<LeaseId> {
+    async fn grant_lease(&self, ttl: Duration) -> kv::Result<LeaseId> {
         self.call(move |table, now| Ok(table.grant(ttl, now)))
     }
 
-    async fn keep(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn renew_lease(&self, lease: LeaseId) -> kv::Result<()> {
         self.call(move |table, now| table.keep(lease, now))
     }
 
-    async fn end(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn end_lease(&self, lease: LeaseId) -> kv::Result<()> {
         self.call(move |table, _| table.end(lease))
     }
 }
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -116,19 +116,19 @@
         self.store.commit(txn).await
     }
 
-    async fn grant(&self, ttl: Duration) -> kv::Result<LeaseId> {
+    async fn grant_lease(&self, ttl: Duration) -> kv::Result<LeaseId> {
         tokio::time::sleep(self.latency).await;
-        self.store.grant(ttl).await
+        self.store.grant_lease(ttl).await
     }
 
-    async fn keep(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn renew_lease(&self, lease: LeaseId) -> kv::Result<()> {
         tokio::time::sleep(self.latency).await;
-        self.store.keep(lease).await
+        self.store.renew_lease(lease).await
     }
 
-    async fn end(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn end_lease(&self, lease: LeaseId) -> kv::Result<()> {
         tokio::time::sleep(self.latency).await;
-        self.store.end(lease).await
+        self.store.end_lease(lease).await
     }
 }
 
