--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -9,7 +9,9 @@
 use crate::cluster::plan::PLAN_KEY;
 use crate::cluster::{Member, Plan};
 use crate::job::progress::{decode, encode};
-use crate::kv::{Condition, Error, Freshness, Item, KvStore, LeaseId, More, Put, Result, Rev, Txn};
+use crate::kv::{
+    Condition, Error, Freshness, HasMore, Item, KvStore, LeaseId, Put, Result, Rev, Txn,
+};
 use crate::note::{Ms, Note, Word};
 use crate::vm::VmEntry;
 use actix::Recipient;
@@ -200,7 +202,7 @@
         // between pages.
         let at = *at.get_or_insert(page.at);
         items.extend(page.items);
-        if page.more == More::No {
+        if page.more == HasMore::No {
             return Ok((items, at));
         }
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -12,7 +12,7 @@
 use crate::cluster::{Member, Replaced, StoreReach};
 use crate::ids::DaemonId;
 use crate::job::JobId;
-use crate::kv::{Error, KvStore, Result, Rev, Revised, Txn};
+use crate::kv::{Error, HasRevision, KvStore, Result, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::shard::{Keys, PreviousOwner};
 use actix::prelude::*;
@@ -46,7 +46,7 @@
 
 impl Reachability {
     /// Records the result of a call.
-    pub fn record<T: Revised>(&self, now: Duration, result: &Result<T>) {
+    pub fn record<T: HasRevision>(&self, now: Duration, result: &Result<T>) {
         if let Ok(answer) = result {
             self.newest.set(self.newest.get().max(answer.revision()));
         }
@@ -112,7 +112,7 @@
     /// Makes a call and records its result.
     pub async fn call<'a, T, F>(&'a self, call: impl FnOnce(&'a S) -> F) -> Result<T>
     where
-        T: Revised,
+        T: HasRevision,
         F: Future<Output = Result<T>> + 'a,
     {
         let result = call(&self.store).await;
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -103,14 +103,14 @@
 pub struct Page {
     pub items: Vec<Item>,
     /// Whether more keys follow the last item.
-    pub more: More,
+    pub more: HasMore,
     /// Store revision at which the page was read.
     pub at: Rev,
 }
 
 /// Whether a range continues after a page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum More {
+pub enum HasMore {
     #[default]
     No,
     Yes,
@@ -162,42 +162,42 @@
 }
 
 /// An answer that may report the store's revision.
-pub trait Revised {
+pub trait HasRevision {
     /// Store revision at the time of the answer, or [`Rev::ABSENT`] if the answer has none.
     fn revision(&self) -> Rev;
 }
 
-impl Revised for Rev {
+impl HasRevision for Rev {
     fn revision(&self) -> Rev {
         *self
     }
 }
 
-impl Revised for Page {
+impl HasRevision for Page {
     fn revision(&self) -> Rev {
         self.at
     }
 }
 
-impl Revised for Changes {
+impl HasRevision for Changes {
     fn revision(&self) -> Rev {
         self.at
     }
 }
 
-impl Revised for Option<Item> {
+impl HasRevision for Option<Item> {
     fn revision(&self) -> Rev {
         self.as_ref().map_or(Rev::ABSENT, |item| item.rev)
     }
 }
 
-impl Revised for LeaseId {
+impl HasRevision for LeaseId {
     fn revision(&self) -> Rev {
         Rev::ABSENT
     }
 }
 
-impl Revised for () {
+impl HasRevision for () {
     fn revision(&self) -> Rev {
         Rev::ABSENT
     }
--- a/standin/src/txns.rs
+++ b/standin/src/txns.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use waxwingstall::kv::{
-    Change, Changes, Error, Item, LeaseId, MAX_TXN_ENTRIES, More, Page, Result, Rev, Txn,
+    Change, Changes, Error, HasMore, Item, LeaseId, MAX_TXN_ENTRIES, Page, Result, Rev, Txn,
 };
 
 /// Items of a page of a range.
@@ -71,7 +71,7 @@
             .filter(|(key, _)| key.starts_with(prefix) && (after.is_none() || key.as_str() > from));
         let mut items: Vec<Item> =
             matching.take(PAGE_ITEMS + 1).map(|(key, stored)| item(key, stored)).collect();
-        let more = if items.len() > PAGE_ITEMS { More::Yes } else { More::No };
+        let more = if items.len() > PAGE_ITEMS { HasMore::Yes } else { HasMore::No };
         items.truncate(PAGE_ITEMS);
         Page { items, more, at: Rev(self.rev) }
     }
--- a/tests/shards/world.rs
+++ b/tests/shards/world.rs
@@ -12,7 +12,7 @@
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, Ticket, VmId};
 use waxwingstall::job::progress::{Progress, decode, encode};
 use waxwingstall::job::{Job, JobId, QueueName, StepRef};
-use waxwingstall::kv::{Condition, Error, More, Put, Rev, Txn};
+use waxwingstall::kv::{Condition, Error, HasMore, Put, Rev, Txn};
 use waxwingstall::note::Note;
 use waxwingstall::permit::{self, PermitReq};
 use waxwingstall::queues::{PermitTimes, Queue, Queues};
@@ -463,7 +463,7 @@
 
     fn read_all(&mut self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         let page = self.kv.range(prefix, None);
-        assert_eq!(page.more, More::No, "tests stay within one page");
+        assert_eq!(page.more, HasMore::No, "tests stay within one page");
         page.items.into_iter().map(|item| (item.key, item.value)).collect()
     }
 
