--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -96,7 +96,7 @@
         let asked = ctx.store.clock().now();
         let wait = if self.changed { CONFIRM_TIMEOUT } else { WATCH_TIMEOUT };
         let watch = Watch::new(ctx.platform.operator_prefix(), self.after, wait);
-        let watch = watch.with_most_bytes(self.answer_limit());
+        let watch = watch.with_max_bytes(self.answer_limit());
         let answer = match ctx.store.call(|store| store.watch(&watch)).await {
             Err(Error::TooLarge { .. }) => return Ok(ReadProgress::Behind),
             answer => answer?,
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -146,18 +146,18 @@
     pub after: Rev,
     pub wait: Duration,
     /// Maximum size of an answer in bytes; a larger one fails with [`Error::TooLarge`].
-    pub most_bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl Watch {
     /// Creates a watch without a limit on the size of answers.
     pub fn new(prefix: &str, after: Rev, wait: Duration) -> Self {
-        Self { prefix: prefix.to_owned(), after, wait, most_bytes: usize::MAX }
+        Self { prefix: prefix.to_owned(), after, wait, max_bytes: usize::MAX }
     }
 
     /// Limits the encoded size of answers, in bytes.
-    pub fn with_most_bytes(self, most_bytes: usize) -> Self {
-        Self { most_bytes, ..self }
+    pub fn with_max_bytes(self, max_bytes: usize) -> Self {
+        Self { max_bytes, ..self }
     }
 }
 
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -101,7 +101,7 @@
             let changes = self.store.watch(watch).await?;
             if !changes.changes.is_empty() || Instant::now() >= until {
                 let value_len = changes.changes.iter().map(value_len).sum();
-                if base64_len(value_len) > watch.most_bytes {
+                if base64_len(value_len) > watch.max_bytes {
                     return Err(kv::Error::TooLarge { reason: format!("{value_len} bytes") });
                 }
                 self.transfer(value_len).await;
