--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -12,7 +12,7 @@
 use crate::kv::{self, Condition, KvStore, Put, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::upkeep::duty::{Action, Event};
-use crate::upkeep::{MachinePort, Record};
+use crate::upkeep::{MachinePort, WaveRecord};
 use actix::prelude::*;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -79,9 +79,9 @@
 }
 
 async fn read_record<S: KvStore>(store: &MonitoredStore<S>, wave: u64) -> Event {
-    let key = Record::key(wave);
+    let key = WaveRecord::key(wave);
     match store.call(|store| store.get(&key)).await {
-        Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
+        Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: WaveRecord::default() },
         Ok(Some(item)) => match decode(&item.value) {
             Ok(record) => Event::Recorded { wave, rev: item.rev, record },
             Err(_) => Event::NotRecorded { wave },
@@ -94,10 +94,10 @@
     store: &MonitoredStore<S>,
     wave: u64,
     rev: Rev,
-    record: Record,
+    record: WaveRecord,
     status: Put,
 ) -> Event {
-    let key = Record::key(wave);
+    let key = WaveRecord::key(wave);
     let value = Bytes::from(encode(&record));
     let txn = Txn {
         conditions: vec![Condition { key: key.clone(), rev }],
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -66,14 +66,14 @@
 
 /// Record of a wave in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct WaveRecord {
     /// Machines that are down or about to go down, with the VM incarnation that this ends.
     pub down: IndexMap<MachineId, VmId>,
     /// Machines that have had their upkeep or no longer exist.
     pub done: IndexSet<MachineId>,
 }
 
-impl Record {
+impl WaveRecord {
     /// Store key of a wave's record.
     pub fn key(wave: u64) -> String {
         format!("wave/{wave}")
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -4,7 +4,7 @@
 //! requires, so that one can go down as soon as another is back. Decisions are made only with a
 //! machine list and a wave record that were read recently.
 
-use super::{Error, Machine, MachineId, MachineState, Record, UpkeepReq, Wave, WaveState};
+use super::{Error, Machine, MachineId, MachineState, UpkeepReq, Wave, WaveRecord, WaveState};
 use crate::cluster::Plan;
 use crate::ids::VmId;
 use crate::kv::Rev;
@@ -60,7 +60,7 @@
     Recorded {
         wave: u64,
         rev: Rev,
-        record: Record,
+        record: WaveRecord,
     },
     /// The record couldn't be read or written; another daemon may have changed it.
     NotRecorded {
@@ -85,7 +85,7 @@
     Write {
         wave: u64,
         rev: Rev,
-        record: Record,
+        record: WaveRecord,
         state: WaveState,
     },
     Call(UpkeepReq),
@@ -119,7 +119,7 @@
 struct ActiveWave {
     wave: Wave,
     since: Duration,
-    record: Option<(Rev, Record)>,
+    record: Option<(Rev, WaveRecord)>,
     read_at: Duration,
     /// Whether a read or write of the record is in flight.
     busy: bool,
@@ -227,7 +227,7 @@
         }
     }
 
-    fn handle_record(&mut self, wave: u64, rev: Rev, record: Record) {
+    fn handle_record(&mut self, wave: u64, rev: Rev, record: WaveRecord) {
         let Some(active) = self.waves.get_mut(&wave) else { return };
         active.log_returned(&record, self.now, &mut self.actions);
         active.busy = false;
@@ -368,7 +368,7 @@
 
 impl ActiveWave {
     /// Marks machines as done that are back after their upkeep.
-    fn mark_returned(&self, owned: &OwnedMachines<'_>, listed: Duration, next: &mut Record) {
+    fn mark_returned(&self, owned: &OwnedMachines<'_>, listed: Duration, next: &mut WaveRecord) {
         let down: Vec<MachineId> = next.down.keys().cloned().collect();
         for id in down {
             let Some((machine, _)) = owned.get(&id) else { continue };
@@ -382,7 +382,7 @@
     }
 
     /// Logs machines whose upkeep this daemon ordered and that are now done.
-    fn log_returned(&self, record: &Record, now: Duration, actions: &mut Vec<Action>) {
+    fn log_returned(&self, record: &WaveRecord, now: Duration, actions: &mut Vec<Action>) {
         let Some((_, before)) = &self.record else { return };
         for machine in record.done.difference(&before.done) {
             let Some(Call::Confirmed(at)) = self.calls.get(machine) else { continue };
@@ -393,7 +393,7 @@
     }
 
     /// Marks machines as done that the platform no longer lists.
-    fn mark_removed(&mut self, owned: &OwnedMachines<'_>, now: Duration, next: &mut Record) {
+    fn mark_removed(&mut self, owned: &OwnedMachines<'_>, now: Duration, next: &mut WaveRecord) {
         for id in &self.wave.machines {
             if owned.machines.contains_key(id) || next.done.contains(id) {
                 self.missing.shift_remove(id);
@@ -408,7 +408,7 @@
     }
 
     /// Adds vacated machines to the down list, up to the wave's limit.
-    fn reserve_slots(&self, owned: &OwnedMachines<'_>, next: &mut Record) {
+    fn reserve_slots(&self, owned: &OwnedMachines<'_>, next: &mut WaveRecord) {
         for id in &self.wave.machines {
             if next.down.len() >= self.wave.max_down {
                 return;
@@ -430,7 +430,7 @@
     fn order_upkeep(
         &mut self,
         owned: &OwnedMachines<'_>,
-        record: &Record,
+        record: &WaveRecord,
         holder: &str,
         now: Duration,
         actions: &mut Vec<Action>,
@@ -461,7 +461,7 @@
     fn plan_vacate(
         &self,
         owned: &OwnedMachines<'_>,
-        record: &Record,
+        record: &WaveRecord,
         now: Duration,
         vacate: &mut IndexMap<String, DrainOrder>,
     ) {
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -11,7 +11,7 @@
 use waxwingstall::kv::{Condition, Put, Rev, Txn};
 use waxwingstall::units::Resources;
 use waxwingstall::upkeep::duty::{Action, Duty, Event, OwnShard};
-use waxwingstall::upkeep::{Error, MachineId, Record, UpkeepReq, Wave, WaveState};
+use waxwingstall::upkeep::{Error, MachineId, UpkeepReq, Wave, WaveRecord, WaveState};
 use waxwingstall::vm::{Fence, VmEntry, VmState};
 use waxwingstall_standin::machines::MachineTable;
 use waxwingstall_standin::txns::TxnTable;
@@ -162,9 +162,11 @@
             }
             Action::Call(req) => self.call(index, req),
             Action::Read { wave } => {
-                let event = match self.kv.get(&Record::key(wave)) {
+                let event = match self.kv.get(&WaveRecord::key(wave)) {
                     _ if self.fails() => Event::NotRecorded { wave },
-                    None => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
+                    None => {
+                        Event::Recorded { wave, rev: Rev::ABSENT, record: WaveRecord::default() }
+                    }
                     Some(item) => {
                         let record = decode(&item.value).expect("a record");
                         Event::Recorded { wave, rev: item.rev, record }
@@ -197,8 +199,8 @@
         self.answer(index, Event::Called { wave, machine, result });
     }
 
-    fn write(&mut self, index: usize, wave: u64, rev: Rev, record: Record, state: WaveState) {
-        let key = Record::key(wave);
+    fn write(&mut self, index: usize, wave: u64, rev: Rev, record: WaveRecord, state: WaveState) {
+        let key = WaveRecord::key(wave);
         let value = encode(&record).into();
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), rev }],
