--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -29,7 +29,7 @@
 use crate::kv::{Item, KvStore, Put};
 use crate::permit::PermitPort;
 use crate::queues::Queues;
-use crate::upkeep::{MachinePort, Wave, WaveState};
+use crate::upkeep::{MachineApi, Wave, WaveState};
 use crate::vm::{VmEntry, VmPort};
 
 /// A store entry that can't be decoded.
@@ -59,7 +59,7 @@
     /// Client for the service that permits steps on VMs.
     type Permits: PermitPort + Clone + Unpin + 'static;
     /// Client for the machine maintenance service.
-    type Machines: MachinePort + Clone + Unpin + 'static;
+    type Machines: MachineApi + Clone + Unpin + 'static;
 
     /// Creates a store client. Called on the thread that uses it.
     fn store(&self) -> Self::Store;
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -12,7 +12,7 @@
 use crate::kv::{self, Condition, KvStore, Put, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::upkeep::duty::{Action, Event};
-use crate::upkeep::{MachinePort, WaveRecord};
+use crate::upkeep::{MachineApi, WaveRecord};
 use actix::prelude::*;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
                     Event::Listed { sent, machines: machines.list().await }
                 }
                 Action::Call(req) => {
-                    let result = machines.upkeep(&req).await;
+                    let result = machines.start_upkeep(&req).await;
                     Event::Called { wave: req.wave, machine: req.machine, result }
                 }
                 Action::Read { wave } => read_record(&store, wave).await,
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -134,11 +134,11 @@
 }
 
 /// Client of the platform's machine API.
-pub trait MachinePort {
+pub trait MachineApi {
     /// Lists all machines.
     fn list(&self) -> impl Future<Output = Result<Vec<Machine>>>;
 
     /// Ends everything on a machine and starts its upkeep; succeeds if the upkeep has already been
     /// done.
-    fn upkeep(&self, req: &UpkeepReq) -> impl Future<Output = Result<()>>;
+    fn start_upkeep(&self, req: &UpkeepReq) -> impl Future<Output = Result<()>>;
 }
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -23,7 +23,7 @@
 use waxwingstall::queues::Queues;
 use waxwingstall::shard::{FleetListStatus, PreviousOwner};
 use waxwingstall::units::Resources;
-use waxwingstall::upkeep::{self, Machine, MachinePort, UpkeepReq, WaveState};
+use waxwingstall::upkeep::{self, Machine, MachineApi, UpkeepReq, WaveState};
 use waxwingstall::vm::{
     self, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmEntry, VmPort, VmState, VmTime,
 };
@@ -172,12 +172,12 @@
     }
 }
 
-impl MachinePort for UnreachableService {
+impl MachineApi for UnreachableService {
     async fn list(&self) -> upkeep::Result<Vec<Machine>> {
         Err(upkeep::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
-    async fn upkeep(&self, _: &UpkeepReq) -> upkeep::Result<()> {
+    async fn start_upkeep(&self, _: &UpkeepReq) -> upkeep::Result<()> {
         Err(upkeep::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
