--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -51,7 +51,7 @@
     pub number: u64,
     pub machines: Vec<MachineId>,
     /// Time limit for the whole wave.
-    pub within: Duration,
+    pub time_limit: Duration,
     /// Maximum number of machines down at once.
     pub max_down: usize,
 }
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -196,7 +196,8 @@
             known.wave = wave;
             return;
         }
-        let (machines, max_down, within_ms) = (wave.machines.len(), wave.max_down, Ms(wave.within));
+        let (machines, max_down, within_ms) =
+            (wave.machines.len(), wave.max_down, Ms(wave.time_limit));
         let active = ActiveWave {
             wave,
             since: now,
@@ -465,7 +466,7 @@
         now: Duration,
         vacate: &mut IndexMap<String, DrainOrder>,
     ) {
-        let time_left = (self.since + self.wave.within).saturating_sub(now);
+        let time_left = (self.since + self.wave.time_limit).saturating_sub(now);
         let mut open: IndexMap<&str, Vec<(&MachineId, &Machine)>> = IndexMap::new();
         for id in &self.wave.machines {
             let is_down = record.down.contains_key(id);
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -67,7 +67,7 @@
             vms.push(entry(domain));
         }
         let plan = Plan::default().extended(&vms).expect("racks are new");
-        let within = Duration::from_secs(20);
+        let time_limit = Duration::from_secs(20);
         let mut world = Self {
             now: Duration::from_secs(3),
             rng: SmallRng::seed_from_u64(seed),
@@ -75,7 +75,7 @@
             machines: table,
             kv: TxnTable::new(),
             plan,
-            wave: Wave { number: WAVE, machines: ids, within, max_down },
+            wave: Wave { number: WAVE, machines: ids, time_limit, max_down },
             daemons: Vec::new(),
             deliveries: BTreeMap::new(),
             next: 0,
