--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -37,7 +37,7 @@
 use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
 use crate::shard::{self, Action, Event, Now, ReportedLapse, Shard, Summary, VmLapse};
-use crate::upkeep::duty::{Duty, OwnShard};
+use crate::upkeep::duty::{OwnedShard, WaveScheduler};
 use crate::upkeep::{self};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
@@ -135,7 +135,7 @@
     plan: Plan,
     store_reach: StoreReach,
     store_lost_at: Option<Duration>,
-    maintenance: Duty,
+    maintenance: WaveScheduler,
     next_maintenance: Duration,
     /// Number of open permit requests by the daemon that sends them to the service.
     permit_requests: IndexMap<String, u32>,
@@ -166,7 +166,7 @@
         directory: Arc<Mutex<JobDirectory>>,
     ) -> Self {
         let now = clock.now();
-        let maintenance = Duty::new(&me.name);
+        let maintenance = WaveScheduler::new(&me.name);
         Self {
             settings,
             journal,
@@ -346,7 +346,7 @@
     }
 
     fn tick_maintenance(&mut self, cx: &mut Context<Self>) {
-        let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
+        let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnedShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
             vacated: hosted.shard.drained_vms(),
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -36,18 +36,18 @@
 
 /// A shard owned by this daemon.
 #[derive(Clone, Debug)]
-pub struct OwnShard {
+pub struct OwnedShard {
     pub name: String,
     pub fence: Fence,
     /// VMs that have been vacated on request.
     pub vacated: Vec<VmId>,
 }
 
-/// Input of [`Duty::step`].
+/// Input of [`WaveScheduler::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Periodic tick with the shards that this daemon owns now.
-    Tick(Vec<OwnShard>),
+    Tick(Vec<OwnedShard>),
     /// A wave as configured by operators.
     Wave(Wave),
     Plan(Plan),
@@ -74,7 +74,7 @@
     },
 }
 
-/// Output of [`Duty::step`].
+/// Output of [`WaveScheduler::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     List,
@@ -130,7 +130,7 @@
 }
 
 /// State machine that runs the waves.
-pub struct Duty {
+pub struct WaveScheduler {
     holder: String,
     now: Duration,
     plan: Plan,
@@ -144,7 +144,7 @@
     actions: Vec<Action>,
 }
 
-impl Duty {
+impl WaveScheduler {
     /// Creates the state machine without waves; `holder` identifies this daemon to the platform.
     pub fn new(holder: &str) -> Self {
         Self {
@@ -162,7 +162,7 @@
     }
 
     /// Whether any wave is unfinished.
-    pub fn has_open(&self) -> bool {
+    pub fn has_open_wave(&self) -> bool {
         self.waves.values().any(|active| !active.closed)
     }
 
@@ -261,9 +261,9 @@
         }
     }
 
-    fn tick(&mut self, shards: &[OwnShard]) {
+    fn tick(&mut self, shards: &[OwnedShard]) {
         let mut vacate: IndexMap<String, DrainOrder> = IndexMap::new();
-        if self.has_open() && !shards.is_empty() {
+        if self.has_open_wave() && !shards.is_empty() {
             self.start_reads();
             let numbers: Vec<u64> = self.waves.keys().copied().collect();
             for number in numbers {
@@ -296,7 +296,7 @@
     fn advance_wave(
         &mut self,
         number: u64,
-        shards: &[OwnShard],
+        shards: &[OwnedShard],
         vacate: &mut IndexMap<String, DrainOrder>,
     ) -> DataAge {
         let now = self.now;
@@ -327,7 +327,7 @@
     /// Sends the shards' vacate orders that have changed.
     fn send_vacate_orders(
         &mut self,
-        shards: &[OwnShard],
+        shards: &[OwnedShard],
         mut vacate: IndexMap<String, DrainOrder>,
     ) {
         self.last_orders.retain(|(name, fence), _| {
@@ -348,13 +348,13 @@
 /// Machines of the shards owned by this daemon.
 struct OwnedMachines<'a> {
     plan: &'a Plan,
-    shards: &'a [OwnShard],
+    shards: &'a [OwnedShard],
     machines: &'a IndexMap<MachineId, Machine>,
 }
 
 impl OwnedMachines<'_> {
     /// Looks up a machine in an owned shard, together with that shard.
-    fn get(&self, id: &MachineId) -> Option<(&Machine, &OwnShard)> {
+    fn get(&self, id: &MachineId) -> Option<(&Machine, &OwnedShard)> {
         let machine = self.machines.get(id)?;
         let name = self.plan.shard_of_rack(&machine.domain, &machine.rack)?;
         Some((machine, self.shards.iter().find(|shard| shard.name == name)?))
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -10,7 +10,7 @@
 use waxwingstall::job::progress::{decode, encode};
 use waxwingstall::kv::{Condition, Put, Rev, Txn};
 use waxwingstall::units::Resources;
-use waxwingstall::upkeep::duty::{Action, Duty, Event, OwnShard};
+use waxwingstall::upkeep::duty::{Action, Event, OwnedShard, WaveScheduler};
 use waxwingstall::upkeep::{Error, MachineId, UpkeepReq, Wave, WaveRecord, WaveState};
 use waxwingstall::vm::{Fence, VmEntry, VmState};
 use waxwingstall_standin::machines::MachineTable;
@@ -28,7 +28,7 @@
 
 /// A daemon that owns the shard of its failure domain.
 struct Daemon {
-    duty: Duty,
+    scheduler: WaveScheduler,
     shard: String,
     fence: Fence,
     /// VMs being vacated, and when each is empty.
@@ -99,10 +99,10 @@
     fn start(&mut self, shard: String) {
         self.next += 1;
         let fence = Fence(self.next);
-        let mut duty = Duty::new(&format!("daemon-{}", fence.0));
-        duty.step(self.now, Event::Plan(self.plan.clone()));
-        duty.step(self.now, Event::Wave(self.wave.clone()));
-        self.daemons.push(Daemon { duty, shard, fence, vacating: IndexMap::new() });
+        let mut scheduler = WaveScheduler::new(&format!("daemon-{}", fence.0));
+        scheduler.step(self.now, Event::Plan(self.plan.clone()));
+        scheduler.step(self.now, Event::Wave(self.wave.clone()));
+        self.daemons.push(Daemon { scheduler, shard, fence, vacating: IndexMap::new() });
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -125,7 +125,7 @@
             for index in 0..self.daemons.len() {
                 let daemon = &self.daemons[index];
                 let empty = daemon.vacating.iter().filter(|(_, at)| **at <= self.now);
-                let shard = OwnShard {
+                let shard = OwnedShard {
                     name: daemon.shard.clone(),
                     fence: daemon.fence,
                     vacated: empty.map(|(vm, _)| vm.clone()).collect(),
@@ -136,7 +136,7 @@
     }
 
     fn step(&mut self, index: usize, event: Event) {
-        for action in self.daemons[index].duty.step(self.now, event) {
+        for action in self.daemons[index].scheduler.step(self.now, event) {
             self.act(index, action);
         }
     }
