--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -122,7 +122,7 @@
     record: Option<(Rev, WaveRecord)>,
     read_at: Duration,
     /// Whether a read or write of the record is in flight.
-    busy: bool,
+    record_in_flight: bool,
     next_read: Duration,
     calls: IndexMap<MachineId, Call>,
     missing: IndexMap<MachineId, Duration>,
@@ -177,7 +177,7 @@
             Event::Recorded { wave, rev, record } => self.handle_record(wave, rev, record),
             Event::NotRecorded { wave } => {
                 if let Some(active) = self.waves.get_mut(&wave) {
-                    active.busy = false;
+                    active.record_in_flight = false;
                     active.record = None;
                     active.next_read = now;
                 }
@@ -203,7 +203,7 @@
             since: now,
             record: None,
             read_at: now,
-            busy: false,
+            record_in_flight: false,
             next_read: now,
             calls: IndexMap::new(),
             missing: IndexMap::new(),
@@ -231,7 +231,7 @@
     fn handle_record(&mut self, wave: u64, rev: Rev, record: WaveRecord) {
         let Some(active) = self.waves.get_mut(&wave) else { return };
         active.log_returned(&record, self.now, &mut self.actions);
-        active.busy = false;
+        active.record_in_flight = false;
         active.read_at = self.now;
         active.next_read = self.now + RECORD_INTERVAL;
         if record.is_complete(&active.wave) && rev != Rev::ABSENT && !active.closed {
@@ -284,8 +284,8 @@
             self.actions.push(Action::List);
         }
         for active in self.waves.values_mut().filter(|active| !active.closed) {
-            if !active.busy && now >= active.next_read {
-                active.busy = true;
+            if !active.record_in_flight && now >= active.next_read {
+                active.record_in_flight = true;
                 active.next_read = now + RECORD_INTERVAL;
                 self.actions.push(Action::Read { wave: active.wave.number });
             }
@@ -313,8 +313,8 @@
         active.mark_returned(&owned, listed, &mut next);
         active.mark_removed(&owned, now, &mut next);
         active.reserve_slots(&owned, &mut next);
-        if next != record && !active.busy {
-            active.busy = true;
+        if next != record && !active.record_in_flight {
+            active.record_in_flight = true;
             let complete = next.is_complete(&active.wave);
             let state = if complete { WaveState::Done } else { WaveState::Running };
             self.actions.push(Action::Write { wave: number, rev, record: next, state });
@@ -480,15 +480,15 @@
         }
         for (shard, machines) in open {
             let order = vacate.entry(shard.to_owned()).or_default();
-            let mut ahead = self.ahead(machines.len(), time_left);
-            order.finish_timeout = patience(machines.len(), ahead, time_left);
+            let mut to_vacate = self.vacate_count(machines.len(), time_left);
+            order.finish_timeout = finish_timeout(machines.len(), to_vacate, time_left);
             for (id, machine) in machines {
                 let Some(vm) = machine.vm.clone() else { continue };
-                let is_next = ahead > 0 && machine.state == MachineState::Up;
+                let is_next = to_vacate > 0 && machine.state == MachineState::Up;
                 if record.down.contains_key(id) {
                     order.vms.push(vm);
                 } else if is_next {
-                    ahead -= 1;
+                    to_vacate -= 1;
                     order.vms.push(vm);
                 } else {
                     order.upcoming.push(vm);
@@ -498,7 +498,7 @@
     }
 
     /// Number of machines that a shard vacates at once to meet the wave's deadline.
-    fn ahead(&self, machines: usize, time_left: Duration) -> usize {
+    fn vacate_count(&self, machines: usize, time_left: Duration) -> usize {
         let rounds = (time_left.as_secs_f64() / ROUND_TIME.as_secs_f64()).max(1.0);
         let needed = (machines as f64 / rounds).ceil() as usize;
         needed.clamp(1, self.wave.max_down)
@@ -510,11 +510,11 @@
 const ROUND_TIME: Duration = Duration::from_millis(4500);
 
 /// Longest wait for tasks that can't be resumed; most of them take 1 to 3 s.
-const MAX_PATIENCE: Duration = Duration::from_millis(2500);
+const MAX_FINISH_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long to wait for tasks that can't be resumed, within the wave's deadline.
-fn patience(machines: usize, at_once: usize, time_left: Duration) -> Duration {
+fn finish_timeout(machines: usize, at_once: usize, time_left: Duration) -> Duration {
     let rounds = machines.div_ceil(at_once.max(1));
     let rounds = u32::try_from(rounds).unwrap_or(u32::MAX).max(1);
-    (time_left / rounds).saturating_sub(ROUND_TIME).min(MAX_PATIENCE)
+    (time_left / rounds).saturating_sub(ROUND_TIME).min(MAX_FINISH_TIMEOUT)
 }
