--- a/src/cluster.rs
+++ b/src/cluster.rs
@@ -10,7 +10,7 @@
 pub mod ownership;
 pub mod plan;
 
-pub use head::{Head, Replaced};
+pub use head::{ExpectedOwner, Head};
 pub use member::{Hello, Member, MemberStage, ShardNews, StoreReach};
 pub use ownership::{Action, Event, HandOver, Ownership};
 pub use plan::Plan;
--- a/src/cluster/head.rs
+++ b/src/cluster/head.rs
@@ -14,12 +14,12 @@
     pub seq: u64,
     /// Previous owner and its last commit, so that the previous owner can find out whether that
     /// commit took effect.
-    pub before: Option<Before>,
+    pub before: Option<PreviousCommit>,
 }
 
 /// Last commit of a previous owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Before {
+pub struct PreviousCommit {
     pub owner: DaemonId,
     pub seq: u64,
 }
@@ -31,7 +31,7 @@
             owner,
             fence: 0,
             seq: present.map_or(0, |head| head.seq) + 1,
-            before: present.map(|head| Before { owner: head.owner.clone(), seq: head.seq }),
+            before: present.map(|head| PreviousCommit { owner: head.owner.clone(), seq: head.seq }),
         }
     }
 
@@ -43,13 +43,13 @@
 
 /// The owner that a claim is meant to replace, as far as the claimant knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Replaced {
+pub struct ExpectedOwner {
     pub owner: Option<DaemonId>,
     /// Highest known fencing token of the shard.
     pub fence: u64,
 }
 
-impl Replaced {
+impl ExpectedOwner {
     /// Whether the owner in a head was known when the claim was decided.
     pub fn covers(&self, head: &Head) -> bool {
         head.fence <= self.fence || self.owner.as_ref() == Some(&head.owner)
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -14,7 +14,7 @@
 mod orphans;
 mod sharing;
 
-use super::head::{Head, Replaced};
+use super::head::{ExpectedOwner, Head};
 use super::member::{Hello, Member, MemberStage, StoreReach};
 use super::plan::Plan;
 use crate::ids::{DaemonId, DomainId};
@@ -77,7 +77,7 @@
     Claim {
         shard: String,
         previous: PreviousOwner,
-        replaces: Replaced,
+        replaces: ExpectedOwner,
     },
     ReadHeads,
     /// Sends a hello to a daemon at once to check whether it answers.
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -2,7 +2,7 @@
 
 use super::members::MemberState;
 use super::{Action, HoldState, Ownership, ShardView};
-use crate::cluster::head::Replaced;
+use crate::cluster::head::ExpectedOwner;
 use crate::cluster::member::{Member, MemberStage, StoreReach};
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Ms, Note, Word};
@@ -124,7 +124,7 @@
         }));
         let previous = cause.previous;
         let fence = self.fence(shard).0;
-        let replaces = Replaced { owner: owner.cloned(), fence };
+        let replaces = ExpectedOwner { owner: owner.cloned(), fence };
         self.actions.push(Action::Claim { shard: shard.to_owned(), previous, replaces });
     }
 
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -9,7 +9,7 @@
 use super::follow::{self, FollowContext, OwnershipSignal};
 use super::{Platform, UnreadableEntry};
 use crate::clock::Clock;
-use crate::cluster::{Member, Replaced, StoreReach};
+use crate::cluster::{ExpectedOwner, Member, StoreReach};
 use crate::ids::DaemonId;
 use crate::job::JobId;
 use crate::kv::{Error, HasRevision, KvStore, Result, Rev, Txn};
@@ -225,7 +225,7 @@
 pub struct ClaimShard {
     pub shard: String,
     pub previous: PreviousOwner,
-    pub replaces: Replaced,
+    pub replaces: ExpectedOwner,
 }
 
 impl<P: Platform> Handler<ClaimShard> for Records<P> {
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use waxwingstall::clock::Clock;
 use waxwingstall::cluster::plan::PLAN_KEY;
-use waxwingstall::cluster::{Member, MemberStage, Replaced};
+use waxwingstall::cluster::{ExpectedOwner, Member, MemberStage};
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use waxwingstall::jobs::control::StoreEvent;
 use waxwingstall::jobs::records::{ClaimShard, Records};
@@ -450,7 +450,7 @@
 
 /// A claim of a shard that is known to have no owner.
 pub fn unowned_claim(shard: &str) -> ClaimShard {
-    let (previous, replaces) = (PreviousOwner::Ended, Replaced::default());
+    let (previous, replaces) = (PreviousOwner::Ended, ExpectedOwner::default());
     ClaimShard { shard: shard.to_owned(), previous, replaces }
 }
 
