--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -44,7 +44,7 @@
     /// Version of the configuration in force at the sender.
     pub config: u64,
     /// Shards owned by the sender.
-    pub shards: Vec<ShardNews>,
+    pub shards: Vec<ShardReport>,
 }
 
 impl Hello {
@@ -52,9 +52,9 @@
     /// largest part of a hello and is needed only to lend tasks.
     pub fn brief(&self) -> Self {
         let mut brief = self.clone();
-        for news in &mut brief.shards {
-            news.summary.rooms.clear();
-            news.summary.harmless_free.clear();
+        for report in &mut brief.shards {
+            report.summary.rooms.clear();
+            report.summary.harmless_free.clear();
         }
         brief
     }
@@ -62,7 +62,7 @@
 
 /// State of a shard as reported by its owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardNews {
+pub struct ShardReport {
     pub name: String,
     pub fence: u64,
     pub summary: Summary,
--- a/src/cluster/ownership/members.rs
+++ b/src/cluster/ownership/members.rs
@@ -134,10 +134,10 @@
             known.store_since = self.now;
         }
         known.config = hello.config;
-        known.shards = hello.shards.iter().map(|news| news.name.clone()).collect();
-        for news in hello.shards {
-            self.learn(&news.name, hello.from.id.clone(), news.fence);
-            let view = self.shards.get_mut(&news.name);
+        known.shards = hello.shards.iter().map(|report| report.name.clone()).collect();
+        for report in hello.shards {
+            self.learn(&report.name, hello.from.id.clone(), report.fence);
+            let view = self.shards.get_mut(&report.name);
             if let Some(view) = view.filter(|view| view.owner.as_ref() == Some(&hello.from.id)) {
                 view.announced = true;
             }
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -164,17 +164,21 @@
 
     fn handle(&mut self, msg: HelloReceived, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
-        for news in &msg.0.shards {
-            let shared: Arc<str> = Arc::from(news.name.as_str());
-            news.accepted.iter().for_each(|job| self.add_to_directory(*job, &shared));
-            let summary = Arc::new(news.summary.clone());
+        for report in &msg.0.shards {
+            let shared: Arc<str> = Arc::from(report.name.as_str());
+            report.accepted.iter().for_each(|job| self.add_to_directory(*job, &shared));
+            let summary = Arc::new(report.summary.clone());
             self.remote_shards
-                .insert(news.name.clone(), ShardView { owner: None, summary, summary_at: now });
-            let lapses = TimedLapses { at: now, lapses: news.lapses.clone() };
-            self.reported_lapses.insert(news.name.clone(), lapses);
+                .insert(report.name.clone(), ShardView { owner: None, summary, summary_at: now });
+            let lapses = TimedLapses { at: now, lapses: report.lapses.clone() };
+            self.reported_lapses.insert(report.name.clone(), lapses);
         }
-        let learned: Vec<(String, Vec<PairEstimate>)> =
-            msg.0.shards.iter().map(|news| (news.name.clone(), news.learned.clone())).collect();
+        let learned: Vec<(String, Vec<PairEstimate>)> = msg
+            .0
+            .shards
+            .iter()
+            .map(|report| (report.name.clone(), report.learned.clone()))
+            .collect();
         for (from, learned) in learned {
             self.share_learned(&from, learned, cx);
         }
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -2,7 +2,7 @@
 
 use super::{Control, HostedShard};
 use crate::clock::Clock;
-use crate::cluster::{Hello, MemberStage, ShardNews};
+use crate::cluster::{Hello, MemberStage, ShardReport};
 use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::links::SendHello;
 use crate::jobs::view::{Owner, Readiness, ShardView, View};
@@ -139,7 +139,7 @@
             from: self.ownership.me().clone(),
             store: self.store_reach,
             config: self.queues.as_ref().map_or(0, |queues| queues.version),
-            shards: self.shard_news(),
+            shards: self.shard_reports(),
         };
         let (owners, others) = to.into_iter().partition(|to| self.ownership.is_owner(&to.name));
         if let Some(actors) = &self.actors {
@@ -147,9 +147,9 @@
         }
     }
 
-    pub(super) fn shard_news(&mut self) -> Vec<ShardNews> {
+    pub(super) fn shard_reports(&mut self) -> Vec<ShardReport> {
         let now = self.clock.now();
-        let news = |(name, hosted): (&String, &mut HostedShard)| {
+        let report = |(name, hosted): (&String, &mut HostedShard)| {
             while hosted
                 .accepted
                 .front()
@@ -161,7 +161,7 @@
             if learned_due {
                 hosted.next_learned_at = now + LEARNED_INTERVAL;
             }
-            ShardNews {
+            ShardReport {
                 name: name.clone(),
                 fence: hosted.shard.fence().0,
                 summary: (*hosted.summary).clone(),
@@ -170,7 +170,7 @@
                 lapses: hosted.shard.reported_lapses(now),
             }
         };
-        self.hosted.iter_mut().map(news).collect()
+        self.hosted.iter_mut().map(report).collect()
     }
 
     /// Passes the interference learned by another shard to the local shards, and keeps it for
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,7 +1,7 @@
 use super::{ActorHandles, Connect, Control, HandleCall, HasShards, HelloReceived, StoreEvent};
 use crate::clock::{Clock, ManualClock};
 use crate::cluster::ownership::OWN_PAUSE;
-use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
+use crate::cluster::{Hello, Member, MemberStage, ShardReport, StoreReach};
 use crate::ids::{DaemonId, DomainId, ServiceName, VmId};
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
 use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
@@ -213,7 +213,7 @@
 /// Hello in which an earlier owner reports the silent VM.
 fn hello() -> Hello {
     let lapse = VmLapse { vm: VmId::new(VM), left: Duration::from_secs(5) };
-    let news = ShardNews {
+    let report = ShardReport {
         name: SHARD.to_owned(),
         fence: 5,
         summary: Summary::default(),
@@ -222,7 +222,7 @@
         lapses: vec![ReportedLapse { lapse, mark: SilenceMark(3) }],
     };
     let from = Member { id: DaemonId::new("two@1"), name: "two".to_owned(), ..me() };
-    Hello { from, store: StoreReach::Reached, config: 1, shards: vec![news] }
+    Hello { from, store: StoreReach::Reached, config: 1, shards: vec![report] }
 }
 
 // A daemon loses a shard and claims it again. Guards against it forgetting what it reported about
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use std::time::Duration;
 use waxwingstall::cluster::{
-    Action, Event, HandOver, Head, Hello, Member, MemberStage, Ownership, Plan, ShardNews,
+    Action, Event, HandOver, Head, Hello, Member, MemberStage, Ownership, Plan, ShardReport,
     StoreReach,
 };
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
@@ -31,8 +31,8 @@
     }
 }
 
-fn news(shard: &str, fence: u64) -> ShardNews {
-    ShardNews {
+fn report(shard: &str, fence: u64) -> ShardReport {
+    ShardReport {
         name: shard.to_owned(),
         fence,
         summary: Summary::default(),
@@ -95,7 +95,7 @@
         }
     }
 
-    fn set_peer(&mut self, from: Member, shards: Vec<ShardNews>) {
+    fn set_peer(&mut self, from: Member, shards: Vec<ShardReport>) {
         let hello = Hello { from, store: StoreReach::Reached, config: 1, shards };
         self.others.insert(hello.from.name.clone(), hello);
     }
@@ -176,7 +176,7 @@
     assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
     let (handed_over, _) = full.handed_over[0].clone();
     full.step(Event::Gone { shard: handed_over.clone(), reason: "handed over" });
-    full.set_peer(member("empty", STRONG), vec![news(&handed_over, 9)]);
+    full.set_peer(member("empty", STRONG), vec![report(&handed_over, 9)]);
     full.run_for(ms(8000));
     assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
 }
@@ -189,7 +189,7 @@
     for number in 0..39 {
         idle.set_peer(member(&format!("d{number}"), WEAK), Vec::new());
     }
-    idle.set_peer(member("owner", STRONG), vec![news("kacyiru.0", 5)]);
+    idle.set_peer(member("owner", STRONG), vec![report("kacyiru.0", 5)]);
     idle.run_for(ms(100));
     let hellos = |harness: &mut Harness| {
         let mut count: IndexMap<String, u32> = IndexMap::new();
@@ -219,7 +219,7 @@
 #[test]
 fn a_daemon_that_has_just_become_an_owner_is_not_taken_for_silent() {
     let mut harness = Harness::new(member("strong", STRONG), 1);
-    harness.set_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.set_peer(member("before", STRONG), vec![report("kacyiru.0", 5)]);
     harness.step(Event::Registered(vec![member("quiet", STRONG)]));
     harness.run_for(ms(3000));
     let before = Head::claim(DaemonId::new("before@1"), None);
@@ -244,7 +244,7 @@
 #[test]
 fn an_owner_that_is_loading_its_shard_has_not_released_it() {
     let mut harness = Harness::new(member("worse", WEAK), 1);
-    harness.set_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.set_peer(member("before", STRONG), vec![report("kacyiru.0", 5)]);
     harness.set_peer(member("reading", STRONG), Vec::new());
     harness.run_for(ms(3000));
     harness.others.shift_remove("before");
@@ -254,7 +254,7 @@
     harness.step(Event::Heads(vec![("kacyiru.0".to_owned(), head)]));
     harness.run_for(SLOW_CLAIM);
     assert_eq!(harness.claims, [], "its owner is alive and still loading");
-    harness.set_peer(member("reading", STRONG), vec![news("kacyiru.0", 9)]);
+    harness.set_peer(member("reading", STRONG), vec![report("kacyiru.0", 9)]);
     harness.run_for(ms(2000));
     assert_eq!(harness.claims, []);
 }
@@ -271,7 +271,7 @@
     harness.claims.clear();
     let quicker = Head::claim(DaemonId::new("quicker@1"), None);
     harness.set_peer(member("quicker", STRONG), Vec::new());
-    harness.set_peer(member("present", STRONG), vec![news("kacyiru.0", 9)]);
+    harness.set_peer(member("present", STRONG), vec![report("kacyiru.0", 9)]);
     harness.run_for(ms(100));
     let (shard, reason) = ("kacyiru.0".to_owned(), "quicker@1 was quicker".to_owned());
     harness.step(Event::ClaimFailed { shard, head: Some(quicker), reason });
@@ -289,7 +289,7 @@
 #[test]
 fn an_owner_known_only_by_its_earlier_process_is_not_considered_ended() {
     let mut harness = Harness::new(member("strong", STRONG), 1);
-    harness.set_peer(member("before", STRONG), vec![news("kacyiru.0", 5)]);
+    harness.set_peer(member("before", STRONG), vec![report("kacyiru.0", 5)]);
     harness.set_peer(member("anew", STRONG), Vec::new());
     harness.run_for(ms(3000));
     harness.others.shift_remove("anew");
