--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -18,7 +18,8 @@
     pub addr: String,
     pub stage: MemberStage,
     /// CPU available to the daemon, in thousandths of a core.
-    pub power: u32,
+    #[serde(rename = "power")]
+    pub milli_cores: u32,
 }
 
 /// Whether a daemon accepts shards.
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -168,5 +168,5 @@
 
 /// Number of shards relative to a daemon's CPU, in millionths of a shard per thousandth of a core.
 pub(super) fn load(member: &Member, shards: usize) -> u64 {
-    shards as u64 * 1_000_000 / u64::from(member.power.max(1))
+    shards as u64 * 1_000_000 / u64::from(member.milli_cores.max(1))
 }
--- a/src/jobs/calls/tests.rs
+++ b/src/jobs/calls/tests.rs
@@ -58,7 +58,7 @@
         domain: DomainId::new("kacyiru"),
         addr: addr.to_string(),
         stage: MemberStage::Serving,
-        power: 100,
+        milli_cores: 100,
     }
 }
 
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -75,7 +75,7 @@
         domain: DomainId::new("kacyiru"),
         addr: "127.0.0.1:1".to_owned(),
         stage: MemberStage::Serving,
-        power: 100,
+        milli_cores: 100,
     }
 }
 
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -222,6 +222,6 @@
         domain: settings.domain.clone(),
         addr: addr.to_string(),
         stage: MemberStage::Serving,
-        power: settings.machine.milli_cores(),
+        milli_cores: settings.machine.milli_cores(),
     }
 }
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -461,6 +461,6 @@
         domain: DomainId::new("kacyiru"),
         addr: "127.0.0.1:1".to_owned(),
         stage: MemberStage::Serving,
-        power: 500,
+        milli_cores: 500,
     }
 }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -20,14 +20,14 @@
     Duration::from_millis(n)
 }
 
-fn member(name: &str, power: u32) -> Member {
+fn member(name: &str, milli_cores: u32) -> Member {
     Member {
         id: DaemonId::new(&format!("{name}@1")),
         name: name.to_owned(),
         domain: DomainId::new(HOME),
         addr: format!("{name}:1"),
         stage: MemberStage::Serving,
-        power,
+        milli_cores,
     }
 }
 
