--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -51,13 +51,13 @@
 impl Hello {
     /// A shorter hello for receivers that own no shard. It omits the free room of VMs, which is the
     /// largest part of a hello and is needed only to lend tasks.
-    pub fn brief(&self) -> Self {
-        let mut brief = self.clone();
-        for report in &mut brief.shards {
+    pub fn without_free_room(&self) -> Self {
+        let mut shortened = self.clone();
+        for report in &mut shortened.shards {
             report.summary.rooms.clear();
             report.summary.harmless_free.clear();
         }
-        brief
+        shortened
     }
 }
 
--- a/src/jobs/links.rs
+++ b/src/jobs/links.rs
@@ -196,7 +196,7 @@
     type Result = ();
 
     fn handle(&mut self, msg: SendHello, _: &mut Self::Context) {
-        let brief = msg.hello.brief();
+        let brief = msg.hello.without_free_room();
         msg.owners.iter().for_each(|owner| self.send_hello(owner, msg.hello.clone()));
         msg.others.iter().for_each(|other| self.send_hello(other, brief.clone()));
         self.own_hello = Some(OwnHello { full: msg.hello, brief });
