--- a/src/cluster.rs
+++ b/src/cluster.rs
@@ -11,6 +11,6 @@
 pub mod plan;
 
 pub use head::{ExpectedOwner, Head};
-pub use member::{Hello, Member, MemberStage, ShardReport, StoreReach};
+pub use member::{Hello, Member, MemberStage, ShardReport, StoreReachability};
 pub use ownership::{Action, Event, HandOver, Ownership};
 pub use plan::Plan;
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -32,7 +32,7 @@
 
 /// Whether a daemon can reach the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreReach {
+pub enum StoreReachability {
     Reached,
     Away,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     pub from: Member,
-    pub store: StoreReach,
+    pub store: StoreReachability,
     /// Version of the configuration in force at the sender.
     pub config: u64,
     /// Shards owned by the sender.
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -15,7 +15,7 @@
 mod sharing;
 
 use super::head::{ExpectedOwner, Head};
-use super::member::{Hello, Member, MemberStage, StoreReach};
+use super::member::{Hello, Member, MemberStage, StoreReachability};
 use super::plan::Plan;
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Note, Word};
@@ -64,7 +64,7 @@
         from: DaemonId,
     },
     /// Whether this daemon can reach the store.
-    Store(StoreReach),
+    Store(StoreReachability),
     /// This daemon begins a planned stop.
     Drain,
     /// This daemon exits now and releases its remaining shards.
@@ -130,7 +130,7 @@
     members: IndexMap<String, MemberState>,
     shards: IndexMap<String, ShardView>,
     held: IndexMap<String, HoldState>,
-    store: StoreReach,
+    store: StoreReachability,
     store_since: Duration,
     /// Newest configuration version in force at any other daemon.
     newest_config: u64,
@@ -150,7 +150,7 @@
             members: IndexMap::new(),
             shards: IndexMap::new(),
             held: IndexMap::new(),
-            store: StoreReach::Away,
+            store: StoreReachability::Away,
             store_since: now,
             newest_config: 0,
             next_heads_read: now,
@@ -198,8 +198,8 @@
     /// Whether this daemon or any other live daemon can reach the store.
     pub fn store_in_reach(&self) -> bool {
         let reached =
-            |known: &MemberState| known.store == StoreReach::Reached && self.is_alive(known);
-        self.store == StoreReach::Reached || self.members.values().any(reached)
+            |known: &MemberState| known.store == StoreReachability::Reached && self.is_alive(known);
+        self.store == StoreReachability::Reached || self.members.values().any(reached)
     }
 
     /// Newest configuration version in force at any other daemon.
@@ -334,7 +334,7 @@
         self.claim(shard, Some(from), cause);
     }
 
-    fn handle_store_reach(&mut self, reach: StoreReach) {
+    fn handle_store_reach(&mut self, reach: StoreReachability) {
         if self.store != reach {
             self.store = reach;
             self.store_since = self.now;
--- a/src/cluster/ownership/members.rs
+++ b/src/cluster/ownership/members.rs
@@ -2,7 +2,7 @@
 
 use super::orphans::OWNER_TIMEOUT;
 use super::{Action, Ownership};
-use crate::cluster::member::{Hello, Member, StoreReach};
+use crate::cluster::member::{Hello, Member, StoreReachability};
 use crate::ids::DaemonId;
 use crate::note::{Ms, Note, Word};
 use std::time::Duration;
@@ -24,7 +24,7 @@
     pub(super) last_heard: Duration,
     /// When this process of the daemon was first heard of.
     pub(super) joined: Duration,
-    pub(super) store: StoreReach,
+    pub(super) store: StoreReachability,
     /// When `store` last changed.
     pub(super) store_since: Duration,
     pub(super) shards: Vec<String>,
@@ -101,7 +101,7 @@
             member,
             last_heard: self.now,
             joined: self.now,
-            store: StoreReach::Away,
+            store: StoreReachability::Away,
             store_since: self.now,
             shards: Vec::new(),
             config: 0,
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -3,7 +3,7 @@
 use super::members::MemberState;
 use super::{Action, HoldState, Ownership, ShardView};
 use crate::cluster::head::ExpectedOwner;
-use crate::cluster::member::{Member, MemberStage, StoreReach};
+use crate::cluster::member::{Member, MemberStage, StoreReachability};
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Ms, Note, Word};
 use crate::shard::PreviousOwner;
@@ -91,7 +91,7 @@
 
     pub(super) fn claim_orphans(&mut self) {
         let settled = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
-        let fit = self.me.stage == MemberStage::Serving && self.store == StoreReach::Reached;
+        let fit = self.me.stage == MemberStage::Serving && self.store == StoreReachability::Reached;
         if !settled || !fit {
             return;
         }
@@ -135,7 +135,7 @@
             .members
             .values()
             .filter(|known| self.is_alive(known) && known.member.stage == MemberStage::Serving)
-            .filter(|known| known.store == StoreReach::Reached)
+            .filter(|known| known.store == StoreReachability::Reached)
             .filter(|known| self.rank(shard, domain, &known.member, known.shards.len()) < mine)
             .count();
         let remote_delay =
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -2,7 +2,7 @@
 
 use super::members::MemberState;
 use super::{Action, HandOver, HoldState, Ownership};
-use crate::cluster::member::{Member, MemberStage, StoreReach};
+use crate::cluster::member::{Member, MemberStage, StoreReachability};
 use crate::ids::DomainId;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -32,7 +32,7 @@
     /// Hands shards over to better placed daemons.
     pub(super) fn rebalance(&mut self) {
         let owned = self.owned();
-        let lost = self.store == StoreReach::Away
+        let lost = self.store == StoreReachability::Away
             && self.now.saturating_sub(self.store_since) >= STORE_DOWN_DELAY;
         for shard in &owned {
             let Some(domain) = self.shards.get(shard).map(|view| view.domain.clone()) else {
@@ -128,7 +128,7 @@
     fn can_take(&self, known: &MemberState) -> bool {
         self.is_alive(known)
             && known.member.stage == MemberStage::Serving
-            && known.store == StoreReach::Reached
+            && known.store == StoreReachability::Reached
     }
 
     fn best_candidate(
--- a/src/jobs/confirmed.rs
+++ b/src/jobs/confirmed.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::cluster::StoreReach;
+use crate::cluster::StoreReachability;
 use std::time::Duration;
 
 /// Part of the time allowed for a change that is reserved for answering a call.
@@ -46,8 +46,8 @@
     }
 
     /// Updates whether the store or another daemon could provide a newer version.
-    pub fn update_reach(&mut self, store: StoreReach, in_force: u64, newest_heard: u64) {
-        self.cut_off = store == StoreReach::Away && newest_heard <= in_force;
+    pub fn update_reach(&mut self, store: StoreReachability, in_force: u64, newest_heard: u64) {
+        self.cut_off = store == StoreReachability::Away && newest_heard <= in_force;
     }
 
     /// Time since the last confirmation.
--- a/src/jobs/confirmed/tests.rs
+++ b/src/jobs/confirmed/tests.rs
@@ -1,12 +1,12 @@
 use super::{ANSWER_MARGIN, ConfigConfirmation, ConfirmationStatus};
-use crate::cluster::StoreReach;
+use crate::cluster::StoreReachability;
 use std::time::Duration;
 
 const IN_FORCE: Duration = Duration::from_secs(2);
 const START: Duration = Duration::from_secs(100);
 
 /// Status of a daemon whose confirmation of version 7 has expired.
-fn unconfirmed(store: StoreReach, newest_heard: u64) -> ConfirmationStatus {
+fn unconfirmed(store: StoreReachability, newest_heard: u64) -> ConfirmationStatus {
     let mut confirmed = ConfigConfirmation::new(START, IN_FORCE);
     confirmed.update_reach(store, 7, newest_heard);
     confirmed.status(START + IN_FORCE)
@@ -16,16 +16,16 @@
 // have a newer one.
 #[test]
 fn an_expired_confirmation_is_accepted_only_when_cut_off_from_newer_versions() {
-    assert_eq!(unconfirmed(StoreReach::Reached, 0), ConfirmationStatus::Unconfirmed);
-    assert_eq!(unconfirmed(StoreReach::Away, 8), ConfirmationStatus::Unconfirmed);
-    assert_eq!(unconfirmed(StoreReach::Away, 7), ConfirmationStatus::CutOff);
+    assert_eq!(unconfirmed(StoreReachability::Reached, 0), ConfirmationStatus::Unconfirmed);
+    assert_eq!(unconfirmed(StoreReachability::Away, 8), ConfirmationStatus::Unconfirmed);
+    assert_eq!(unconfirmed(StoreReachability::Away, 7), ConfirmationStatus::CutOff);
 }
 
 // Guards against refusing calls while confirmations arrive on time.
 #[test]
 fn a_recent_confirmation_holds_when_a_newer_version_is_reported() {
     let mut confirmed = ConfigConfirmation::new(START, IN_FORCE);
-    confirmed.update_reach(StoreReach::Away, 7, 8);
+    confirmed.update_reach(StoreReachability::Away, 7, 8);
     assert_eq!(confirmed.status(START + IN_FORCE - ANSWER_MARGIN), ConfirmationStatus::Confirmed);
 }
 
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -26,7 +26,7 @@
 use super::view::{JobDirectory, ShardView, View};
 use crate::clock::Clock;
 use crate::cluster::ownership::OWN_PAUSE;
-use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReach};
+use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReachability};
 use crate::ids::{DaemonId, Ticket};
 use crate::job::JobId;
 use crate::job::check::Shapes;
@@ -133,7 +133,7 @@
     fleet: Vec<VmEntry>,
     vm_shapes: Arc<Shapes>,
     plan: Plan,
-    store_reach: StoreReach,
+    store_reach: StoreReachability,
     store_lost_at: Option<Duration>,
     maintenance: WaveScheduler,
     next_maintenance: Duration,
@@ -181,7 +181,7 @@
             fleet: Vec::new(),
             vm_shapes: Arc::default(),
             plan: Plan::default(),
-            store_reach: StoreReach::Away,
+            store_reach: StoreReachability::Away,
             store_lost_at: None,
             maintenance,
             next_maintenance: now,
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -1,7 +1,7 @@
 //! Messages handled by the control actor.
 
 use super::{ActorHandles, Control, ShardOffer, TimedLapses};
-use crate::cluster::{self, Head, Hello, Member, Plan, StoreReach};
+use crate::cluster::{self, Head, Hello, Member, Plan, StoreReachability};
 use crate::ids::{DaemonId, Ticket};
 use crate::jobs::calls::{Call, Reply};
 use crate::jobs::follow::operators::LoadedConfig;
@@ -87,7 +87,7 @@
         reason: String,
     },
     Reach {
-        reach: StoreReach,
+        reach: StoreReachability,
         silent: Duration,
         reason: String,
     },
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -2,7 +2,7 @@
 
 use super::publish::LEARNED_INTERVAL;
 use super::{Control, HostedShard, TimedLapses};
-use crate::cluster::{self, HandOver, StoreReach};
+use crate::cluster::{self, HandOver, StoreReachability};
 use crate::ids::Ticket;
 use crate::job::JobId;
 use crate::jobs::calls::Reply;
@@ -285,17 +285,17 @@
 
     pub(super) fn update_store_reach(
         &mut self,
-        reach: StoreReach,
+        reach: StoreReachability,
         silent: Duration,
         reason: String,
     ) {
         let now = self.now().steady;
         match (reach, self.store_reach) {
-            (StoreReach::Away, StoreReach::Reached) => {
+            (StoreReachability::Away, StoreReachability::Reached) => {
                 self.store_lost_at = Some(now);
                 self.journal.write(Note::StoreLost { reason, silent_ms: Ms(silent) });
             }
-            (StoreReach::Reached, StoreReach::Away) => {
+            (StoreReachability::Reached, StoreReachability::Away) => {
                 let away = self.store_lost_at.take().map_or(Duration::ZERO, |at| now - at);
                 self.journal.write(Note::StoreRegained { away_ms: Ms(away) });
             }
--- a/src/jobs/control/status.rs
+++ b/src/jobs/control/status.rs
@@ -4,7 +4,7 @@
 use crate::api::{
     ConfigStatus, DaemonState, MemberStatus, ShardStatus, Status, StoreStatus, millis,
 };
-use crate::cluster::{MemberStage, StoreReach};
+use crate::cluster::{MemberStage, StoreReachability};
 use crate::ids::{ClassName, Revision};
 use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::view::Readiness;
@@ -29,7 +29,7 @@
     fn status(&self) -> Status {
         let now = self.clock.now();
         let me = self.ownership.me();
-        let reachable = self.store_reach == StoreReach::Reached;
+        let reachable = self.store_reach == StoreReachability::Reached;
         Status {
             daemon: me.id.clone(),
             domain: me.domain.clone(),
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,7 +1,7 @@
 use super::{ActorHandles, Connect, Control, HandleCall, HasShards, HelloReceived, StoreEvent};
 use crate::clock::{Clock, ManualClock};
 use crate::cluster::ownership::OWN_PAUSE;
-use crate::cluster::{Hello, Member, MemberStage, ShardReport, StoreReach};
+use crate::cluster::{Hello, Member, MemberStage, ShardReport, StoreReachability};
 use crate::ids::{DaemonId, DomainId, ServiceName, VmId};
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
 use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
@@ -222,7 +222,7 @@
         lapses: vec![ReportedLapse { lapse, mark: SilenceMark(3) }],
     };
     let from = Member { id: DaemonId::new("two@1"), name: "two".to_owned(), ..me() };
-    Hello { from, store: StoreReach::Reached, config: 1, shards: vec![report] }
+    Hello { from, store: StoreReachability::Reached, config: 1, shards: vec![report] }
 }
 
 // A daemon loses a shard and claims it again. Guards against it forgetting what it reported about
--- a/src/jobs/follow/fleet.rs
+++ b/src/jobs/follow/fleet.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 use super::{FailureStreak, FollowContext, ReadProgress, extend_plan, read_all};
-use crate::cluster::StoreReach;
+use crate::cluster::StoreReachability;
 use crate::jobs::control::StoreEvent;
 use crate::jobs::records::{retry_delay, unreadable_note};
 use crate::jobs::{Platform, UnreadableEntry};
@@ -256,7 +256,7 @@
         let recently_regained =
             reach.regained() > Duration::ZERO && since_regained < REANNOUNCE_WINDOW;
         match reach.state(now) {
-            StoreReach::Reached if !recently_regained => FleetListStatus::Complete,
+            StoreReachability::Reached if !recently_regained => FleetListStatus::Complete,
             _ => FleetListStatus::Recovering,
         }
     }
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -9,7 +9,7 @@
 use super::follow::{self, FollowContext, OwnershipSignal};
 use super::{Platform, UnreadableEntry};
 use crate::clock::Clock;
-use crate::cluster::{ExpectedOwner, Member, StoreReach};
+use crate::cluster::{ExpectedOwner, Member, StoreReachability};
 use crate::ids::DaemonId;
 use crate::job::JobId;
 use crate::kv::{Error, HasRevision, KvStore, Result, Rev, Txn};
@@ -56,7 +56,7 @@
                 *self.reason.borrow_mut() = e.to_string();
             }
             _ => {
-                if self.state(now) == StoreReach::Away {
+                if self.state(now) == StoreReachability::Away {
                     self.regained.set(now);
                 }
                 self.failures.set(0);
@@ -66,12 +66,12 @@
     }
 
     /// Whether the store is reachable.
-    pub fn state(&self, now: Duration) -> StoreReach {
-        let Some(answered) = self.answered.get() else { return StoreReach::Away };
+    pub fn state(&self, now: Duration) -> StoreReachability {
+        let Some(answered) = self.answered.get() else { return StoreReachability::Away };
         let silent = now.saturating_sub(answered);
         let away =
             (self.failures.get() >= 2 && silent >= FAILING_TIMEOUT) || silent >= SILENCE_TIMEOUT;
-        if away { StoreReach::Away } else { StoreReach::Reached }
+        if away { StoreReachability::Away } else { StoreReachability::Reached }
     }
 
     /// Time since the last answer.
@@ -139,7 +139,7 @@
     shards: IndexMap<String, mpsc::Sender<CommitRequest>>,
     /// Claims in progress.
     claims: u32,
-    reported_reach: StoreReach,
+    reported_reach: StoreReachability,
     ownership: Rc<OwnershipSignal>,
     lease_ttl: Duration,
 }
@@ -167,7 +167,7 @@
             control,
             shards: IndexMap::new(),
             claims: 0,
-            reported_reach: StoreReach::Away,
+            reported_reach: StoreReachability::Away,
             ownership: Rc::default(),
             lease_ttl,
         }
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use waxwingstall::cluster::{
     Action, Event, HandOver, Head, Hello, Member, MemberStage, Ownership, Plan, ShardReport,
-    StoreReach,
+    StoreReachability,
 };
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use waxwingstall::shard::Summary;
@@ -77,7 +77,7 @@
             claims: Vec::new(),
             handed_over: Vec::new(),
         };
-        harness.step(Event::Store(StoreReach::Reached));
+        harness.step(Event::Store(StoreReachability::Reached));
         harness.step(Event::Plan(plan(shards)));
         harness
     }
@@ -96,7 +96,7 @@
     }
 
     fn set_peer(&mut self, from: Member, shards: Vec<ShardReport>) {
-        let hello = Hello { from, store: StoreReach::Reached, config: 1, shards };
+        let hello = Hello { from, store: StoreReachability::Reached, config: 1, shards };
         self.others.insert(hello.from.name.clone(), hello);
     }
 
