--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -54,7 +54,7 @@
         reason: String,
     },
     /// A shard was lost or handed over.
-    Gone {
+    NoLongerOwned {
         shard: String,
         reason: Word,
     },
@@ -68,7 +68,7 @@
     /// This daemon begins a planned stop.
     Drain,
     /// This daemon exits now and releases its remaining shards.
-    GiveUp,
+    ReleaseAll,
 }
 
 /// Output of [`Ownership::step`].
@@ -237,11 +237,11 @@
             Event::ClaimFailed { shard, head, reason } => {
                 self.handle_claim_failed(shard, head, reason)
             }
-            Event::Gone { shard, reason } => self.handle_gone(&shard, reason),
+            Event::NoLongerOwned { shard, reason } => self.handle_no_longer_owned(&shard, reason),
             Event::Offered { shard, from } => self.handle_offer(&shard, &from),
             Event::Store(reach) => self.handle_store_reach(reach),
             Event::Drain => self.me.stage = MemberStage::Draining,
-            Event::GiveUp => self.release_all(),
+            Event::ReleaseAll => self.release_all(),
         }
         if self.me.stage == MemberStage::Draining {
             self.hand_over_all();
@@ -304,7 +304,7 @@
         self.actions.push(Action::Note(Note::ShardClaimFailed { shard, reason }));
     }
 
-    fn handle_gone(&mut self, shard: &str, reason: Word) {
+    fn handle_no_longer_owned(&mut self, shard: &str, reason: Word) {
         self.held.shift_remove(shard);
         let now = self.now;
         if let Some(view) = self.shards.get_mut(shard) {
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -303,7 +303,7 @@
 
     fn handle(&mut self, _: ReleaseShards, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
-        self.step_ownership(cluster::Event::GiveUp, cx);
+        self.step_ownership(cluster::Event::ReleaseAll, cx);
         self.ownership.greet_all();
         self.publish(now);
     }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -111,7 +111,7 @@
         if let Some(actors) = &self.actors {
             actors.removals.do_send(RemoveShard { shard: shard.to_owned() });
         }
-        let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
+        let dropped = cluster::Event::NoLongerOwned { shard: shard.to_owned(), reason };
         self.step_ownership(dropped, cx);
     }
 
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -175,7 +175,7 @@
     full.run_for(ms(4000));
     assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
     let (handed_over, _) = full.handed_over[0].clone();
-    full.step(Event::Gone { shard: handed_over.clone(), reason: "handed over" });
+    full.step(Event::NoLongerOwned { shard: handed_over.clone(), reason: "handed over" });
     full.set_peer(member("empty", STRONG), vec![report(&handed_over, 9)]);
     full.run_for(ms(8000));
     assert_eq!(full.handed_over.len(), 1, "{:?}", full.handed_over);
@@ -329,6 +329,6 @@
     harness.step(Event::Drain);
     harness.run_for(ms(2000));
     assert_eq!(harness.handed_over, []);
-    harness.step(Event::GiveUp);
+    harness.step(Event::ReleaseAll);
     assert_eq!(harness.handed_over, [("kacyiru.0".to_owned(), "last".to_owned())]);
 }
