--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -95,9 +95,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandOver {
     /// After all decisions made so far are durable.
-    Settled,
+    AfterCommit,
     /// Immediately, because this daemon can't reach the store.
-    AtOnce,
+    Immediate,
 }
 
 /// Last known state of a shard.
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -40,7 +40,7 @@
             };
             let away = domain != self.me.domain;
             if lost || away {
-                let how = if lost { HandOver::AtOnce } else { HandOver::Settled };
+                let how = if lost { HandOver::Immediate } else { HandOver::AfterCommit };
                 self.hand_over_to_best(shard, &domain, how);
             }
         }
@@ -77,7 +77,7 @@
         let Some(shard) = owned.iter().find(is_home).cloned() else { return };
         if let Some(to) = self.best_candidate(&shard, &home, eligible) {
             self.next_rebalance = now + REBALANCE_INTERVAL;
-            self.hand_over(shard, to, HandOver::Settled);
+            self.hand_over(shard, to, HandOver::AfterCommit);
         }
     }
 
@@ -90,14 +90,14 @@
             // The shard stays here if no daemon can take it. When it was released instead, it had
             // no owner for as long as several daemons were restarting at once.
             let Some(to) = self.best_candidate(&shard, &domain, eligible) else { continue };
-            self.hand_over(shard, to, HandOver::Settled);
+            self.hand_over(shard, to, HandOver::AfterCommit);
         }
     }
 
     /// Releases the remaining shards, so that the next daemon finds them without an owner.
     pub(super) fn release_all(&mut self) {
         for shard in self.owned() {
-            self.hand_over(shard, self.me.clone(), HandOver::Settled);
+            self.hand_over(shard, self.me.clone(), HandOver::AfterCommit);
         }
     }
 
@@ -105,14 +105,14 @@
     fn hand_over_to_best(&mut self, shard: &str, domain: &DomainId, how: HandOver) {
         let now = self.now;
         let min_age = match how {
-            HandOver::AtOnce => Duration::ZERO,
-            HandOver::Settled => STABLE_AFTER,
+            HandOver::Immediate => Duration::ZERO,
+            HandOver::AfterCommit => STABLE_AFTER,
         };
         let eligible = |known: &&MemberState| {
             self.can_take(known)
                 && known.member.domain == *domain
                 && now.saturating_sub(known.joined) >= min_age
-                && (how == HandOver::Settled
+                && (how == HandOver::AfterCommit
                     || now.saturating_sub(known.store_since) >= STORE_UP_DELAY)
         };
         if let Some(to) = self.best_candidate(shard, domain, eligible) {
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -127,8 +127,8 @@
                         hosted.new_owner = Some(to);
                     }
                     match how {
-                        HandOver::Settled => self.step_shard(&shard, Event::HandOver, cx),
-                        HandOver::AtOnce => self.complete_hand_over(&shard, cx),
+                        HandOver::AfterCommit => self.step_shard(&shard, Event::HandOver, cx),
+                        HandOver::Immediate => self.complete_hand_over(&shard, cx),
                     }
                 }
                 other => self.execute_ownership_action(other),
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -87,7 +87,7 @@
             match action {
                 Action::Claim { shard, .. } => self.claims.push((self.now, shard)),
                 Action::HandOver { shard, to, how } => {
-                    assert_eq!(how, HandOver::Settled);
+                    assert_eq!(how, HandOver::AfterCommit);
                     self.handed_over.push((shard, to.name));
                 }
                 Action::ReadHeads | Action::Probe(_) | Action::Note(_) => {}
