--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -28,7 +28,7 @@
 use std::time::Duration;
 
 /// Length of a pause of this daemon beyond which the silence of other daemons is not counted.
-pub const OWN_PAUSE: Duration = Duration::from_millis(500);
+pub const OWN_PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// Input of [`Ownership::step`].
 #[derive(Clone, Debug)]
@@ -253,7 +253,7 @@
     fn ignore_own_pause(&mut self) {
         let pause = self.now.saturating_sub(self.last_tick);
         self.last_tick = self.now;
-        if pause < OWN_PAUSE {
+        if pause < OWN_PAUSE_THRESHOLD {
             return;
         }
         for known in self.members.values_mut() {
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -25,7 +25,7 @@
 use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
 use super::view::{JobDirectory, ShardView, View};
 use crate::clock::Clock;
-use crate::cluster::ownership::OWN_PAUSE;
+use crate::cluster::ownership::OWN_PAUSE_THRESHOLD;
 use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReachability};
 use crate::ids::{DaemonId, Ticket};
 use crate::job::JobId;
@@ -210,7 +210,7 @@
         let now = self.now();
         let pause = now.steady.saturating_sub(self.last_wake);
         self.last_wake = now.steady;
-        if pause >= OWN_PAUSE {
+        if pause >= OWN_PAUSE_THRESHOLD {
             self.confirm_all_ownership(cx);
         }
         now
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,6 +1,6 @@
 use super::{ActorHandles, Connect, Control, HandleCall, HasShards, HelloReceived, StoreEvent};
 use crate::clock::{Clock, ManualClock};
-use crate::cluster::ownership::OWN_PAUSE;
+use crate::cluster::ownership::OWN_PAUSE_THRESHOLD;
 use crate::cluster::{Hello, Member, MemberStage, ShardReport, StoreReachability};
 use crate::ids::{DaemonId, DomainId, ServiceName, VmId};
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
@@ -132,13 +132,13 @@
     let clock = Arc::new(ManualClock::new());
     let control = control(clock.clone());
     control.send(claimed()).await.expect("a control");
-    clock.advance(2 * OWN_PAUSE);
+    clock.advance(2 * OWN_PAUSE_THRESHOLD);
     for call in [Call::Show(JobId(1)), Call::Cancel(JobId(1))] {
         let asked = control.send(HandleCall { shard: SHARD.to_owned(), call });
         let reply = tokio::time::timeout(TEST_TIMEOUT, asked).await.expect("an answer");
         assert_eq!(reply.expect("a control"), Reply::NotOwner);
     }
-    assert!(clock.now() >= OWN_PAUSE);
+    assert!(clock.now() >= OWN_PAUSE_THRESHOLD);
 }
 
 /// Collects log output for the test.
@@ -235,7 +235,7 @@
     control.send(HelloReceived(hello())).await.expect("a control");
     control.send(claimed_with_silent_vm()).await.expect("a control");
     assert!(lines.wait_for("vm-lapse-told", 1).await, "the earlier owner reported the VM");
-    clock.advance(2 * OWN_PAUSE);
+    clock.advance(2 * OWN_PAUSE_THRESHOLD);
     control.send(HandleCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
     assert!(
         !control.send(HasShards).await.expect("a control"),
