--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -196,7 +196,7 @@
     }
 
     /// Whether this daemon or any other live daemon can reach the store.
-    pub fn store_in_reach(&self) -> bool {
+    pub fn is_store_reachable(&self) -> bool {
         let reached =
             |known: &MemberState| known.store == StoreReachability::Reached && self.is_alive(known);
         self.store == StoreReachability::Reached || self.members.values().any(reached)
@@ -214,7 +214,7 @@
     }
 
     /// How long the store has been in its current state (reachable or not) for this daemon.
-    pub fn store_for(&self, now: Duration) -> Duration {
+    pub fn store_state_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.store_since)
     }
 
@@ -230,7 +230,7 @@
             Event::Hello(hello) => self.handle_hello(hello),
             Event::Refused(id) => self.handle_refused(&id),
             Event::Heads(heads) => heads.into_iter().for_each(|(name, head)| {
-                self.learn(&name, head.owner, head.fence);
+                self.record_owner(&name, head.owner, head.fence);
             }),
             Event::Plan(plan) => self.handle_plan(&plan),
             Event::Claimed { shard, fence } => self.handle_claimed(&shard, fence),
@@ -264,7 +264,7 @@
         }
     }
 
-    fn learn(&mut self, shard: &str, owner: DaemonId, fence: u64) {
+    fn record_owner(&mut self, shard: &str, owner: DaemonId, fence: u64) {
         let now = self.now;
         let Some(view) = self.shards.get_mut(shard) else { return };
         let newer = fence > view.fence || (view.owner.is_none() && fence >= view.fence);
@@ -290,7 +290,7 @@
     fn handle_claimed(&mut self, shard: &str, fence: u64) {
         self.held.insert(shard.to_owned(), HoldState::Owned);
         let me = self.me.id.clone();
-        self.learn(shard, me, fence);
+        self.record_owner(shard, me, fence);
     }
 
     fn handle_claim_failed(&mut self, shard: String, head: Option<Head>, reason: String) {
@@ -299,7 +299,7 @@
             view.orphan = None;
         }
         if let Some(head) = head {
-            self.learn(&shard, head.owner, head.fence);
+            self.record_owner(&shard, head.owner, head.fence);
         }
         self.actions.push(Action::Note(Note::ShardClaimFailed { shard, reason }));
     }
--- a/src/cluster/ownership/members.rs
+++ b/src/cluster/ownership/members.rs
@@ -1,4 +1,4 @@
-//! MemberState daemons and the schedule of hellos to them.
+//! State of the other daemons and the schedule of hellos to them.
 
 use super::orphans::OWNER_TIMEOUT;
 use super::{Action, Ownership};
@@ -46,13 +46,13 @@
             .collect()
     }
 
-    /// The daemons that are due for a hello. Owners send hellos to everyone frequently, since
-    /// others rely on them. Daemons without shards send them to owners less often, and to each
-    /// other at an interval that grows with the size of the cluster.
-    pub fn to_greet(&mut self, now: Duration) -> Vec<Member> {
+    /// Returns the daemons that are due for a hello and schedules the next one for each. Owners send
+    /// hellos to everyone frequently, since others rely on them. Daemons without shards send them to
+    /// owners less often, and to each other at an interval that grows with the size of the cluster.
+    pub fn take_due_hellos(&mut self, now: Duration) -> Vec<Member> {
         let owns = !self.held.is_empty();
         let idle_interval = idle_hello_interval(self.members.len());
-        let mut greeted = Vec::new();
+        let mut due = Vec::new();
         for known in self.members.values_mut().filter(|known| now >= known.next_hello) {
             let pause = match (owns, known.shards.is_empty()) {
                 (true, _) => OWNER_HELLO_INTERVAL,
@@ -60,13 +60,13 @@
                 (false, true) => idle_interval,
             };
             known.next_hello = now + pause;
-            greeted.push(known.member.clone());
+            due.push(known.member.clone());
         }
-        greeted
+        due
     }
 
     /// Makes a hello to every daemon due at once, because of an important change.
-    pub fn greet_all(&mut self) {
+    pub fn schedule_hello_to_all(&mut self) {
         self.members.values_mut().for_each(|known| known.next_hello = self.now);
     }
 
@@ -136,7 +136,7 @@
         known.config = hello.config;
         known.shards = hello.shards.iter().map(|report| report.name.clone()).collect();
         for report in hello.shards {
-            self.learn(&report.name, hello.from.id.clone(), report.fence);
+            self.record_owner(&report.name, hello.from.id.clone(), report.fence);
             let view = self.shards.get_mut(&report.name);
             if let Some(view) = view.filter(|view| view.owner.as_ref() == Some(&hello.from.id)) {
                 view.announced = true;
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -288,7 +288,7 @@
     fn handle(&mut self, _: Drain, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
         self.step_ownership(cluster::Event::Drain, cx);
-        self.ownership.greet_all();
+        self.ownership.schedule_hello_to_all();
         self.publish(now);
     }
 }
@@ -304,7 +304,7 @@
     fn handle(&mut self, _: ReleaseShards, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
         self.step_ownership(cluster::Event::ReleaseAll, cx);
-        self.ownership.greet_all();
+        self.ownership.schedule_hello_to_all();
         self.publish(now);
     }
 }
--- a/src/jobs/control/publish.rs
+++ b/src/jobs/control/publish.rs
@@ -117,7 +117,7 @@
         }
         match self.config_confirmation.status(now) {
             ConfirmationStatus::Unconfirmed => return not("the configuration isn't confirmed"),
-            ConfirmationStatus::CutOff if !self.ownership.store_in_reach() => {
+            ConfirmationStatus::CutOff if !self.ownership.is_store_reachable() => {
                 return not("the store can't be reached");
             }
             ConfirmationStatus::CutOff | ConfirmationStatus::Confirmed => {}
@@ -131,7 +131,7 @@
     /// Sends hellos to the members that are due for one.
     pub(super) fn send_hellos(&mut self) {
         let now = self.clock.now();
-        let to = self.ownership.to_greet(now);
+        let to = self.ownership.take_due_hellos(now);
         if to.is_empty() {
             return;
         }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -199,7 +199,7 @@
         }
         self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
         self.step_shard(&name, Event::Tick, cx);
-        self.ownership.greet_all();
+        self.ownership.schedule_hello_to_all();
         self.publish(now.steady);
     }
 
--- a/src/jobs/control/status.rs
+++ b/src/jobs/control/status.rs
@@ -35,7 +35,7 @@
             domain: me.domain.clone(),
             state: self.state(),
             revision: Revision(self.queues.as_ref().map_or(0, |queues| queues.version)),
-            store: StoreStatus { reachable, since_ms: millis(self.ownership.store_for(now)) },
+            store: StoreStatus { reachable, since_ms: millis(self.ownership.store_state_age(now)) },
             vms_held: self.hosted.values().map(|hosted| hosted.summary.vms).sum(),
             leases_near_lapse: 0,
             queued: self.queued(),
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -184,7 +184,7 @@
 // With forty daemons, those without shards send each other a hello every three seconds and each
 // owner one every second. An owner sends everyone a hello every 400 ms.
 #[test]
-fn daemons_without_shards_rarely_greet_each_other() {
+fn daemons_without_shards_rarely_send_each_other_hellos() {
     let mut idle = Harness::new(member("idle", WEAK), 1);
     for number in 0..39 {
         idle.set_peer(member(&format!("d{number}"), WEAK), Vec::new());
@@ -195,7 +195,7 @@
         let mut count: IndexMap<String, u32> = IndexMap::new();
         for _ in 0..30 {
             harness.run_for(TICK);
-            for member in harness.ownership.to_greet(harness.now) {
+            for member in harness.ownership.take_due_hellos(harness.now) {
                 *count.entry(member.name).or_default() += 1;
             }
         }
@@ -206,7 +206,7 @@
     idle.set_peer(member("owner", STRONG), Vec::new());
     idle.run_for(ms(100));
     idle.own_shard("kacyiru.0", 6);
-    idle.ownership.greet_all();
+    idle.ownership.schedule_hello_to_all();
     let (_, others) = hellos(&mut idle);
     assert!((7..=8).contains(&others), "{others}");
 }
