--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -61,9 +61,9 @@
                     let sent = clock.now();
                     Event::Listed { sent, machines: machines.list().await }
                 }
-                Action::Call(req) => {
+                Action::StartUpkeep(req) => {
                     let result = machines.start_upkeep(&req).await;
-                    Event::Called { wave: req.wave, machine: req.machine, result }
+                    Event::UpkeepAnswered { wave: req.wave, machine: req.machine, result }
                 }
                 Action::Read { wave } => read_record(&store, wave).await,
                 Action::Write { wave, rev, record, state } => {
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -25,7 +25,7 @@
 const MAX_DATA_AGE: Duration = Duration::from_millis(2000);
 
 /// Delay before an unconfirmed upkeep order is retried.
-const CALL_RETRY: Duration = Duration::from_millis(400);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Time after the answer to an order in which a list may still show the machine as up because the
 /// list predates the order; the platform takes a few milliseconds for each call.
@@ -66,8 +66,8 @@
     NotRecorded {
         wave: u64,
     },
-    /// Answer to [`Action::Call`].
-    Called {
+    /// Answer to [`Action::StartUpkeep`].
+    UpkeepAnswered {
         wave: u64,
         machine: MachineId,
         result: super::Result<()>,
@@ -88,7 +88,7 @@
         record: WaveRecord,
         state: WaveState,
     },
-    Call(UpkeepReq),
+    StartUpkeep(UpkeepReq),
     /// Vacates VMs of a shard.
     Vacate {
         shard: String,
@@ -99,7 +99,7 @@
 
 /// State of an upkeep order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Call {
+enum OrderState {
     InFlight,
     /// Time of the confirmation that the machine is down or has had its upkeep.
     Confirmed(Duration),
@@ -124,7 +124,7 @@
     /// Whether a read or write of the record is in flight.
     record_in_flight: bool,
     next_read: Duration,
-    calls: IndexMap<MachineId, Call>,
+    upkeep_orders: IndexMap<MachineId, OrderState>,
     missing: IndexMap<MachineId, Duration>,
     closed: bool,
 }
@@ -182,8 +182,8 @@
                     active.next_read = now;
                 }
             }
-            Event::Called { wave, machine, result } => {
-                self.handle_call_result(wave, machine, &result)
+            Event::UpkeepAnswered { wave, machine, result } => {
+                self.handle_upkeep_answer(wave, machine, &result)
             }
         }
         std::mem::take(&mut self.actions)
@@ -205,7 +205,7 @@
             read_at: now,
             record_in_flight: false,
             next_read: now,
-            calls: IndexMap::new(),
+            upkeep_orders: IndexMap::new(),
             missing: IndexMap::new(),
             closed: false,
         };
@@ -243,14 +243,14 @@
         active.record = Some((rev, record));
     }
 
-    fn handle_call_result(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
+    fn handle_upkeep_answer(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
         let now = self.now;
         let Some(active) = self.waves.get_mut(&wave) else { return };
-        let call = match result {
-            Ok(()) => Call::Confirmed(now),
-            Err(_) => Call::Failed { retry: now + CALL_RETRY },
+        let order = match result {
+            Ok(()) => OrderState::Confirmed(now),
+            Err(_) => OrderState::Failed { retry: now + ORDER_RETRY_DELAY },
         };
-        active.calls.insert(machine.clone(), call);
+        active.upkeep_orders.insert(machine.clone(), order);
         let note = match result {
             Ok(()) => Note::MachineDown { wave, machine },
             Err(e) => Note::UpkeepFailed { wave, machine, reason: e.to_string() },
@@ -373,7 +373,7 @@
         let down: Vec<MachineId> = next.down.keys().cloned().collect();
         for id in down {
             let Some((machine, _)) = owned.get(&id) else { continue };
-            let Some(Call::Confirmed(at)) = self.calls.get(&id) else { continue };
+            let Some(OrderState::Confirmed(at)) = self.upkeep_orders.get(&id) else { continue };
             let is_up = machine.state == MachineState::Up && machine.vm.is_some();
             if is_up && listed >= *at + LIST_LAG {
                 next.down.shift_remove(&id);
@@ -386,7 +386,7 @@
     fn log_returned(&self, record: &WaveRecord, now: Duration, actions: &mut Vec<Action>) {
         let Some((_, before)) = &self.record else { return };
         for machine in record.done.difference(&before.done) {
-            let Some(Call::Confirmed(at)) = self.calls.get(machine) else { continue };
+            let Some(OrderState::Confirmed(at)) = self.upkeep_orders.get(machine) else { continue };
             let (wave, machine) = (self.wave.number, machine.clone());
             let took_ms = Ms(now.saturating_sub(*at));
             actions.push(Action::Note(Note::MachineBack { wave, machine, took_ms }));
@@ -438,17 +438,17 @@
     ) {
         for id in record.down.keys() {
             let Some((machine, shard)) = owned.get(id) else { continue };
-            let may_call = match self.calls.get(id) {
+            let may_order = match self.upkeep_orders.get(id) {
                 None => true,
-                Some(Call::Failed { retry }) => now >= *retry,
-                Some(Call::InFlight | Call::Confirmed(_)) => false,
+                Some(OrderState::Failed { retry }) => now >= *retry,
+                Some(OrderState::InFlight | OrderState::Confirmed(_)) => false,
             };
             // The order is repeated for a machine that is already down or may be down after an
             // unanswered call: this is harmless and confirms that the upkeep was done.
             let is_empty = machine.vm.as_ref().is_none_or(|vm| shard.vacated.contains(vm));
-            if may_call && is_empty {
-                self.calls.insert(id.clone(), Call::InFlight);
-                actions.push(Action::Call(UpkeepReq {
+            if may_order && is_empty {
+                self.upkeep_orders.insert(id.clone(), OrderState::InFlight);
+                actions.push(Action::StartUpkeep(UpkeepReq {
                     machine: id.clone(),
                     wave: self.wave.number,
                     holder: holder.to_owned(),
@@ -470,7 +470,7 @@
         let mut open: IndexMap<&str, Vec<(&MachineId, &Machine)>> = IndexMap::new();
         for id in &self.wave.machines {
             let is_down = record.down.contains_key(id);
-            let confirmed = matches!(self.calls.get(id), Some(Call::Confirmed(_)));
+            let confirmed = matches!(self.upkeep_orders.get(id), Some(OrderState::Confirmed(_)));
             if record.done.contains(id) || (is_down && confirmed) {
                 continue;
             }
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -160,7 +160,7 @@
                 };
                 self.answer(index, Event::Listed { sent: now, machines });
             }
-            Action::Call(req) => self.call(index, req),
+            Action::StartUpkeep(req) => self.call(index, req),
             Action::Read { wave } => {
                 let event = match self.kv.get(&WaveRecord::key(wave)) {
                     _ if self.fails() => Event::NotRecorded { wave },
@@ -196,7 +196,7 @@
                 lost()
             }
         };
-        self.answer(index, Event::Called { wave, machine, result });
+        self.answer(index, Event::UpkeepAnswered { wave, machine, result });
     }
 
     fn write(&mut self, index: usize, wave: u64, rev: Rev, record: WaveRecord, state: WaveState) {
