--- a/src/cluster/head.rs
+++ b/src/cluster/head.rs
@@ -25,13 +25,13 @@
 }
 
 impl Head {
-    /// The head that claims a shard whose current head is `present`.
-    pub fn claim(owner: DaemonId, present: Option<&Self>) -> Self {
+    /// The head that claims a shard whose current head is `current`.
+    pub fn claim(owner: DaemonId, current: Option<&Self>) -> Self {
         Self {
             owner,
             fence: 0,
-            seq: present.map_or(0, |head| head.seq) + 1,
-            before: present.map(|head| PreviousCommit { owner: head.owner.clone(), seq: head.seq }),
+            seq: current.map_or(0, |head| head.seq) + 1,
+            before: current.map(|head| PreviousCommit { owner: head.owner.clone(), seq: head.seq }),
         }
     }
 
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -90,9 +90,10 @@
     }
 
     pub(super) fn claim_orphans(&mut self) {
-        let settled = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
-        let fit = self.me.stage == MemberStage::Serving && self.store == StoreReachability::Reached;
-        if !settled || !fit {
+        let startup_done = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
+        let eligible =
+            self.me.stage == MemberStage::Serving && self.store == StoreReachability::Reached;
+        if !startup_done || !eligible {
             return;
         }
         let orphans: Vec<(String, Orphan, DomainId, Option<DaemonId>)> = self
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -32,19 +32,19 @@
     /// Hands shards over to better placed daemons.
     pub(super) fn rebalance(&mut self) {
         let owned = self.owned();
-        let lost = self.store == StoreReachability::Away
+        let store_lost = self.store == StoreReachability::Away
             && self.now.saturating_sub(self.store_since) >= STORE_DOWN_DELAY;
         for shard in &owned {
             let Some(domain) = self.shards.get(shard).map(|view| view.domain.clone()) else {
                 continue;
             };
-            let away = domain != self.me.domain;
-            if lost || away {
-                let how = if lost { HandOver::Immediate } else { HandOver::AfterCommit };
+            let is_remote = domain != self.me.domain;
+            if store_lost || is_remote {
+                let how = if store_lost { HandOver::Immediate } else { HandOver::AfterCommit };
                 self.hand_over_to_best(shard, &domain, how);
             }
         }
-        if !lost {
+        if !store_lost {
             self.balance_load(&owned);
         }
     }
--- a/src/cluster/plan.rs
+++ b/src/cluster/plan.rs
@@ -78,18 +78,18 @@
             new.entry(domain).or_default().push((rack, vms));
         }
         for (domain, racks) in new {
-            plan.domains.entry(domain.clone()).or_default().add(&racks);
+            plan.domains.entry(domain.clone()).or_default().add_racks(&racks);
         }
         Some(plan)
     }
 }
 
 impl DomainPlan {
-    fn add(&mut self, racks: &[(&RackId, u32)]) {
+    fn add_racks(&mut self, racks: &[(&RackId, u32)]) {
         let vms = |plan: &Self| plan.racks.values().map(|rack| rack.vms).sum::<u32>();
         let all = vms(self) + racks.iter().map(|(_, vms)| vms).sum::<u32>();
-        let wanted = (all as usize).div_ceil(SHARD_VMS).max(1);
-        self.shards = self.shards.max(u32::try_from(wanted).unwrap_or(u32::MAX));
+        let needed = (all as usize).div_ceil(SHARD_VMS).max(1);
+        self.shards = self.shards.max(u32::try_from(needed).unwrap_or(u32::MAX));
         for (rack, vms) in racks {
             let load = |shard: u32| -> u32 {
                 self.racks.values().filter(|rack| rack.shard == shard).map(|rack| rack.vms).sum()
