--- a/src/cluster/head.rs
+++ b/src/cluster/head.rs
@@ -14,24 +14,24 @@
     pub seq: u64,
     /// Previous owner and its last commit, so that the previous owner can find out whether that
     /// commit took effect.
-    pub before: Option<Before>,
+    pub before: Option<PreviousCommit>,
 }
 
 /// Last commit of a previous owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Before {
+pub struct PreviousCommit {
     pub owner: DaemonId,
     pub seq: u64,
 }
 
 impl Head {
-    /// The head that claims a shard whose current head is `present`.
-    pub fn claim(owner: DaemonId, present: Option<&Self>) -> Self {
+    /// The head that claims a shard whose current head is `current`.
+    pub fn claim(owner: DaemonId, current: Option<&Self>) -> Self {
         Self {
             owner,
             fence: 0,
-            seq: present.map_or(0, |head| head.seq) + 1,
-            before: present.map(|head| Before { owner: head.owner.clone(), seq: head.seq }),
+            seq: current.map_or(0, |head| head.seq) + 1,
+            before: current.map(|head| PreviousCommit { owner: head.owner.clone(), seq: head.seq }),
         }
     }
 
@@ -43,13 +43,13 @@
 
 /// The owner that a claim is meant to replace, as far as the claimant knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Replaced {
+pub struct ExpectedOwner {
     pub owner: Option<DaemonId>,
     /// Highest known fencing token of the shard.
     pub fence: u64,
 }
 
-impl Replaced {
+impl ExpectedOwner {
     /// Whether the owner in a head was known when the claim was decided.
     pub fn covers(&self, head: &Head) -> bool {
         head.fence <= self.fence || self.owner.as_ref() == Some(&head.owner)
--- a/src/cluster/ownership.rs
+++ b/src/cluster/ownership.rs
@@ -14,8 +14,8 @@
 mod orphans;
 mod sharing;
 
-use super::head::{Head, Replaced};
-use super::member::{Hello, Member, MemberStage, StoreReach};
+use super::head::{ExpectedOwner, Head};
+use super::member::{Hello, Member, MemberStage, StoreReachability};
 use super::plan::Plan;
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Note, StaticText};
@@ -28,7 +28,7 @@
 use std::time::Duration;
 
 /// Length of a pause of this daemon beyond which the silence of other daemons is not counted.
-pub const OWN_PAUSE: Duration = Duration::from_millis(500);
+pub const OWN_PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// Input of [`Ownership::step`].
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
         reason: String,
     },
     /// A shard was lost or handed over.
-    Gone {
+    NoLongerOwned {
         shard: String,
         reason: StaticText,
     },
@@ -64,11 +64,11 @@
         from: DaemonId,
     },
     /// Whether this daemon can reach the store.
-    Store(StoreReach),
+    Store(StoreReachability),
     /// This daemon begins a planned stop.
     Drain,
     /// This daemon exits now and releases its remaining shards.
-    GiveUp,
+    ReleaseAll,
 }
 
 /// Output of [`Ownership::step`].
@@ -77,7 +77,7 @@
     Claim {
         shard: String,
         previous: PreviousOwner,
-        replaces: Replaced,
+        replaces: ExpectedOwner,
     },
     ReadHeads,
     /// Sends a hello to a daemon at once to check whether it answers.
@@ -95,9 +95,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandOver {
     /// After all decisions made so far are durable.
-    Settled,
+    AfterCommit,
     /// Immediately, because this daemon can't reach the store.
-    AtOnce,
+    Immediate,
 }
 
 /// Last known state of a shard.
@@ -130,7 +130,7 @@
     members: IndexMap<String, MemberState>,
     shards: IndexMap<String, ShardView>,
     held: IndexMap<String, HoldState>,
-    store: StoreReach,
+    store: StoreReachability,
     store_since: Duration,
     /// Newest configuration version in force at any other daemon.
     newest_config: u64,
@@ -150,7 +150,7 @@
             members: IndexMap::new(),
             shards: IndexMap::new(),
             held: IndexMap::new(),
-            store: StoreReach::Away,
+            store: StoreReachability::Away,
             store_since: now,
             newest_config: 0,
             next_heads_read: now,
@@ -196,10 +196,10 @@
     }
 
     /// Whether this daemon or any other live daemon can reach the store.
-    pub fn store_in_reach(&self) -> bool {
+    pub fn is_store_reachable(&self) -> bool {
         let reached =
-            |known: &MemberState| known.store == StoreReach::Reached && self.is_alive(known);
-        self.store == StoreReach::Reached || self.members.values().any(reached)
+            |known: &MemberState| known.store == StoreReachability::Reached && self.is_alive(known);
+        self.store == StoreReachability::Reached || self.members.values().any(reached)
     }
 
     /// Newest configuration version in force at any other daemon.
@@ -214,7 +214,7 @@
     }
 
     /// How long the store has been in its current state (reachable or not) for this daemon.
-    pub fn store_for(&self, now: Duration) -> Duration {
+    pub fn store_state_age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.store_since)
     }
 
@@ -230,18 +230,18 @@
             Event::Hello(hello) => self.handle_hello(hello),
             Event::Refused(id) => self.handle_refused(&id),
             Event::Heads(heads) => heads.into_iter().for_each(|(name, head)| {
-                self.learn(&name, head.owner, head.fence);
+                self.record_owner(&name, head.owner, head.fence);
             }),
             Event::Plan(plan) => self.handle_plan(&plan),
             Event::Claimed { shard, fence } => self.handle_claimed(&shard, fence),
             Event::ClaimFailed { shard, head, reason } => {
                 self.handle_claim_failed(shard, head, reason)
             }
-            Event::Gone { shard, reason } => self.handle_gone(&shard, reason),
+            Event::NoLongerOwned { shard, reason } => self.handle_no_longer_owned(&shard, reason),
             Event::Offered { shard, from } => self.handle_offer(&shard, &from),
             Event::Store(reach) => self.handle_store_reach(reach),
             Event::Drain => self.me.stage = MemberStage::Draining,
-            Event::GiveUp => self.release_all(),
+            Event::ReleaseAll => self.release_all(),
         }
         if self.me.stage == MemberStage::Draining {
             self.hand_over_all();
@@ -253,7 +253,7 @@
     fn ignore_own_pause(&mut self) {
         let pause = self.now.saturating_sub(self.last_tick);
         self.last_tick = self.now;
-        if pause < OWN_PAUSE {
+        if pause < OWN_PAUSE_THRESHOLD {
             return;
         }
         for known in self.members.values_mut() {
@@ -264,7 +264,7 @@
         }
     }
 
-    fn learn(&mut self, shard: &str, owner: DaemonId, fence: u64) {
+    fn record_owner(&mut self, shard: &str, owner: DaemonId, fence: u64) {
         let now = self.now;
         let Some(view) = self.shards.get_mut(shard) else { return };
         let newer = fence > view.fence || (view.owner.is_none() && fence >= view.fence);
@@ -290,7 +290,7 @@
     fn handle_claimed(&mut self, shard: &str, fence: u64) {
         self.held.insert(shard.to_owned(), HoldState::Owned);
         let me = self.me.id.clone();
-        self.learn(shard, me, fence);
+        self.record_owner(shard, me, fence);
     }
 
     fn handle_claim_failed(&mut self, shard: String, head: Option<Head>, reason: String) {
@@ -299,12 +299,12 @@
             view.orphan = None;
         }
         if let Some(head) = head {
-            self.learn(&shard, head.owner, head.fence);
+            self.record_owner(&shard, head.owner, head.fence);
         }
         self.actions.push(Action::Note(Note::ShardClaimFailed { shard, reason }));
     }
 
-    fn handle_gone(&mut self, shard: &str, reason: StaticText) {
+    fn handle_no_longer_owned(&mut self, shard: &str, reason: StaticText) {
         self.held.shift_remove(shard);
         let now = self.now;
         if let Some(view) = self.shards.get_mut(shard) {
@@ -334,7 +334,7 @@
         self.claim(shard, Some(from), cause);
     }
 
-    fn handle_store_reach(&mut self, reach: StoreReach) {
+    fn handle_store_reach(&mut self, reach: StoreReachability) {
         if self.store != reach {
             self.store = reach;
             self.store_since = self.now;
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -2,8 +2,8 @@
 
 use super::members::MemberState;
 use super::{Action, HoldState, Ownership, ShardView};
-use crate::cluster::head::Replaced;
-use crate::cluster::member::{Member, MemberStage, StoreReach};
+use crate::cluster::head::ExpectedOwner;
+use crate::cluster::member::{Member, MemberStage, StoreReachability};
 use crate::ids::{DaemonId, DomainId};
 use crate::note::{Millis, Note, StaticText};
 use crate::shard::PreviousOwner;
@@ -90,9 +90,10 @@
     }
 
     pub(super) fn claim_orphans(&mut self) {
-        let settled = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
-        let fit = self.me.stage == MemberStage::Serving && self.store == StoreReach::Reached;
-        if !settled || !fit {
+        let startup_done = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
+        let eligible =
+            self.me.stage == MemberStage::Serving && self.store == StoreReachability::Reached;
+        if !startup_done || !eligible {
             return;
         }
         let orphans: Vec<(String, Orphan, DomainId, Option<DaemonId>)> = self
@@ -124,7 +125,7 @@
         }));
         let previous = cause.previous;
         let fence = self.fence(shard).0;
-        let replaces = Replaced { owner: owner.cloned(), fence };
+        let replaces = ExpectedOwner { owner: owner.cloned(), fence };
         self.actions.push(Action::Claim { shard: shard.to_owned(), previous, replaces });
     }
 
@@ -135,7 +136,7 @@
             .members
             .values()
             .filter(|known| self.is_alive(known) && known.member.stage == MemberStage::Serving)
-            .filter(|known| known.store == StoreReach::Reached)
+            .filter(|known| known.store == StoreReachability::Reached)
             .filter(|known| self.rank(shard, domain, &known.member, known.shards.len()) < mine)
             .count();
         let remote_delay =
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -26,10 +26,10 @@
 pub mod stop;
 pub mod view;
 
-use crate::kv::{Item, Kv, Put};
+use crate::kv::{Item, KvStore, Put};
 use crate::permit::PermitApi;
 use crate::queues::Queues;
-use crate::upkeep::{MachinePort, Wave, WaveState};
+use crate::upkeep::{MachineApi, Wave, WaveState};
 use crate::vm::{VmApi, VmEntry};
 
 /// A store entry that can't be decoded.
@@ -53,13 +53,13 @@
 /// Clients for the platform's services, and decoders for its entries in the store.
 pub trait Platform: Clone + Send + Unpin + 'static {
     /// Client for the store.
-    type Store: Kv + Clone + Unpin + 'static;
+    type Store: KvStore + Clone + Unpin + 'static;
     /// Client for the VMs.
     type Vms: VmApi + Clone + Unpin + 'static;
     /// Client for the service that permits steps on VMs.
     type Permits: PermitApi + Clone + Unpin + 'static;
     /// Client for the machine maintenance service.
-    type Machines: MachinePort + Clone + Unpin + 'static;
+    type Machines: MachineApi + Clone + Unpin + 'static;
 
     /// Creates a store client. Called on the thread that uses it.
     fn store(&self) -> Self::Store;
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -25,8 +25,8 @@
 use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
 use super::view::{JobDirectory, ShardView, View};
 use crate::clock::Clock;
-use crate::cluster::ownership::OWN_PAUSE;
-use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReach};
+use crate::cluster::ownership::OWN_PAUSE_THRESHOLD;
+use crate::cluster::{self, Member, MemberStage, Ownership, Plan, StoreReachability};
 use crate::ids::{DaemonId, Ticket};
 use crate::job::JobId;
 use crate::job::check::VmShapes;
@@ -37,7 +37,7 @@
 use crate::shard::interference::PairEstimate;
 use crate::shard::loan::LoanMsg;
 use crate::shard::{self, Action, Event, Now, ReportedLapse, Shard, Summary, VmLapse};
-use crate::upkeep::duty::{Duty, OwnShard};
+use crate::upkeep::duty::{OwnedShard, WaveScheduler};
 use crate::upkeep::{self};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
@@ -133,9 +133,9 @@
     fleet: Vec<VmEntry>,
     vm_shapes: Arc<VmShapes>,
     plan: Plan,
-    store_reach: StoreReach,
+    store_reach: StoreReachability,
     store_lost_at: Option<Duration>,
-    maintenance: Duty,
+    maintenance: WaveScheduler,
     next_maintenance: Duration,
     /// Number of open permit requests by the daemon that sends them to the service.
     permit_requests: IndexMap<String, u32>,
@@ -166,7 +166,7 @@
         directory: Arc<Mutex<JobDirectory>>,
     ) -> Self {
         let now = clock.now();
-        let maintenance = Duty::new(&me.name);
+        let maintenance = WaveScheduler::new(&me.name);
         Self {
             settings,
             journal,
@@ -181,7 +181,7 @@
             fleet: Vec::new(),
             vm_shapes: Arc::default(),
             plan: Plan::default(),
-            store_reach: StoreReach::Away,
+            store_reach: StoreReachability::Away,
             store_lost_at: None,
             maintenance,
             next_maintenance: now,
@@ -210,7 +210,7 @@
         let now = self.now();
         let pause = now.steady.saturating_sub(self.last_wake);
         self.last_wake = now.steady;
-        if pause >= OWN_PAUSE {
+        if pause >= OWN_PAUSE_THRESHOLD {
             self.confirm_all_ownership(cx);
         }
         now
@@ -346,7 +346,7 @@
     }
 
     fn tick_maintenance(&mut self, cx: &mut Context<Self>) {
-        let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnShard {
+        let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnedShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
             vacated: hosted.shard.drained_vms(),
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -2,7 +2,7 @@
 
 use super::publish::LEARNED_INTERVAL;
 use super::{Control, HostedShard, TimedLapses};
-use crate::cluster::{self, HandOver, StoreReach};
+use crate::cluster::{self, HandOver, StoreReachability};
 use crate::ids::Ticket;
 use crate::job::JobId;
 use crate::jobs::calls::Reply;
@@ -111,7 +111,7 @@
         if let Some(actors) = &self.actors {
             actors.removals.do_send(RemoveShard { shard: shard.to_owned() });
         }
-        let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
+        let dropped = cluster::Event::NoLongerOwned { shard: shard.to_owned(), reason };
         self.step_ownership(dropped, cx);
     }
 
@@ -127,8 +127,8 @@
                         hosted.new_owner = Some(to);
                     }
                     match how {
-                        HandOver::Settled => self.step_shard(&shard, Event::HandOver, cx),
-                        HandOver::AtOnce => self.complete_hand_over(&shard, cx),
+                        HandOver::AfterCommit => self.step_shard(&shard, Event::HandOver, cx),
+                        HandOver::Immediate => self.complete_hand_over(&shard, cx),
                     }
                 }
                 other => self.execute_ownership_action(other),
@@ -199,7 +199,7 @@
         }
         self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
         self.step_shard(&name, Event::Tick, cx);
-        self.ownership.greet_all();
+        self.ownership.schedule_hello_to_all();
         self.publish(now.steady);
     }
 
@@ -285,17 +285,17 @@
 
     pub(super) fn update_store_reach(
         &mut self,
-        reach: StoreReach,
+        reach: StoreReachability,
         silent: Duration,
         reason: String,
     ) {
         let now = self.now().steady;
         match (reach, self.store_reach) {
-            (StoreReach::Away, StoreReach::Reached) => {
+            (StoreReachability::Away, StoreReachability::Reached) => {
                 self.store_lost_at = Some(now);
                 self.journal.write(Note::StoreLost { reason, silent_ms: Millis(silent) });
             }
-            (StoreReach::Reached, StoreReach::Away) => {
+            (StoreReachability::Reached, StoreReachability::Away) => {
                 let away = self.store_lost_at.take().map_or(Duration::ZERO, |at| now - at);
                 self.journal.write(Note::StoreRegained { away_ms: Millis(away) });
             }
--- a/src/jobs/control/status.rs
+++ b/src/jobs/control/status.rs
@@ -4,7 +4,7 @@
 use crate::api::{
     ConfigStatus, DaemonState, MemberStatus, ShardStatus, Status, StoreStatus, millis,
 };
-use crate::cluster::{MemberStage, StoreReach};
+use crate::cluster::{MemberStage, StoreReachability};
 use crate::ids::{ClassName, Revision};
 use crate::jobs::confirmed::ConfirmationStatus;
 use crate::jobs::view::Readiness;
@@ -29,13 +29,13 @@
     fn status(&self) -> Status {
         let now = self.clock.now();
         let me = self.ownership.me();
-        let reachable = self.store_reach == StoreReach::Reached;
+        let reachable = self.store_reach == StoreReachability::Reached;
         Status {
             daemon: me.id.clone(),
             domain: me.domain.clone(),
             state: self.state(),
             revision: Revision(self.queues.as_ref().map_or(0, |queues| queues.version)),
-            store: StoreStatus { reachable, since_ms: millis(self.ownership.store_for(now)) },
+            store: StoreStatus { reachable, since_ms: millis(self.ownership.store_state_age(now)) },
             vms_held: self.hosted.values().map(|hosted| hosted.summary.vms).sum(),
             leases_near_lapse: 0,
             queued: self.queued(),
--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -9,7 +9,9 @@
 use crate::cluster::plan::PLAN_KEY;
 use crate::cluster::{Member, Plan};
 use crate::job::progress::{decode, encode};
-use crate::kv::{Condition, Error, Freshness, Item, Kv, LeaseId, More, Put, Result, Rev, Txn};
+use crate::kv::{
+    Condition, Error, Freshness, HasMore, Item, KvStore, LeaseId, Put, Result, Rev, Txn,
+};
 use crate::note::{Millis, Note, StaticText};
 use crate::vm::VmEntry;
 use actix::Recipient;
@@ -154,7 +156,7 @@
     let key = format!("{MEMBER_PREFIX}{}", me.name);
     let lease_id = match *lease {
         Some(lease_id) => lease_id,
-        None => *lease.insert(store.call(|store| store.grant(lease_ttl)).await?),
+        None => *lease.insert(store.call(|store| store.grant_lease(lease_ttl)).await?),
     };
     register(store, &key, me, lease_id).await?;
     loop {
@@ -163,7 +165,7 @@
         ctx.control.do_send(StoreEvent::Members(members));
         failures.record_success(store.clock().now());
         tokio::time::sleep(MEMBER_POLL_INTERVAL).await;
-        store.call(|store| store.keep(lease_id)).await?;
+        store.call(|store| store.renew_lease(lease_id)).await?;
         // Keys can vanish while their lease is still valid.
         if !items.iter().any(|item| item.key == key) {
             register(store, &key, me, lease_id).await?;
@@ -171,7 +173,7 @@
     }
 }
 
-async fn register<S: Kv>(
+async fn register<S: KvStore>(
     store: &MonitoredStore<S>,
     key: &str,
     me: &Member,
@@ -185,7 +187,7 @@
 
 /// Reads every page of a range. Returns the revision of the first page; a watch from there reports
 /// all later changes.
-pub(super) async fn read_all<S: Kv>(
+pub(super) async fn read_all<S: KvStore>(
     store: &MonitoredStore<S>,
     prefix: &str,
     freshness: Freshness,
@@ -200,7 +202,7 @@
         // between pages.
         let at = *at.get_or_insert(page.at);
         items.extend(page.items);
-        if page.more == More::No {
+        if page.more == HasMore::No {
             return Ok((items, at));
         }
     }
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -9,10 +9,10 @@
 use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
-use crate::kv::{self, Condition, Kv, Put, Rev, Txn};
+use crate::kv::{self, Condition, KvStore, Put, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::upkeep::duty::{Action, Event};
-use crate::upkeep::{MachinePort, Record};
+use crate::upkeep::{MachineApi, WaveRecord};
 use actix::prelude::*;
 use bytes::Bytes;
 use std::sync::Arc;
@@ -61,9 +61,9 @@
                     let sent = clock.now();
                     Event::Listed { sent, machines: machines.list().await }
                 }
-                Action::Call(req) => {
-                    let result = machines.upkeep(&req).await;
-                    Event::Called { wave: req.wave, machine: req.machine, result }
+                Action::StartUpkeep(req) => {
+                    let result = machines.start_upkeep(&req).await;
+                    Event::UpkeepAnswered { wave: req.wave, machine: req.machine, result }
                 }
                 Action::Read { wave } => read_record(&store, wave).await,
                 Action::Write { wave, rev, record, state } => {
@@ -78,10 +78,10 @@
     }
 }
 
-async fn read_record<S: Kv>(store: &MonitoredStore<S>, wave: u64) -> Event {
-    let key = Record::key(wave);
+async fn read_record<S: KvStore>(store: &MonitoredStore<S>, wave: u64) -> Event {
+    let key = WaveRecord::key(wave);
     match store.call(|store| store.get(&key)).await {
-        Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
+        Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: WaveRecord::default() },
         Ok(Some(item)) => match decode(&item.value) {
             Ok(record) => Event::Recorded { wave, rev: item.rev, record },
             Err(_) => Event::NotRecorded { wave },
@@ -90,14 +90,14 @@
     }
 }
 
-async fn write_record<S: Kv>(
+async fn write_record<S: KvStore>(
     store: &MonitoredStore<S>,
     wave: u64,
     rev: Rev,
-    record: Record,
+    record: WaveRecord,
     status: Put,
 ) -> Event {
-    let key = Record::key(wave);
+    let key = WaveRecord::key(wave);
     let value = Bytes::from(encode(&record));
     let txn = Txn {
         conditions: vec![Condition { key: key.clone(), rev }],
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -103,14 +103,14 @@
 pub struct Page {
     pub items: Vec<Item>,
     /// Whether more keys follow the last item.
-    pub more: More,
+    pub more: HasMore,
     /// Store revision at which the page was read.
     pub at: Rev,
 }
 
 /// Whether a range continues after a page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum More {
+pub enum HasMore {
     #[default]
     No,
     Yes,
@@ -146,65 +146,65 @@
     pub after: Rev,
     pub wait: Duration,
     /// Maximum size of an answer in bytes; a larger one fails with [`Error::TooLarge`].
-    pub most_bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl Watch {
     /// Creates a watch without a limit on the size of answers.
     pub fn new(prefix: &str, after: Rev, wait: Duration) -> Self {
-        Self { prefix: prefix.to_owned(), after, wait, most_bytes: usize::MAX }
+        Self { prefix: prefix.to_owned(), after, wait, max_bytes: usize::MAX }
     }
 
     /// Limits the encoded size of answers, in bytes.
-    pub fn with_most_bytes(self, most_bytes: usize) -> Self {
-        Self { most_bytes, ..self }
+    pub fn with_max_bytes(self, max_bytes: usize) -> Self {
+        Self { max_bytes, ..self }
     }
 }
 
 /// An answer that may report the store's revision.
-pub trait Revised {
+pub trait HasRevision {
     /// Store revision at the time of the answer, or [`Rev::ABSENT`] if the answer has none.
     fn revision(&self) -> Rev;
 }
 
-impl Revised for Rev {
+impl HasRevision for Rev {
     fn revision(&self) -> Rev {
         *self
     }
 }
 
-impl Revised for Page {
+impl HasRevision for Page {
     fn revision(&self) -> Rev {
         self.at
     }
 }
 
-impl Revised for Changes {
+impl HasRevision for Changes {
     fn revision(&self) -> Rev {
         self.at
     }
 }
 
-impl Revised for Option<Item> {
+impl HasRevision for Option<Item> {
     fn revision(&self) -> Rev {
         self.as_ref().map_or(Rev::ABSENT, |item| item.rev)
     }
 }
 
-impl Revised for LeaseId {
+impl HasRevision for LeaseId {
     fn revision(&self) -> Rev {
         Rev::ABSENT
     }
 }
 
-impl Revised for () {
+impl HasRevision for () {
     fn revision(&self) -> Rev {
         Rev::ABSENT
     }
 }
 
 /// Client of the platform's store.
-pub trait Kv {
+pub trait KvStore {
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>>>;
 
@@ -223,11 +223,11 @@
     fn commit(&self, txn: &Txn) -> impl Future<Output = Result<Rev>>;
 
     /// Grants a lease.
-    fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId>>;
+    fn grant_lease(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId>>;
 
     /// Renews a lease.
-    fn keep(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
+    fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
 
     /// Ends a lease and deletes the keys attached to it.
-    fn end(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
+    fn end_lease(&self, lease: LeaseId) -> impl Future<Output = Result<()>>;
 }
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -51,7 +51,7 @@
     pub number: u64,
     pub machines: Vec<MachineId>,
     /// Time limit for the whole wave.
-    pub within: Duration,
+    pub time_limit: Duration,
     /// Maximum number of machines down at once.
     pub max_down: usize,
 }
@@ -66,14 +66,14 @@
 
 /// Record of a wave in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct WaveRecord {
     /// Machines that are down or about to go down, with the VM incarnation that this ends.
     pub down: IndexMap<MachineId, VmId>,
     /// Machines that have had their upkeep or no longer exist.
     pub done: IndexSet<MachineId>,
 }
 
-impl Record {
+impl WaveRecord {
     /// Store key of a wave's record.
     pub fn key(wave: u64) -> String {
         format!("wave/{wave}")
@@ -134,11 +134,11 @@
 }
 
 /// Client of the platform's machine API.
-pub trait MachinePort {
+pub trait MachineApi {
     /// Lists all machines.
     fn list(&self) -> impl Future<Output = Result<Vec<Machine>>>;
 
     /// Ends everything on a machine and starts its upkeep; succeeds if the upkeep has already been
     /// done.
-    fn upkeep(&self, req: &UpkeepReq) -> impl Future<Output = Result<()>>;
+    fn start_upkeep(&self, req: &UpkeepReq) -> impl Future<Output = Result<()>>;
 }
--- a/standin/src/fakes.rs
+++ b/standin/src/fakes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::clock::Clock;
-use waxwingstall::kv::{self, Changes, Freshness, Item, Kv, LeaseId, Page, Rev, Txn, Watch};
+use waxwingstall::kv::{self, Changes, Freshness, Item, KvStore, LeaseId, Page, Rev, Txn, Watch};
 use waxwingstall::vm::{self, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmApi, VmTime};
 
 /// The store.
@@ -34,7 +34,7 @@
     }
 }
 
-impl Kv for FakeStore {
+impl KvStore for FakeStore {
     async fn get(&self, key: &str) -> kv::Result<Option<Item>> {
         let key = key.to_owned();
         self.call(move |table, _| Ok(table.get(&key)))
@@ -55,15 +55,15 @@
         self.call(move |table, _| table.commit(&txn))
     }
 
-    async fn grant(&self, ttl: Duration) -> kv::Result<LeaseId> {
+    async fn grant_lease(&self, ttl: Duration) -> kv::Result<LeaseId> {
         self.call(move |table, now| Ok(table.grant(ttl, now)))
     }
 
-    async fn keep(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn renew_lease(&self, lease: LeaseId) -> kv::Result<()> {
         self.call(move |table, now| table.keep(lease, now))
     }
 
-    async fn end(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn end_lease(&self, lease: LeaseId) -> kv::Result<()> {
         self.call(move |table, _| table.end(lease))
     }
 }
--- a/tests/followers/harness.rs
+++ b/tests/followers/harness.rs
@@ -11,19 +11,19 @@
 use tokio::time::Instant;
 use waxwingstall::clock::Clock;
 use waxwingstall::cluster::plan::PLAN_KEY;
-use waxwingstall::cluster::{Member, MemberStage, Replaced};
+use waxwingstall::cluster::{ExpectedOwner, Member, MemberStage};
 use waxwingstall::ids::{DaemonId, DomainId, RackId, ServiceName, VmId};
 use waxwingstall::jobs::control::StoreEvent;
 use waxwingstall::jobs::records::{ClaimShard, Records};
 use waxwingstall::jobs::{OperatorEntry, Platform, UnreadableEntry};
 use waxwingstall::kv::{
-    self, Change, Changes, Freshness, Item, Kv, LeaseId, Page, Put, Rev, Txn, Watch,
+    self, Change, Changes, Freshness, Item, KvStore, LeaseId, Page, Put, Rev, Txn, Watch,
 };
 use waxwingstall::permit::{self, PermitApi, PermitReq, PermitResp};
 use waxwingstall::queues::Queues;
 use waxwingstall::shard::{FleetListStatus, PreviousOwner};
 use waxwingstall::units::Resources;
-use waxwingstall::upkeep::{self, Machine, MachinePort, UpkeepReq, WaveState};
+use waxwingstall::upkeep::{self, Machine, MachineApi, UpkeepReq, WaveState};
 use waxwingstall::vm::{
     self, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmApi, VmEntry, VmState, VmTime,
 };
@@ -80,7 +80,7 @@
     }
 }
 
-impl Kv for SlowStore {
+impl KvStore for SlowStore {
     async fn get(&self, key: &str) -> kv::Result<Option<Item>> {
         tokio::time::sleep(self.latency).await;
         self.check_allowed(key)?;
@@ -101,7 +101,7 @@
             let changes = self.store.watch(watch).await?;
             if !changes.changes.is_empty() || Instant::now() >= until {
                 let value_len = changes.changes.iter().map(value_len).sum();
-                if base64_len(value_len) > watch.most_bytes {
+                if base64_len(value_len) > watch.max_bytes {
                     return Err(kv::Error::TooLarge { reason: format!("{value_len} bytes") });
                 }
                 self.transfer(value_len).await;
@@ -116,19 +116,19 @@
         self.store.commit(txn).await
     }
 
-    async fn grant(&self, ttl: Duration) -> kv::Result<LeaseId> {
+    async fn grant_lease(&self, ttl: Duration) -> kv::Result<LeaseId> {
         tokio::time::sleep(self.latency).await;
-        self.store.grant(ttl).await
+        self.store.grant_lease(ttl).await
     }
 
-    async fn keep(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn renew_lease(&self, lease: LeaseId) -> kv::Result<()> {
         tokio::time::sleep(self.latency).await;
-        self.store.keep(lease).await
+        self.store.renew_lease(lease).await
     }
 
-    async fn end(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn end_lease(&self, lease: LeaseId) -> kv::Result<()> {
         tokio::time::sleep(self.latency).await;
-        self.store.end(lease).await
+        self.store.end_lease(lease).await
     }
 }
 
@@ -172,12 +172,12 @@
     }
 }
 
-impl MachinePort for UnreachableService {
+impl MachineApi for UnreachableService {
     async fn list(&self) -> upkeep::Result<Vec<Machine>> {
         Err(upkeep::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 
-    async fn upkeep(&self, _: &UpkeepReq) -> upkeep::Result<()> {
+    async fn start_upkeep(&self, _: &UpkeepReq) -> upkeep::Result<()> {
         Err(upkeep::Error::NotSent { reason: "no service in this test".to_owned() })
     }
 }
@@ -450,7 +450,7 @@
 
 /// A claim of a shard that is known to have no owner.
 pub fn unowned_claim(shard: &str) -> ClaimShard {
-    let (previous, replaces) = (PreviousOwner::Ended, Replaced::default());
+    let (previous, replaces) = (PreviousOwner::Ended, ExpectedOwner::default());
     ClaimShard { shard: shard.to_owned(), previous, replaces }
 }
 
@@ -461,6 +461,6 @@
         domain: DomainId::new("kacyiru"),
         addr: "127.0.0.1:1".to_owned(),
         stage: MemberStage::Serving,
-        power: 500,
+        milli_cores: 500,
     }
 }
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -10,8 +10,8 @@
 use waxwingstall::job::progress::{decode, encode};
 use waxwingstall::kv::{Condition, Put, Rev, Txn};
 use waxwingstall::units::Resources;
-use waxwingstall::upkeep::duty::{Action, Duty, Event, OwnShard};
-use waxwingstall::upkeep::{Error, MachineId, Record, UpkeepReq, Wave, WaveState};
+use waxwingstall::upkeep::duty::{Action, Event, OwnedShard, WaveScheduler};
+use waxwingstall::upkeep::{Error, MachineId, UpkeepReq, Wave, WaveRecord, WaveState};
 use waxwingstall::vm::{Fence, VmEntry, VmState};
 use waxwingstall_standin::machines::MachineTable;
 use waxwingstall_standin::txns::TxnTable;
@@ -28,7 +28,7 @@
 
 /// A daemon that owns the shard of its failure domain.
 struct Daemon {
-    duty: Duty,
+    scheduler: WaveScheduler,
     shard: String,
     fence: Fence,
     /// VMs being vacated, and when each is empty.
@@ -67,7 +67,7 @@
             vms.push(entry(domain));
         }
         let plan = Plan::default().extended(&vms).expect("racks are new");
-        let within = Duration::from_secs(20);
+        let time_limit = Duration::from_secs(20);
         let mut world = Self {
             now: Duration::from_secs(3),
             rng: SmallRng::seed_from_u64(seed),
@@ -75,7 +75,7 @@
             machines: table,
             kv: TxnTable::new(),
             plan,
-            wave: Wave { number: WAVE, machines: ids, within, max_down },
+            wave: Wave { number: WAVE, machines: ids, time_limit, max_down },
             daemons: Vec::new(),
             deliveries: BTreeMap::new(),
             next: 0,
@@ -99,10 +99,10 @@
     fn start(&mut self, shard: String) {
         self.next += 1;
         let fence = Fence(self.next);
-        let mut duty = Duty::new(&format!("daemon-{}", fence.0));
-        duty.step(self.now, Event::Plan(self.plan.clone()));
-        duty.step(self.now, Event::Wave(self.wave.clone()));
-        self.daemons.push(Daemon { duty, shard, fence, vacating: IndexMap::new() });
+        let mut scheduler = WaveScheduler::new(&format!("daemon-{}", fence.0));
+        scheduler.step(self.now, Event::Plan(self.plan.clone()));
+        scheduler.step(self.now, Event::Wave(self.wave.clone()));
+        self.daemons.push(Daemon { scheduler, shard, fence, vacating: IndexMap::new() });
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -125,7 +125,7 @@
             for index in 0..self.daemons.len() {
                 let daemon = &self.daemons[index];
                 let empty = daemon.vacating.iter().filter(|(_, at)| **at <= self.now);
-                let shard = OwnShard {
+                let shard = OwnedShard {
                     name: daemon.shard.clone(),
                     fence: daemon.fence,
                     vacated: empty.map(|(vm, _)| vm.clone()).collect(),
@@ -136,7 +136,7 @@
     }
 
     fn step(&mut self, index: usize, event: Event) {
-        for action in self.daemons[index].duty.step(self.now, event) {
+        for action in self.daemons[index].scheduler.step(self.now, event) {
             self.act(index, action);
         }
     }
@@ -160,11 +160,13 @@
                 };
                 self.answer(index, Event::Listed { sent: now, machines });
             }
-            Action::Call(req) => self.call(index, req),
+            Action::StartUpkeep(req) => self.call(index, req),
             Action::Read { wave } => {
-                let event = match self.kv.get(&Record::key(wave)) {
+                let event = match self.kv.get(&WaveRecord::key(wave)) {
                     _ if self.fails() => Event::NotRecorded { wave },
-                    None => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
+                    None => {
+                        Event::Recorded { wave, rev: Rev::ABSENT, record: WaveRecord::default() }
+                    }
                     Some(item) => {
                         let record = decode(&item.value).expect("a record");
                         Event::Recorded { wave, rev: item.rev, record }
@@ -194,11 +196,11 @@
                 lost()
             }
         };
-        self.answer(index, Event::Called { wave, machine, result });
+        self.answer(index, Event::UpkeepAnswered { wave, machine, result });
     }
 
-    fn write(&mut self, index: usize, wave: u64, rev: Rev, record: Record, state: WaveState) {
-        let key = Record::key(wave);
+    fn write(&mut self, index: usize, wave: u64, rev: Rev, record: WaveRecord, state: WaveState) {
+        let key = WaveRecord::key(wave);
         let value = encode(&record).into();
         let txn = Txn {
             conditions: vec![Condition { key: key.clone(), rev }],
