--- a/src/tasklog.rs
+++ b/src/tasklog.rs
@@ -1,17 +1,18 @@
-//! The durable log of tasks, one partition a writer.
+//! The durable task log. Each partition has a single writer.
 //!
-//! A partition is a head and the values that it names: pages, which hold tasks as of the last
-//! compaction, and segments, which hold the records since. A commit is one compare-and-swap of
-//! the head. Small commits travel in the head itself; larger ones are put as a segment first, and
-//! a segment that no head names never happened.
+//! A partition consists of a head and the values that the head references: pages, which hold the
+//! tasks as of the last compaction, and segments, which hold the records written since. A commit
+//! is one compare-and-swap of the head. Small commits are stored in the head itself. Larger ones
+//! are first written as a segment, which has no effect until a head references it.
 //!
-//! Nobody needs a lease to write. A daemon claims the partition by a compare-and-swap that adds
-//! its claim, and from then on each commit of the writer before it fails. That holds for a writer
-//! that was paused or cut off for any time, since the head's version has moved.
+//! Writing needs no lease. A daemon claims the partition with a compare-and-swap that adds its
+//! claim to the head, after which every commit of the previous writer fails. This also holds for
+//! a writer that was paused or partitioned for any length of time, because the head's version has
+//! changed.
 //!
-//! A write whose answer was lost is repeated with the same expected version and the same commit
-//! number, so it takes effect at most once whether the first one lands never, early or late.
-//! Reading the head back once would not do: a write that is still on its way is not seen.
+//! A write whose response was lost is retried with the same expected version and commit number,
+//! so it takes effect at most once, whether the first request arrives early, late or never.
+//! Reading the head back once is not enough, because it does not show a write still in flight.
 
 mod codec;
 mod compact;
@@ -23,7 +24,7 @@
 
 use self::codec::{Dictionary, Segment, encode};
 use self::compact::digest;
-use self::head::{Claim, Head, Run, ValueId, head_key};
+use self::head::{Claim, Head, ValueId, ValueRange, head_key};
 use self::settle::{Pending, PendingChange};
 use crate::ids::{DaemonId, IdempotencyKey, PartitionId, TaskId};
 use crate::store::{self, Store};
@@ -31,19 +32,19 @@
 use indexmap::IndexMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Result of an operation on a partition.
+/// The result of an operation on a partition.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// An operation on a partition that failed.
+/// An error from an operation on a partition.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No record took effect, and none will.
+    /// None of the records took effect, and none will later.
     #[error("the records of partition {partition} were not written ({reason}); submit them again")]
     NotWritten { partition: PartitionId, reason: String },
-    /// Another daemon claimed the partition; no record took effect, and none will.
+    /// Another daemon claimed the partition. None of the records took effect, and none will later.
     #[error("partition {partition} is written by {by} now; send its tasks there")]
     Superseded { partition: PartitionId, by: DaemonId },
-    /// The records may have taken effect; nothing can be committed until that is known.
+    /// The records may have taken effect. Nothing can be committed until the outcome is known.
     #[error(
         "partition {partition} can't tell whether its last commit took effect ({reason}); call \
          settle until it can, or load the partition again"
@@ -51,7 +52,8 @@
     Unsettled { partition: PartitionId, reason: String },
     #[error("a record of {task} was given to partition {partition}; give it to its own")]
     Foreign { partition: PartitionId, task: TaskId },
-    /// No record took effect, and none will.
+    /// The idempotency key belongs to another task. None of the records took effect, and none will
+    /// later.
     #[error("the key `{key}` names {task} already; show that task, or submit with another key")]
     Repeated { key: IdempotencyKey, task: TaskId },
     #[error("the store can't be read ({reason}); load partition {partition} again later")]
@@ -65,18 +67,18 @@
     Missing { key: String },
 }
 
-/// Bounds on a partition's size.
+/// Size limits of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest tail of records kept in the head, in bytes.
+    /// Maximum size of the records stored in the head, in bytes.
     pub tail_bytes: usize,
-    /// Bytes of records after which a compaction is due.
+    /// Size of the records, in bytes, at which a compaction is due.
     pub log_bytes: usize,
-    /// Largest page, in bytes.
+    /// Maximum page size, in bytes.
     pub page_bytes: usize,
-    /// Ended tasks kept whole, the latest.
+    /// Number of most recently ended tasks that are kept in full.
     pub ended_tasks: usize,
-    /// Idempotency keys kept of ended tasks that were dropped, the latest; at least so many.
+    /// Minimum number of idempotency keys kept for the most recently dropped ended tasks.
     pub dropped_keys: usize,
 }
 
@@ -92,20 +94,20 @@
     }
 }
 
-/// What a partition has cost its writer.
+/// Store usage of a partition's writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Calls to the store.
     pub calls: u64,
-    /// Bytes written, keys not counted.
+    /// Bytes written, excluding keys.
     pub bytes_written: u64,
-    /// Of these, bytes of new records, each counted once.
+    /// The part of `bytes_written` that is new records, each counted once.
     pub record_bytes: u64,
     pub commits: u64,
     pub compactions: u64,
 }
 
-/// A partition that this daemon writes.
+/// A partition claimed by this daemon for writing.
 #[derive(Debug)]
 pub struct Partition {
     id: PartitionId,
@@ -116,9 +118,9 @@
     tasks: BTreeMap<u64, TaskState>,
     /// Ended tasks, in the order in which they ended.
     ended: VecDeque<u64>,
-    /// Digests of the keys of dropped tasks, oldest first.
+    /// Task number by digest of the idempotency key, for dropped tasks; oldest first.
     dropped: IndexMap<[u8; 16], u64>,
-    /// Keys of the tasks above.
+    /// Task number by idempotency key, for the entries of `tasks`.
     keys: IndexMap<IdempotencyKey, u64>,
     next_value: u64,
     /// Bytes of records since the last compaction.
@@ -130,44 +132,43 @@
 }
 
 impl Partition {
-    /// The partition's number.
     pub fn id(&self) -> PartitionId {
         self.id
     }
 
-    /// Every task the log still holds, ended ones included.
+    /// All tasks kept in the log, including ended ones.
     pub fn tasks(&self) -> impl Iterator<Item = &TaskState> {
         self.tasks.values()
     }
 
-    /// The task submitted with the key, as long as the key is remembered.
+    /// Looks up the task that was submitted with the key, while the key is kept.
     pub fn find_key(&self, key: &IdempotencyKey) -> Option<TaskId> {
         let number = self.keys.get(key).or_else(|| self.dropped.get(&digest(key.as_str())))?;
         Some(TaskId::new(self.id, *number))
     }
 
-    /// Number for the next task.
+    /// The number to assign to the next task.
     pub fn next_number(&self) -> u64 {
         self.head.next_number
     }
 
-    /// What the partition has cost since it was loaded.
+    /// Store usage since the partition was loaded.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Whether the outcome of the last write is not known.
+    /// Whether the outcome of the last write is unknown.
     pub fn unsettled(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// The same with other bounds.
+    /// Replaces the size limits.
     pub fn with_limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Makes the records durable, all or none, in order.
+    /// Writes the records durably and atomically, in order.
     pub async fn commit<S: Store>(&mut self, store: &S, records: &[Record]) -> Result<()> {
         self.check_writable()?;
         self.check_own(records)?;
@@ -175,25 +176,26 @@
         if records.is_empty() {
             return Ok(());
         }
-        let mark = self.dictionary.mark();
+        let savepoint = self.dictionary.savepoint();
         let segment = self.dictionary.segment(records);
         let bytes = encode(&segment).len();
         let next = match self.next_head(store, segment, records).await {
             Ok(next) => next,
             Err(error) => {
-                self.dictionary.rewind(mark);
+                self.dictionary.rollback(savepoint);
                 return Err(error);
             }
         };
         let change = PendingChange::Records { records: records.to_vec(), bytes };
         let result = self.write_head(store, Pending::new(next, change)).await;
         if matches!(result, Err(Error::NotWritten { .. })) {
-            self.dictionary.rewind(mark);
+            self.dictionary.rollback(savepoint);
         }
         result
     }
 
-    /// Learns whether the last write took effect; `Ok` if it did or if nothing was open.
+    /// Determines whether the last write took effect. Returns `Ok` if it did, or if no write was
+    /// pending.
     pub async fn settle<S: Store>(&mut self, store: &S) -> Result<()> {
         match self.pending.take() {
             Some(pending) => self.write_head(store, pending).await,
@@ -219,9 +221,9 @@
         }
     }
 
-    /// The writer's own memory of keys ends with it, and the next writer is given only the latest
-    /// ended tasks. Without this check a caller that repeats an older submission would have its
-    /// task run a second time.
+    /// Rejects a key that already belongs to another task. The writer's in-memory key index is lost
+    /// when it ends, and the next writer is given only the most recently ended tasks. Without this
+    /// check, a caller that repeats an older submission would have its task run twice.
     fn check_keys(&self, records: &[Record]) -> Result<()> {
         for record in records {
             let Change::Accepted { key, .. } = &record.change else { continue };
@@ -246,7 +248,7 @@
         let tail = encode(&next.tail);
         if tail.len() > self.limits.tail_bytes {
             let id = self.put_value(store, tail).await?;
-            Run::push(&mut next.segments, id);
+            ValueRange::push(&mut next.segments, id);
             next.tail = Segment::default();
         }
         Ok(next)
--- a/src/tasklog/codec.rs
+++ b/src/tasklog/codec.rs
@@ -1,8 +1,8 @@
-//! How records and tasks are written: postcard, with names and specs written once.
+//! Encoding of records and tasks in postcard, with a dictionary for names and specs.
 //!
-//! Tasks of one class share everything but their payload, and the same VMs return in each batch,
-//! so records refer to a dictionary that grows along the log. A segment carries only what it adds
-//! to the dictionary; the log is therefore read from its first page on, in order.
+//! Tasks of one class share everything but their payload, and the same VMs recur in each batch, so
+//! records refer to a dictionary that grows along the log. A segment contains only its additions
+//! to the dictionary, so the log has to be read in order from its first page.
 
 use crate::ids::{
     Attempt, BootId, CheckpointId, ClassName, IdempotencyKey, PartitionId, PoolName, TaskId,
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Result of reading or writing the log's values.
+/// The result of decoding a value of the log.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A value that can't be written or read.
+/// An error in the encoding of a value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     #[error("the value is not a {kind} of the task log; restore it or start an empty partition")]
@@ -30,21 +30,21 @@
     Spec(u32),
 }
 
-/// Names and specs seen so far in the log.
+/// The names and specs that the log has used so far.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Dictionary {
     names: IndexSet<Arc<str>>,
     specs: IndexSet<SpecEntry>,
 }
 
-/// A point in the dictionary's growth.
+/// The dictionary's size at one point, for rolling it back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Mark {
+pub(crate) struct Savepoint {
     names: usize,
     specs: usize,
 }
 
-/// A spec without its payload.
+/// A task spec without its payload; names are dictionary indexes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct SpecEntry {
     class: u32,
@@ -58,7 +58,7 @@
     max_failures: u32,
 }
 
-/// Consecutive records with what they add to the dictionary.
+/// Consecutive records and their additions to the dictionary.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Segment {
     names: Vec<Arc<str>>,
@@ -66,7 +66,7 @@
     entries: Vec<Entry>,
 }
 
-/// Part of a compacted log: tasks as their records left them.
+/// Part of a compacted log: the current state of some tasks and their additions to the dictionary.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Page {
     names: Vec<Arc<str>>,
@@ -77,11 +77,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Entry {
     number: u64,
-    step: Step,
+    change: ChangeEntry,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum Step {
+enum ChangeEntry {
     Accepted { key: IdempotencyKey, spec: u32, payload: String },
     Bound { vm: u32, boot: BootId, attempt: Attempt },
     Released { attempt: Attempt, checkpoint: Option<CheckpointId>, failed: bool },
@@ -111,32 +111,32 @@
 }
 
 impl Dictionary {
-    /// Where the dictionary stands.
-    pub(crate) fn mark(&self) -> Mark {
-        Mark { names: self.names.len(), specs: self.specs.len() }
+    /// The current size, to pass to `rollback`.
+    pub(crate) fn savepoint(&self) -> Savepoint {
+        Savepoint { names: self.names.len(), specs: self.specs.len() }
     }
 
-    /// Forgets what was added since, such as by a segment that was not written.
-    pub(crate) fn rewind(&mut self, mark: Mark) {
-        self.names.truncate(mark.names);
-        self.specs.truncate(mark.specs);
+    /// Removes everything added since the savepoint, such as by a segment that was not written.
+    pub(crate) fn rollback(&mut self, savepoint: Savepoint) {
+        self.names.truncate(savepoint.names);
+        self.specs.truncate(savepoint.specs);
     }
 
-    /// Writes records as a segment that follows all earlier ones.
+    /// Encodes records as the segment that follows all earlier ones.
     pub(crate) fn segment(&mut self, records: &[Record]) -> Segment {
-        let mark = self.mark();
+        let savepoint = self.savepoint();
         let entries = records.iter().map(|record| self.entry(record)).collect();
-        Segment { names: self.names_since(mark), specs: self.specs_since(mark), entries }
+        Segment { names: self.names_since(savepoint), specs: self.specs_since(savepoint), entries }
     }
 
-    /// Writes tasks as a page that follows all earlier ones.
+    /// Encodes tasks as the page that follows all earlier ones.
     pub(crate) fn page(&mut self, tasks: &[&TaskState]) -> Page {
-        let mark = self.mark();
+        let savepoint = self.savepoint();
         let tasks = tasks.iter().map(|task| self.task_entry(task)).collect();
-        Page { names: self.names_since(mark), specs: self.specs_since(mark), tasks }
+        Page { names: self.names_since(savepoint), specs: self.specs_since(savepoint), tasks }
     }
 
-    /// Reads a segment's records.
+    /// Decodes a segment's records.
     pub(crate) fn records(
         &mut self,
         partition: PartitionId,
@@ -148,23 +148,23 @@
             .iter()
             .map(|entry| {
                 let task = TaskId::new(partition, entry.number);
-                Ok(Record { task, change: self.change(&entry.step)? })
+                Ok(Record { task, change: self.change(&entry.change)? })
             })
             .collect()
     }
 
-    /// Reads a page's tasks.
+    /// Decodes a page's tasks.
     pub(crate) fn tasks(&mut self, partition: PartitionId, page: &Page) -> Result<Vec<TaskState>> {
         self.extend(&page.names, &page.specs);
         page.tasks.iter().map(|entry| self.task(partition, entry)).collect()
     }
 
-    fn names_since(&self, mark: Mark) -> Vec<Arc<str>> {
-        self.names.iter().skip(mark.names).cloned().collect()
+    fn names_since(&self, savepoint: Savepoint) -> Vec<Arc<str>> {
+        self.names.iter().skip(savepoint.names).cloned().collect()
     }
 
-    fn specs_since(&self, mark: Mark) -> Vec<SpecEntry> {
-        self.specs.iter().skip(mark.specs).cloned().collect()
+    fn specs_since(&self, savepoint: Savepoint) -> Vec<SpecEntry> {
+        self.specs.iter().skip(savepoint.specs).cloned().collect()
     }
 
     fn extend(&mut self, names: &[Arc<str>], specs: &[SpecEntry]) {
@@ -195,7 +195,7 @@
         u32::try_from(self.specs.insert_full(entry).0).unwrap_or(u32::MAX)
     }
 
-    /// A name, sharing the dictionary's memory: tasks have few names between them.
+    /// Returns a name that shares the dictionary's allocation, since tasks use few distinct names.
     fn name(&self, index: u32) -> Result<Arc<str>> {
         self.names.get_index(index as usize).cloned().ok_or(Error::Name(index))
     }
@@ -217,45 +217,45 @@
     }
 
     fn entry(&mut self, record: &Record) -> Entry {
-        let step = match &record.change {
-            Change::Accepted { key, spec } => Step::Accepted {
+        let change = match &record.change {
+            Change::Accepted { key, spec } => ChangeEntry::Accepted {
                 key: key.clone(),
                 spec: self.intern_spec(spec),
                 payload: spec.payload.clone(),
             },
             Change::Bound { vm, boot, attempt } => {
-                Step::Bound { vm: self.intern(vm.as_str()), boot: *boot, attempt: *attempt }
+                ChangeEntry::Bound { vm: self.intern(vm.as_str()), boot: *boot, attempt: *attempt }
             }
-            Change::Released { attempt, checkpoint, failed } => Step::Released {
+            Change::Released { attempt, checkpoint, failed } => ChangeEntry::Released {
                 attempt: *attempt,
                 checkpoint: checkpoint.clone(),
                 failed: *failed,
             },
             Change::Ended { attempt, outcome } => {
-                Step::Ended { attempt: *attempt, outcome: outcome.clone() }
+                ChangeEntry::Ended { attempt: *attempt, outcome: outcome.clone() }
             }
-            Change::CancelAsked => Step::CancelAsked,
+            Change::CancelAsked => ChangeEntry::CancelAsked,
         };
-        Entry { number: record.task.number, step }
+        Entry { number: record.task.number, change }
     }
 
-    fn change(&self, step: &Step) -> Result<Change> {
-        Ok(match step {
-            Step::Accepted { key, spec, payload } => {
+    fn change(&self, change: &ChangeEntry) -> Result<Change> {
+        Ok(match change {
+            ChangeEntry::Accepted { key, spec, payload } => {
                 Change::Accepted { key: key.clone(), spec: self.spec(*spec, payload)? }
             }
-            Step::Bound { vm, boot, attempt } => {
+            ChangeEntry::Bound { vm, boot, attempt } => {
                 Change::Bound { vm: VmId::from(self.name(*vm)?), boot: *boot, attempt: *attempt }
             }
-            Step::Released { attempt, checkpoint, failed } => Change::Released {
+            ChangeEntry::Released { attempt, checkpoint, failed } => Change::Released {
                 attempt: *attempt,
                 checkpoint: checkpoint.clone(),
                 failed: *failed,
             },
-            Step::Ended { attempt, outcome } => {
+            ChangeEntry::Ended { attempt, outcome } => {
                 Change::Ended { attempt: *attempt, outcome: outcome.clone() }
             }
-            Step::CancelAsked => Change::CancelAsked,
+            ChangeEntry::CancelAsked => Change::CancelAsked,
         })
     }
 
@@ -300,7 +300,7 @@
 }
 
 impl Segment {
-    /// Adds the records of the segment that follows this one.
+    /// Appends the segment that follows this one.
     pub(crate) fn append(&mut self, next: Self) {
         self.names.extend(next.names);
         self.specs.extend(next.specs);
@@ -308,12 +308,12 @@
     }
 }
 
-/// Writes a value.
+/// Encodes a value.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_allocvec(value).expect("values in memory can be written")
+    postcard::to_allocvec(value).expect("serializing to memory does not fail")
 }
 
-/// Reads a value.
+/// Decodes a value; `kind` names it in the error.
 pub(crate) fn decode<T: for<'de> Deserialize<'de>>(kind: &'static str, buf: &[u8]) -> Result<T> {
     postcard::from_bytes(buf).map_err(|_| Error::Format { kind })
 }
--- a/src/tasklog/compact.rs
+++ b/src/tasklog/compact.rs
@@ -1,14 +1,14 @@
-//! Compaction: tasks as they stand replace the records that led there.
+//! Compaction: replaces records with the current state of the tasks.
 //!
-//! New pages are put under new keys, the head is swapped to name them, and only then are the old
-//! values deleted. A writer that dies in between leaves values that no head names, and the next
-//! one deletes them.
+//! New pages are written under new keys, then the head is swapped to reference them, and only then
+//! are the old values deleted. A writer that crashes in between leaves unreferenced values, which
+//! the next writer deletes.
 //!
-//! Ended tasks are kept whole while they are among the latest. After that only a digest of their
-//! idempotency key stays, in archives that are written once and dropped whole, oldest first.
+//! The most recently ended tasks are kept in full. For older ones, only a digest of the
+//! idempotency key is kept, in archives that are written once and deleted whole, oldest first.
 
 use super::codec::{Dictionary, Page, Segment, encode};
-use super::head::{Archive, Head, Run};
+use super::head::{Archive, Head, ValueRange};
 use super::settle::{Compaction, Pending, PendingChange};
 use super::{Partition, Result};
 use crate::store::{Expect, Store};
@@ -16,11 +16,11 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Values deleted in one round, so that a round does not hold up commits.
-const DELETES_A_ROUND: usize = 8;
+/// Maximum number of values deleted by one sweep, so that a sweep does not delay commits.
+const MAX_DELETES_PER_SWEEP: usize = 8;
 
-/// Written size of a task apart from its texts, at most.
-const TASK_BYTES: usize = 96;
+/// Upper bound of a task's encoded size without its variable-length texts.
+const MAX_FIXED_TASK_BYTES: usize = 96;
 
 /// The idempotency key of a task that was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,23 +35,23 @@
     }
 }
 
-/// What stands for a key once its task was dropped.
+/// Digest that replaces an idempotency key once its task is dropped.
 pub(super) fn digest(key: &str) -> [u8; 16] {
     xxh3_128(key.as_bytes()).to_le_bytes()
 }
 
 impl Partition {
-    /// Whether records have piled up since the last compaction.
+    /// Whether the records since the last compaction have reached `Limits::log_bytes`.
     pub fn compact_due(&self) -> bool {
         self.pending.is_none()
             && self.superseded.is_none()
             && self.log_bytes >= self.limits.log_bytes
     }
 
-    /// Rewrites the partition as pages.
+    /// Rewrites the partition's tasks as pages and drops the records.
     pub async fn compact<S: Store>(&mut self, store: &S) -> Result<()> {
         self.check_writable()?;
-        let dropped = self.surplus_ended();
+        let dropped = self.excess_ended();
         let mut dictionary = Dictionary::default();
         let mut next = self.head.clone();
         next.last_claim_mut().commit += 1;
@@ -62,8 +62,8 @@
             self.discard(&next);
             return Err(error);
         }
-        self.drop_archives(&mut next);
-        let garbage = self.head.values().filter(|id| !next.names(*id)).collect();
+        self.evict_archives(&mut next);
+        let garbage = self.head.values().filter(|id| !next.references(*id)).collect();
         let compaction = Compaction { dictionary, dropped, garbage };
         let change = PendingChange::Compaction(Box::new(compaction));
         self.write_head(store, Pending::new(next, change)).await
@@ -78,7 +78,7 @@
     ) -> Result<()> {
         for page in self.pages(dictionary, dropped.len()) {
             let id = self.put_value(store, encode(&page)).await?;
-            Run::push(&mut next.pages, id);
+            ValueRange::push(&mut next.pages, id);
         }
         let keys: Vec<_> = self.dropped_keys(dropped).collect();
         if !keys.is_empty() {
@@ -88,9 +88,9 @@
         Ok(())
     }
 
-    /// Deletes some values that no head names; returns how many are left.
+    /// Deletes some unreferenced values and returns the number of those that remain.
     pub async fn sweep<S: Store>(&mut self, store: &S) -> usize {
-        for _ in 0..DELETES_A_ROUND {
+        for _ in 0..MAX_DELETES_PER_SWEEP {
             let Some(id) = self.garbage.pop() else { break };
             self.stats.calls += 1;
             if store.delete(&id.key(self.id), Expect::Any).await.is_err() {
@@ -101,7 +101,7 @@
         self.garbage.len()
     }
 
-    pub(super) fn compacted(&mut self, compaction: Compaction) {
+    pub(super) fn finish_compaction(&mut self, compaction: Compaction) {
         self.stats.compactions += 1;
         self.log_bytes = 0;
         self.dictionary = compaction.dictionary;
@@ -110,7 +110,7 @@
             self.ended.pop_front();
             if let Some(task) = self.tasks.remove(&number) {
                 self.keys.shift_remove(&task.key);
-                self.remember(&DroppedKey::new(&task));
+                self.insert_dropped_key(&DroppedKey::new(&task));
             }
         }
         let kept: usize = self.head.archives.iter().map(|archive| archive.count).sum();
@@ -118,14 +118,15 @@
         self.dropped.drain(..surplus);
     }
 
-    pub(super) fn remember(&mut self, key: &DroppedKey) {
-        // A digest seen again goes to the end, with the archive that names it last.
+    pub(super) fn insert_dropped_key(&mut self, key: &DroppedKey) {
+        // A repeated digest moves to the end, because the last archive that contains it decides how
+        // long it is kept.
         self.dropped.shift_remove(&key.digest);
         self.dropped.insert(key.digest, key.number);
     }
 
-    /// The ended tasks that are too many, the earliest ended first.
-    fn surplus_ended(&self) -> Vec<u64> {
+    /// The ended tasks beyond `Limits::ended_tasks`, earliest ended first.
+    fn excess_ended(&self) -> Vec<u64> {
         let surplus = self.ended.len().saturating_sub(self.limits.ended_tasks);
         self.ended.iter().take(surplus).copied().collect()
     }
@@ -134,7 +135,7 @@
         dropped.iter().filter_map(|number| self.tasks.get(number)).map(DroppedKey::new)
     }
 
-    fn drop_archives(&self, next: &mut Head) {
+    fn evict_archives(&self, next: &mut Head) {
         let mut count: usize = next.archives.iter().map(|archive| archive.count).sum();
         while let Some(oldest) = next.archives.first() {
             if count - oldest.count < self.limits.dropped_keys {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Open tasks by number, then ended ones in the order in which they ended.
+    /// Builds pages of the open tasks by number, then of the ended ones in the order they ended.
     fn pages(&self, dictionary: &mut Dictionary, dropped: usize) -> Vec<Page> {
         let open = self.tasks.values().filter(|task| !task.ended());
         let ended = self.ended.iter().skip(dropped).filter_map(|number| self.tasks.get(number));
@@ -153,7 +154,7 @@
         let mut chunk = Vec::new();
         let mut size = 0;
         for task in open.chain(ended) {
-            let task_size = written_size(task);
+            let task_size = max_encoded_size(task);
             if size + task_size > self.limits.page_bytes && !chunk.is_empty() {
                 pages.push(dictionary.page(&chunk));
                 chunk.clear();
@@ -169,8 +170,8 @@
     }
 }
 
-/// Bytes that a task takes in a page, at most, names apart.
-fn written_size(task: &TaskState) -> usize {
+/// Upper bound of a task's encoded size in a page, without its additions to the dictionary.
+fn max_encoded_size(task: &TaskState) -> usize {
     let reason = match &task.phase {
         Phase::Ended { outcome: Outcome::Failed { reason } | Outcome::Unknown { reason } } => {
             reason.len()
@@ -178,5 +179,5 @@
         _ => 0,
     };
     let checkpoint = task.checkpoint.as_ref().map_or(0, |id| id.as_str().len());
-    TASK_BYTES + task.key.as_str().len() + task.spec.payload.len() + checkpoint + reason
+    MAX_FIXED_TASK_BYTES + task.key.as_str().len() + task.spec.payload.len() + checkpoint + reason
 }
--- a/src/tasklog/head.rs
+++ b/src/tasklog/head.rs
@@ -1,28 +1,28 @@
-//! A partition's head: the one key whose compare-and-swap puts a commit in force.
+//! A partition's head: the key whose compare-and-swap makes a commit take effect.
 
 use super::codec::Segment;
 use crate::ids::{DaemonId, PartitionId};
 use serde::{Deserialize, Serialize};
 
-/// Version of the values' layout.
+/// Version of the storage format.
 pub(crate) const FORMAT: u8 = 1;
 
-/// Writers remembered in the head, with the last commit of each.
-pub(crate) const REMEMBERED_CLAIMS: usize = 8;
+/// Maximum number of claims kept in the head, each with its last commit.
+pub(crate) const MAX_CLAIMS: usize = 8;
 
-/// What the head says.
+/// The content of the head.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Head {
     pub(crate) format: u8,
-    /// The latest writers, oldest first; the last one may commit.
+    /// The most recent claims, oldest first. Only the holder of the last one may commit.
     pub(crate) claims: Vec<Claim>,
-    /// Number of the next task; also above those that were forgotten.
+    /// Number of the next task; higher than any used before, including those of dropped tasks.
     pub(crate) next_number: u64,
-    /// Compacted tasks.
-    pub(crate) pages: Vec<Run>,
-    /// Records since then, oldest first.
-    pub(crate) segments: Vec<Run>,
-    /// Idempotency keys of dropped tasks, oldest first.
+    /// Pages with compacted tasks.
+    pub(crate) pages: Vec<ValueRange>,
+    /// Segments with the records since the last compaction, oldest first.
+    pub(crate) segments: Vec<ValueRange>,
+    /// Archives with the idempotency keys of dropped tasks, oldest first.
     pub(crate) archives: Vec<Archive>,
     /// Records since the last segment.
     pub(crate) tail: Segment,
@@ -31,32 +31,32 @@
 /// A writer's right to commit, until the next claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Claim {
-    /// Rises with each claim.
+    /// Increases with each claim.
     pub(crate) epoch: u64,
     pub(crate) writer: DaemonId,
-    /// Tells two claims by one writer apart.
+    /// Distinguishes claims of the same writer.
     pub(crate) nonce: u64,
-    /// Last commit under this claim.
+    /// Number of the last commit under this claim.
     pub(crate) commit: u64,
 }
 
-/// Consecutively numbered values written under one claim.
+/// A range of consecutively numbered values written under one claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Run {
+pub(crate) struct ValueRange {
     pub(crate) epoch: u64,
     pub(crate) first: u64,
     pub(crate) count: u64,
 }
 
-/// A value with idempotency keys of dropped tasks.
+/// A reference to a value with the idempotency keys of dropped tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Archive {
     pub(crate) id: ValueId,
-    /// Keys in it.
+    /// Number of keys in the value.
     pub(crate) count: usize,
 }
 
-/// One value that a head names.
+/// Identifies one value of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct ValueId {
     pub(crate) epoch: u64,
@@ -64,7 +64,7 @@
 }
 
 impl Head {
-    /// The head of a partition that was never written.
+    /// The head of a partition that has never been written.
     pub(crate) fn new() -> Self {
         Self {
             format: FORMAT,
@@ -77,51 +77,51 @@
         }
     }
 
-    /// The claim under which commits are made now.
+    /// The current claim.
     pub(crate) fn claim(&self) -> Option<&Claim> {
         self.claims.last()
     }
 
-    /// The same head claimed by another writer.
-    pub(crate) fn claimed(&self, writer: &DaemonId, nonce: u64) -> Self {
+    /// Returns a copy with a new claim for `writer`.
+    pub(crate) fn with_claim(&self, writer: &DaemonId, nonce: u64) -> Self {
         let epoch = self.claim().map_or(0, |claim| claim.epoch) + 1;
         let mut next = self.clone();
         next.claims.push(Claim { epoch, writer: writer.clone(), nonce, commit: 0 });
-        let surplus = next.claims.len().saturating_sub(REMEMBERED_CLAIMS);
+        let surplus = next.claims.len().saturating_sub(MAX_CLAIMS);
         next.claims.drain(..surplus);
         next
     }
 
-    /// The claim of a head that was claimed, as each head of a loaded partition was.
+    /// The current claim of a loaded partition's head, which always has one.
     pub(crate) fn last_claim(&self) -> &Claim {
         self.claim().expect("a partition is loaded by claiming it")
     }
 
-    /// The same, to count a commit.
+    /// Mutable `last_claim`, for incrementing the commit number.
     pub(crate) fn last_claim_mut(&mut self) -> &mut Claim {
         self.claims.last_mut().expect("a partition is loaded by claiming it")
     }
 
-    /// Every value it names.
+    /// All values that the head references.
     pub(crate) fn values(&self) -> impl Iterator<Item = ValueId> {
         let archives = self.archives.iter().map(|archive| archive.id);
-        self.pages.iter().chain(&self.segments).flat_map(Run::values).chain(archives)
+        self.pages.iter().chain(&self.segments).flat_map(ValueRange::values).chain(archives)
     }
 
-    /// Whether it names the value.
-    pub(crate) fn names(&self, id: ValueId) -> bool {
+    /// Whether the head references the value.
+    pub(crate) fn references(&self, id: ValueId) -> bool {
         self.values().any(|named| named == id)
     }
 }
 
-impl Run {
-    /// Each value of the run.
+impl ValueRange {
+    /// The values of the range.
     pub(crate) fn values(&self) -> impl Iterator<Item = ValueId> + use<> {
         let Self { epoch, first, count } = *self;
         (first..first + count).map(move |number| ValueId { epoch, number })
     }
 
-    /// Adds a value to the runs, extending the last one where it follows.
+    /// Adds a value to the ranges, extending the last one if the value is consecutive.
     pub(crate) fn push(runs: &mut Vec<Self>, id: ValueId) {
         match runs.last_mut() {
             Some(run) if run.epoch == id.epoch && run.first + run.count == id.number => {
@@ -133,12 +133,12 @@
 }
 
 impl ValueId {
-    /// Key of the value.
+    /// The store key of the value.
     pub(crate) fn key(self, partition: PartitionId) -> String {
         format!("{}{:x}.{:x}", values_prefix(partition), self.epoch, self.number)
     }
 
-    /// The value that a key names, if it does.
+    /// Parses a store key; `None` if it is not that of a value of the partition.
     pub(crate) fn from_key(partition: PartitionId, key: &str) -> Option<Self> {
         let rest = key.strip_prefix(&values_prefix(partition))?;
         let (epoch, number) = rest.split_once('.')?;
@@ -149,12 +149,12 @@
     }
 }
 
-/// Key of a partition's head.
+/// The store key of a partition's head.
 pub(crate) fn head_key(partition: PartitionId) -> String {
     format!("tasks/{partition}/head")
 }
 
-/// Prefix of the keys of a partition's pages and segments.
+/// The prefix of the store keys of a partition's pages, segments and archives.
 pub(crate) fn values_prefix(partition: PartitionId) -> String {
     format!("tasks/{partition}/v/")
 }
--- a/src/tasklog/load.rs
+++ b/src/tasklog/load.rs
@@ -1,12 +1,12 @@
-//! Taking over a partition: claim it, then read what its head names.
+//! Loading a partition: claims it, then reads the values that its head references.
 //!
-//! The claim comes first. After it no earlier writer can commit or name other values, so what is
-//! read next is final however long the reading takes.
+//! The claim comes first. After it, no earlier writer can commit or change the references, so the
+//! values read next are final, however long reading takes.
 
 use super::codec::{self, Dictionary, Page, Segment, decode, encode};
 use super::compact::DroppedKey;
 use super::head::{FORMAT, Head, ValueId, head_key, values_prefix};
-use super::settle::{READ_TRIES, WRITE_TRIES};
+use super::settle::{MAX_READ_ATTEMPTS, MAX_WRITE_ATTEMPTS};
 use super::{Error, Limits, Partition, Result, Stats};
 use crate::ids::{DaemonId, PartitionId};
 use crate::store::{self, Expect, Store};
@@ -16,33 +16,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Values found under a partition's prefix.
-type Found = IndexMap<ValueId, Bytes>;
+/// Values listed under a partition's prefix.
+type ListedValues = IndexMap<ValueId, Bytes>;
 
-/// Tells claims of one daemon apart.
+/// Distinguishes claims of the same daemon.
 static NEXT_NONCE: AtomicU64 = AtomicU64::new(1);
 
-/// A partition with what its log says.
+/// A loaded partition with the tasks in its log.
 #[derive(Debug)]
 pub struct Loaded {
     pub partition: Partition,
-    /// Tasks by number, ended ones that are still kept included.
+    /// Tasks by number, including the ended ones that are still kept.
     pub tasks: Vec<TaskState>,
     pub next_number: u64,
 }
 
-/// A head as read, with its version; zero if there is none yet.
-struct Read {
+/// A head with its version in the store, which is zero if no head exists yet.
+struct VersionedHead {
     head: Head,
     version: u64,
 }
 
 impl Partition {
-    /// Claims the partition for `writer` and reads it.
+    /// Claims the partition for `writer` and loads its tasks.
     pub async fn load<S: Store>(store: &S, id: PartitionId, writer: &DaemonId) -> Result<Loaded> {
-        let mut claiming = Claiming::new(store, id, writer);
-        let Read { head, version } = claiming.claim().await?;
-        let stats = Stats { calls: claiming.calls, ..Stats::default() };
+        let mut attempt = ClaimAttempt::new(store, id, writer);
+        let VersionedHead { head, version } = attempt.claim().await?;
+        let stats = Stats { calls: attempt.calls, ..Stats::default() };
         let mut partition = Self::new(id, head, version, stats);
         partition.read_values(store).await?;
         let tasks = partition.tasks.values().cloned().collect();
@@ -70,11 +70,13 @@
         }
     }
 
-    /// Reads pages, segments and the tail, in the order in which they were written.
+    /// Reads the pages, segments and tail in the order in which they were written, which decoding
+    /// requires, and the archives.
     async fn read_values<S: Store>(&mut self, store: &S) -> Result<()> {
         let mut found = self.list_values(store).await?;
-        let pages: Vec<_> = self.head.pages.iter().flat_map(super::Run::values).collect();
-        let segments: Vec<_> = self.head.segments.iter().flat_map(super::Run::values).collect();
+        let pages: Vec<_> = self.head.pages.iter().flat_map(super::ValueRange::values).collect();
+        let segments: Vec<_> =
+            self.head.segments.iter().flat_map(super::ValueRange::values).collect();
         for id in pages {
             let buf = self.take_value(store, &mut found, id).await?;
             self.read_page(&buf).map_err(|source| self.corrupt(id, source))?;
@@ -89,24 +91,24 @@
             let buf = self.take_value(store, &mut found, archive.id).await?;
             let keys: Vec<DroppedKey> =
                 decode("archive", &buf).map_err(|source| self.corrupt(archive.id, source))?;
-            keys.iter().for_each(|key| self.remember(key));
+            keys.iter().for_each(|key| self.insert_dropped_key(key));
         }
         let tail = self.head.tail.clone();
         self.log_bytes += encode(&tail).len();
         let key = self.head_key();
         self.read_segment(&tail).map_err(|source| Error::Corrupt { key, source })?;
-        self.note_orphans(&found);
+        self.collect_orphans(&found);
         Ok(())
     }
 
-    /// One call for all values, since each call counts against the store's rate.
-    async fn list_values<S: Store>(&mut self, store: &S) -> Result<Found> {
+    /// Reads all values with one call, since each call counts against the store's rate limit.
+    async fn list_values<S: Store>(&mut self, store: &S) -> Result<ListedValues> {
         if self.head.values().next().is_none() && self.claim().epoch == 1 {
-            return Ok(Found::new());
+            return Ok(ListedValues::new());
         }
         let prefix = values_prefix(self.id);
         let mut reason = String::new();
-        for _ in 0..READ_TRIES {
+        for _ in 0..MAX_READ_ATTEMPTS {
             self.stats.calls += 1;
             match store.list(&prefix).await {
                 Ok(entries) => {
@@ -121,11 +123,11 @@
         Err(self.unreadable(reason))
     }
 
-    /// A listed value, or a read of it: the list may be from before it was written.
+    /// Takes a listed value, or reads it if the list is older than the value.
     async fn take_value<S: Store>(
         &mut self,
         store: &S,
-        found: &mut Found,
+        found: &mut ListedValues,
         id: ValueId,
     ) -> Result<Bytes> {
         if let Some(buf) = found.shift_remove(&id) {
@@ -133,7 +135,7 @@
         }
         let key = id.key(self.id);
         let mut reason = None;
-        for _ in 0..READ_TRIES {
+        for _ in 0..MAX_READ_ATTEMPTS {
             self.stats.calls += 1;
             match store.get(&key).await {
                 Ok(Some(entry)) => return Ok(entry.value),
@@ -163,9 +165,9 @@
         Ok(())
     }
 
-    /// Values of earlier claims that the head does not name. Their writers can no longer commit,
-    /// so nothing ever will; values of later claims may be about to be named and are left alone.
-    fn note_orphans(&mut self, found: &Found) {
+    /// Schedules the deletion of unreferenced values of earlier claims, whose writers can no longer
+    /// commit. Values of later claims are kept, because a head may soon reference them.
+    fn collect_orphans(&mut self, found: &ListedValues) {
         let epoch = self.claim().epoch;
         self.garbage.extend(found.keys().filter(|id| id.epoch < epoch));
     }
@@ -179,8 +181,8 @@
     }
 }
 
-/// A claim in progress.
-struct Claiming<'a, S> {
+/// An attempt to claim a partition.
+struct ClaimAttempt<'a, S> {
     store: &'a S,
     id: PartitionId,
     writer: &'a DaemonId,
@@ -188,27 +190,27 @@
     calls: u64,
 }
 
-impl<'a, S: Store> Claiming<'a, S> {
+impl<'a, S: Store> ClaimAttempt<'a, S> {
     fn new(store: &'a S, id: PartitionId, writer: &'a DaemonId) -> Self {
         let nonce = NEXT_NONCE.fetch_add(1, Ordering::Relaxed);
         Self { store, id, writer, nonce, calls: 0 }
     }
 
-    async fn claim(&mut self) -> Result<Read> {
+    async fn claim(&mut self) -> Result<VersionedHead> {
         let mut read = self.read(0).await?;
         let mut reason = String::new();
-        for _ in 0..WRITE_TRIES {
-            let next = read.head.claimed(self.writer, self.nonce);
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            let next = read.head.with_claim(self.writer, self.nonce);
             self.calls += 1;
             let value = Bytes::from(encode(&next));
             let error = match self.store.put(&head_key(self.id), value, expect(&read)).await {
-                Ok(version) => return Ok(Read { head: next, version }),
+                Ok(version) => return Ok(VersionedHead { head: next, version }),
                 Err(error) => error,
             };
             reason = error.to_string();
             if let store::Error::Conflict { current, .. } = error {
                 let seen = self.read(current).await?;
-                if self.is_mine(&seen.head) {
+                if self.is_own_claim(&seen.head) {
                     return Ok(seen);
                 }
                 if seen.head.claim().map(|c| c.epoch) != read.head.claim().map(|c| c.epoch) {
@@ -220,20 +222,22 @@
         Err(Error::Unreadable { partition: self.id, reason })
     }
 
-    /// Reads the head, not accepting one older than `least`.
-    async fn read(&mut self, least: u64) -> Result<Read> {
+    /// Reads the head, rejecting versions older than `min_version`.
+    async fn read(&mut self, min_version: u64) -> Result<VersionedHead> {
         let key = head_key(self.id);
-        let mut reason = "it answered from the past".to_owned();
-        for _ in 0..READ_TRIES {
+        let mut reason = "the store returned a stale version".to_owned();
+        for _ in 0..MAX_READ_ATTEMPTS {
             self.calls += 1;
             match self.store.get(&key).await {
-                Ok(Some(entry)) if entry.version >= least => {
+                Ok(Some(entry)) if entry.version >= min_version => {
                     let head: Head = decode("head", &entry.value)
-                        .and_then(supported)
+                        .and_then(check_format)
                         .map_err(|source| Error::Corrupt { key: key.clone(), source })?;
-                    return Ok(Read { head, version: entry.version });
+                    return Ok(VersionedHead { head, version: entry.version });
+                }
+                Ok(None) if min_version == 0 => {
+                    return Ok(VersionedHead { head: Head::new(), version: 0 });
                 }
-                Ok(None) if least == 0 => return Ok(Read { head: Head::new(), version: 0 }),
                 Ok(_) => {}
                 Err(error) => reason = error.to_string(),
             }
@@ -241,7 +245,7 @@
         Err(Error::Unreadable { partition: self.id, reason })
     }
 
-    fn is_mine(&self, head: &Head) -> bool {
+    fn is_own_claim(&self, head: &Head) -> bool {
         head.claim().is_some_and(|c| c.nonce == self.nonce && c.writer == *self.writer)
     }
 
@@ -251,13 +255,13 @@
     }
 }
 
-fn expect(read: &Read) -> Expect {
+fn expect(read: &VersionedHead) -> Expect {
     match read.version {
         0 => Expect::Absent,
         version => Expect::Version(version),
     }
 }
 
-fn supported(head: Head) -> codec::Result<Head> {
+fn check_format(head: Head) -> codec::Result<Head> {
     if head.format == FORMAT { Ok(head) } else { Err(codec::Error::Format { kind: "head" }) }
 }
--- a/src/tasklog/settle.rs
+++ b/src/tasklog/settle.rs
@@ -1,4 +1,4 @@
-//! Writes that are repeated until their outcome is known.
+//! Writes that are retried until their outcome is known.
 
 use super::codec::{Dictionary, decode, encode};
 use super::head::{Claim, Head, ValueId};
@@ -7,52 +7,52 @@
 use crate::task::Record;
 use bytes::Bytes;
 
-/// Tries of one write before it is given up or left unsettled.
-pub(super) const WRITE_TRIES: u32 = 4;
+/// Maximum attempts of one write before it fails or is left unsettled.
+pub(super) const MAX_WRITE_ATTEMPTS: u32 = 4;
 
-/// Tries of one read.
-pub(super) const READ_TRIES: u32 = 4;
+/// Maximum attempts of one read.
+pub(super) const MAX_READ_ATTEMPTS: u32 = 4;
 
-/// A head on its way to the store.
+/// A write of the head that has not been confirmed.
 #[derive(Debug)]
 pub(super) struct Pending {
     next: Head,
     change: PendingChange,
-    sent: Sent,
+    effect: Effect,
 }
 
-/// What becomes true here once the head is durable.
+/// The change to the partition's in-memory state once the head is durable.
 #[derive(Debug)]
 pub(super) enum PendingChange {
     Records { records: Vec<Record>, bytes: usize },
     Compaction(Box<Compaction>),
 }
 
-/// A compaction on its way.
+/// The state to install after a compaction.
 #[derive(Debug)]
 pub(super) struct Compaction {
     pub(super) dictionary: Dictionary,
-    /// Ended tasks that only leave their key.
+    /// Ended tasks of which only the key is kept.
     pub(super) dropped: Vec<u64>,
-    /// Values that the head named before.
+    /// Values that the previous head referenced and the new one does not.
     pub(super) garbage: Vec<ValueId>,
 }
 
-/// Whether a try may take effect unseen.
+/// Whether earlier attempts of a write can have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sent {
-    /// Each try so far surely had no effect.
-    Never,
-    /// One try's answer was lost; it may even land later.
-    Perhaps,
+enum Effect {
+    /// No attempt had or will have an effect.
+    None,
+    /// The response to an attempt was lost; the request may still arrive later.
+    Possible,
 }
 
-/// How one write of the head ended.
-enum Written {
+/// The known outcome of a write of the head.
+enum WriteOutcome {
     Durable {
         version: u64,
     },
-    /// Durable, and another writer went on from there.
+    /// The write is durable, and another writer has claimed the partition since.
     DurableThenSuperseded {
         by: Claim,
     },
@@ -63,54 +63,54 @@
 
 impl Pending {
     pub(super) fn new(next: Head, change: PendingChange) -> Self {
-        Self { next, change, sent: Sent::Never }
+        Self { next, change, effect: Effect::None }
     }
 }
 
 impl Partition {
-    /// Puts a value under a key that no one else writes and no head names yet.
+    /// Writes a value under a key that has no other writer and that no head references yet.
     pub(super) async fn put_value<S: Store>(&mut self, store: &S, buf: Vec<u8>) -> Result<ValueId> {
         let id = ValueId { epoch: self.claim().epoch, number: self.next_value };
         self.next_value += 1;
         let key = id.key(self.id);
         let value = Bytes::from(buf);
         let mut reason = String::new();
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             self.count_write(value.len());
             match store.put(&key, value.clone(), Expect::Absent).await {
-                // The key has no other writer, so what is there is an earlier try of this put.
+                // The key has no other writer, so on a conflict an earlier attempt has succeeded.
                 Ok(_) | Err(store::Error::Conflict { .. }) => return Ok(id),
                 Err(error @ store::Error::TooLarge { .. }) => return Err(self.not_written(&error)),
                 Err(error) => reason = error.to_string(),
             }
         }
-        // It may exist, but no head names it.
+        // The value may exist, but no head references it.
         self.garbage.push(id);
         Err(self.not_written(&reason))
     }
 
-    /// Writes the head, or learns that an earlier try did.
+    /// Writes the head, or finds that an earlier attempt already has.
     pub(super) async fn write_head<S: Store>(
         &mut self,
         store: &S,
         mut pending: Pending,
     ) -> Result<()> {
-        match self.try_head(store, &mut pending).await {
-            Ok(Written::Durable { version }) => {
+        match self.put_head(store, &mut pending).await {
+            Ok(WriteOutcome::Durable { version }) => {
                 self.version = version;
-                self.put_in_force(pending);
+                self.apply_pending(pending);
                 Ok(())
             }
-            Ok(Written::DurableThenSuperseded { by }) => {
-                self.put_in_force(pending);
+            Ok(WriteOutcome::DurableThenSuperseded { by }) => {
+                self.apply_pending(pending);
                 self.superseded = Some(by.writer);
                 Ok(())
             }
-            Ok(Written::Superseded { by }) => {
+            Ok(WriteOutcome::Superseded { by }) => {
                 self.superseded = Some(by.writer.clone());
                 Err(Error::Superseded { partition: self.id, by: by.writer })
             }
-            Err(error) if pending.sent == Sent::Never => {
+            Err(error) if pending.effect == Effect::None => {
                 self.discard(&pending.next);
                 Err(self.not_written(&error))
             }
@@ -121,19 +121,19 @@
         }
     }
 
-    async fn try_head<S: Store>(
+    async fn put_head<S: Store>(
         &mut self,
         store: &S,
         pending: &mut Pending,
-    ) -> store::Result<Written> {
+    ) -> store::Result<WriteOutcome> {
         let key = self.head_key();
         let value = Bytes::from(encode(&pending.next));
         let expect = Expect::Version(self.version);
         let mut last = None;
-        for _ in 0..WRITE_TRIES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             self.count_write(value.len());
             let error = match store.put(&key, value.clone(), expect).await {
-                Ok(version) => return Ok(Written::Durable { version }),
+                Ok(version) => return Ok(WriteOutcome::Durable { version }),
                 Err(error) => error,
             };
             match &error {
@@ -144,53 +144,54 @@
                     }
                 }
                 store::Error::Unknown { .. } => {
-                    pending.sent = Sent::Perhaps;
+                    pending.effect = Effect::Possible;
                     last = Some(error);
                 }
                 store::Error::TooLarge { .. } => return Err(error),
                 store::Error::Unavailable { .. } => last = Some(error),
             }
         }
-        Err(last.expect("at least one try was made"))
+        Err(last.expect("at least one attempt was made"))
     }
 
-    /// Reads who moved the head. A read older than `least` is from the past and says nothing.
+    /// Reads the head after a conflict to determine the outcome of the write. A read older than
+    /// `min_version` is stale and proves nothing.
     async fn read_outcome<S: Store>(
         &mut self,
         store: &S,
         pending: &Pending,
-        least: u64,
-    ) -> store::Result<Written> {
+        min_version: u64,
+    ) -> store::Result<WriteOutcome> {
         let key = self.head_key();
-        let least = least.max(self.version + 1);
-        let mut last = stale(&key);
-        for _ in 0..READ_TRIES {
+        let min_version = min_version.max(self.version + 1);
+        let mut last = stale_read_error(&key);
+        for _ in 0..MAX_READ_ATTEMPTS {
             self.stats.calls += 1;
             match store.get(&key).await {
-                Ok(Some(entry)) if entry.version >= least => {
+                Ok(Some(entry)) if entry.version >= min_version => {
                     let head: Head = match decode("head", &entry.value) {
                         Ok(head) => head,
                         Err(error) => return Err(unreadable(&key, &error)),
                     };
-                    if let Some(written) = judge(pending, &head, entry.version) {
+                    if let Some(written) = write_outcome(pending, &head, entry.version) {
                         return Ok(written);
                     }
-                    last = forgotten(&key);
+                    last = claim_evicted_error(&key);
                 }
-                Ok(_) => last = stale(&key),
+                Ok(_) => last = stale_read_error(&key),
                 Err(error) => last = error,
             }
         }
         Err(last)
     }
 
-    /// Leaves the values of a head that was not written to be deleted.
+    /// Schedules the deletion of the values that only the unwritten head `next` references.
     pub(super) fn discard(&mut self, next: &Head) {
-        let unnamed: Vec<_> = next.values().filter(|id| !self.head.names(*id)).collect();
+        let unnamed: Vec<_> = next.values().filter(|id| !self.head.references(*id)).collect();
         self.garbage.extend(unnamed);
     }
 
-    fn put_in_force(&mut self, pending: Pending) {
+    fn apply_pending(&mut self, pending: Pending) {
         self.head = pending.next;
         match pending.change {
             PendingChange::Records { records, bytes } => {
@@ -201,7 +202,7 @@
                     self.apply(record);
                 }
             }
-            PendingChange::Compaction(compaction) => self.compacted(*compaction),
+            PendingChange::Compaction(compaction) => self.finish_compaction(*compaction),
         }
     }
 
@@ -211,32 +212,33 @@
     }
 }
 
-/// What a newer head says of a write, or nothing if it has forgotten the writer's claim.
-fn judge(pending: &Pending, head: &Head, version: u64) -> Option<Written> {
+/// Determines a write's outcome from a newer head. Returns `None` if the head no longer lists the
+/// writer's claim and an attempt may have taken effect.
+fn write_outcome(pending: &Pending, head: &Head, version: u64) -> Option<WriteOutcome> {
     let mine = pending.next.last_claim();
     let latest = head.claim()?;
     let same = |claim: &&Claim| claim.epoch == mine.epoch && claim.nonce == mine.nonce;
     let seen = head.claims.iter().find(same);
     let durable = seen.is_some_and(|claim| claim.commit >= mine.commit);
     match (seen, durable) {
-        (Some(seen), true) if seen == latest => Some(Written::Durable { version }),
-        (_, true) => Some(Written::DurableThenSuperseded { by: latest.clone() }),
-        (Some(_), false) => Some(Written::Superseded { by: latest.clone() }),
-        // With no try in doubt it surely was not written, whatever the head remembers.
-        (None, false) if pending.sent == Sent::Never => {
-            Some(Written::Superseded { by: latest.clone() })
+        (Some(seen), true) if seen == latest => Some(WriteOutcome::Durable { version }),
+        (_, true) => Some(WriteOutcome::DurableThenSuperseded { by: latest.clone() }),
+        (Some(_), false) => Some(WriteOutcome::Superseded { by: latest.clone() }),
+        // No attempt can have taken effect, so the claim's absence from the head does not matter.
+        (None, false) if pending.effect == Effect::None => {
+            Some(WriteOutcome::Superseded { by: latest.clone() })
         }
         (None, false) => None,
     }
 }
 
-fn stale(key: &str) -> store::Error {
+fn stale_read_error(key: &str) -> store::Error {
     let reason = "it answered from the past".to_owned();
     store::Error::Unknown { key: key.to_owned(), reason }
 }
 
-fn forgotten(key: &str) -> store::Error {
-    let reason = "too many writers came since for the head to remember".to_owned();
+fn claim_evicted_error(key: &str) -> store::Error {
+    let reason = "the head no longer lists this writer's claim".to_owned();
     store::Error::Unknown { key: key.to_owned(), reason }
 }
 
