--- a/src/store.rs
+++ b/src/store.rs
@@ -1,8 +1,8 @@
-//! The port to the platform's key-value service.
+//! The interface to the platform's key-value service.
 //!
-//! The service offers compare-and-swap on one key and watches. It is down for long stretches, and
-//! may lose an answer after the write took effect; so a failed write is one of three things, and
-//! [`Error`] keeps them apart: refused, surely without effect, or unknown.
+//! The service offers single-key compare-and-swap and watches. It has long outages and may lose
+//! the response to a write that took effect. [`Error`] therefore distinguishes three outcomes of a
+//! failed write: rejected, known to have had no effect, and unknown.
 
 pub mod http;
 pub mod memory;
@@ -11,19 +11,19 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Result of a call.
+/// The result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Largest value that the service holds, in bytes.
+/// Maximum size of a value in the service, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A failed call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Another write came first; the version is the present one, or zero where there is no value.
+    /// The key is not in the expected state. `current` is its version, or zero if it has no value.
     #[error("`{key}` is at version {current}; read it again and repeat the change on top of it")]
     Conflict { key: String, current: u64 },
-    /// The call surely had no effect.
+    /// The call is known to have had no effect.
     #[error("the key-value service refused the call ({reason}); try again when it is back")]
     Unavailable { reason: String },
     /// The write may have taken effect.
@@ -33,16 +33,16 @@
     TooLarge { key: String, size: usize },
 }
 
-/// A value with the version that a compare-and-swap names.
+/// A key's value with its version, for use in a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub key: String,
     pub value: Bytes,
-    /// Rises with each write of the key; never zero.
+    /// Increases with each write of the key; never zero.
     pub version: u64,
 }
 
-/// What a write requires of the present value.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expect {
     Absent,
@@ -55,16 +55,16 @@
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Entry>>>;
 
-    /// Reads all keys with the prefix, ordered by key.
+    /// Reads all entries whose key has the prefix, ordered by key.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Vec<Entry>>>;
 
-    /// Writes a key if it is as expected; returns the new version.
+    /// Writes a key if the precondition holds and returns the new version.
     fn put(&self, key: &str, value: Bytes, expect: Expect) -> impl Future<Output = Result<u64>>;
 
-    /// Deletes a key if it is as expected; deleting an absent key is not an error.
+    /// Deletes a key if the precondition holds. Deleting an absent key is not an error by itself.
     fn delete(&self, key: &str, expect: Expect) -> impl Future<Output = Result<()>>;
 
-    /// Waits until the key's version is above `after`, at most for `wait`; `None` if nothing came.
+    /// Waits up to `wait` for a version of the key above `after`; `None` on timeout.
     fn watch(
         &self,
         key: &str,
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -1,6 +1,6 @@
-//! The key-value service over HTTP.
+//! HTTP client of the key-value service.
 //!
-//! | call | answer |
+//! | request | response |
 //! |---|---|
 //! | `GET /v1/kv?key=K` | 200 with the value, or 404 |
 //! | `GET /v1/kv?key=K&after=V&wait_ms=N` | 200 once the version is above V, or 204 after N ms |
@@ -8,12 +8,13 @@
 //! | `PUT /v1/kv?key=K&expect=E` | 200, or 409 |
 //! | `DELETE /v1/kv?key=K&expect=E` | 200, or 409 |
 //!
-//! `E` is `any`, `absent` or a version. Keys are in the query and not in the path, so that any
-//! character survives the client's and the server's usual encoding.
+//! `E` is `any`, `absent` or a version. Keys are in the query instead of the path, so that any
+//! character survives the standard encoding of clients and servers.
 //!
-//! The header `x-version` names the version: of the value with 200, of the present value, or zero,
-//! with 409. 503 says that the call had no effect; 413 that the value is too large. Anything else
-//! says nothing about the effect, and neither does silence.
+//! The header `x-version` contains the value's version with status 200. With 409, it contains the
+//! current version, or zero if there is no value. 503 means that the call had no effect, and 413
+//! that the value is too large. After any other status, or without a response, it is unknown
+//! whether a write took effect.
 
 use crate::store::{Entry, Error, Expect, MAX_VALUE_BYTES, Result, Store};
 use crate::transfer::{self, Limit};
@@ -25,24 +26,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Header with a value's version.
+/// Response header with a value's version.
 pub const VERSION_HEADER: &str = "x-version";
 
-/// Path of calls for one key.
+/// Path of requests for one key.
 pub const KV_PATH: &str = "/v1/kv";
 
-/// Path of calls for all keys with a prefix.
+/// Path of requests for all keys with a prefix.
 pub const LIST_PATH: &str = "/v1/list";
 
-/// Time for an answer to begin, and between two parts of it, unless set otherwise.
+/// Default timeout for the start of a response and for each gap between its parts.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer to a list of keys.
+/// Maximum size of a response, in bytes; a list can contain many values.
 const MAX_LIST_BYTES: usize = 64 * MAX_VALUE_BYTES;
 
 thread_local! {
-    /// A client's connections belong to the runtime that opened them, so that there is one client
-    /// for each runtime, and one runtime at a time on each thread.
+    /// The client of the thread's current runtime. A client's connections belong to the runtime
+    /// that opened them, so a client is never used with another runtime.
     static CLIENT: RefCell<Option<RuntimeClient>> = const { RefCell::new(None) };
 }
 
@@ -51,7 +52,7 @@
     client: awc::Client,
 }
 
-/// An entry of a list, as sent.
+/// An entry of a list response.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ListedEntry {
     pub key: String,
@@ -59,7 +60,7 @@
     pub value: Bytes,
 }
 
-/// Parameters of a call for one key.
+/// Query parameters of a request for one key.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct KeyQuery {
     pub key: String,
@@ -68,46 +69,46 @@
     pub expect: Option<String>,
 }
 
-/// Parameters of a call for all keys with a prefix.
+/// Query parameters of a request for all keys with a prefix.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ListQuery {
     pub prefix: String,
 }
 
-/// A client of the service.
+/// A client of the key-value service.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     base_url: Arc<str>,
     timeout: Duration,
 }
 
-struct Answer {
+struct Response {
     status: StatusCode,
     version: Option<u64>,
     body: Bytes,
 }
 
-/// A call without an answer.
-enum Silence {
-    /// Nothing was sent.
+/// A request without a complete response.
+enum NoResponse {
+    /// The request was not sent.
     BeforeSend(String),
     AfterSend(String),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Effect {
-    None,
+enum Operation {
+    Read,
     Write,
 }
 
 impl HttpStore {
-    /// A client of the service at `base_url`, such as `http://10.0.0.7:2379`.
+    /// Creates a client of the service at `base_url`, such as `http://10.0.0.7:2379`.
     pub fn new(base_url: &str) -> Self {
         Self { base_url: Arc::from(base_url.trim_end_matches('/')), timeout: DEFAULT_TIMEOUT }
     }
 
-    /// Bounds the time until an answer begins, connecting included, and between two parts of it; a watch may take
-    /// its wait longer.
+    /// Sets the timeout for the start of a response, including connecting, and for each gap between
+    /// its parts. A watch may take longer by its wait.
     pub fn with_timeout(self, timeout: Duration) -> Self {
         Self { timeout, ..self }
     }
@@ -119,40 +120,42 @@
         query: &impl Serialize,
         body: Bytes,
         timeout: Duration,
-    ) -> std::result::Result<Answer, Silence> {
+    ) -> std::result::Result<Response, NoResponse> {
         let request = client()
             .request(method, format!("{}{path}", self.base_url))
             .query(query)
-            .map_err(|e| Silence::BeforeSend(e.to_string()))?;
+            .map_err(|e| NoResponse::BeforeSend(e.to_string()))?;
         let sent = tokio::time::timeout(timeout, request.send_body(body)).await;
-        let Ok(answered) = sent else {
-            return Err(Silence::AfterSend(format!("silent for {timeout:?}")));
+        let Ok(response) = sent else {
+            return Err(NoResponse::AfterSend(format!("silent for {timeout:?}")));
         };
-        let mut resp = answered.map_err(|e| silence(&e))?;
+        let mut resp = response.map_err(|e| classify_send_error(&e))?;
         let version = resp
             .headers()
             .get(VERSION_HEADER)
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.parse().ok());
-        // An answer cut within its body must not pass for a whole one: the length in its
-        // head is checked by the client, and the error ends up here.
+        // A truncated body must not be taken for a complete one. The client checks its length
+        // against the content length, and a mismatch is reported here.
         let size = transfer::content_length(resp.headers());
         let limit = Limit::Parts(self.timeout);
         let body = transfer::read(&mut resp, size, MAX_LIST_BYTES, limit).await;
-        let body = body.map_err(|e| Silence::AfterSend(e.to_string()))?;
-        Ok(Answer { status: resp.status(), version, body })
+        let body = body.map_err(|e| NoResponse::AfterSend(e.to_string()))?;
+        Ok(Response { status: resp.status(), version, body })
     }
 
     async fn read(&self, query: KeyQuery, timeout: Duration) -> Result<Option<Entry>> {
-        let answer = self
+        let response = self
             .send(Method::GET, KV_PATH, &query, Bytes::new(), timeout)
             .await
-            .map_err(|silence| failed(&query.key, Effect::None, silence))?;
+            .map_err(|error| no_response_error(&query.key, Operation::Read, error))?;
         let key = query.key;
-        match (answer.status, answer.version) {
-            (StatusCode::OK, Some(version)) => Ok(Some(Entry { key, value: answer.body, version })),
+        match (response.status, response.version) {
+            (StatusCode::OK, Some(version)) => {
+                Ok(Some(Entry { key, value: response.body, version }))
+            }
             (StatusCode::NOT_FOUND | StatusCode::NO_CONTENT, _) => Ok(None),
-            _ => Err(refused(&key, Effect::None, &answer)),
+            _ => Err(status_error(&key, Operation::Read, &response)),
         }
     }
 
@@ -164,11 +167,11 @@
         };
         let query = KeyQuery { key: key.to_owned(), expect: Some(expect), ..KeyQuery::default() };
         let size = body.len();
-        let answer = self
+        let response = self
             .send(method, KV_PATH, &query, body, self.timeout)
             .await
-            .map_err(|silence| failed(key, Effect::Write, silence))?;
-        match (answer.status, answer.version) {
+            .map_err(|error| no_response_error(key, Operation::Write, error))?;
+        match (response.status, response.version) {
             (StatusCode::OK, Some(version)) => Ok(version),
             (StatusCode::CONFLICT, Some(current)) => {
                 Err(Error::Conflict { key: key.to_owned(), current })
@@ -176,7 +179,7 @@
             (StatusCode::PAYLOAD_TOO_LARGE, _) => {
                 Err(Error::TooLarge { key: key.to_owned(), size })
             }
-            _ => Err(refused(key, Effect::Write, &answer)),
+            _ => Err(status_error(key, Operation::Write, &response)),
         }
     }
 }
@@ -189,14 +192,14 @@
 
     async fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
         let query = ListQuery { prefix: prefix.to_owned() };
-        let answer = self
+        let response = self
             .send(Method::GET, LIST_PATH, &query, Bytes::new(), self.timeout)
             .await
-            .map_err(|silence| failed(prefix, Effect::None, silence))?;
-        if answer.status != StatusCode::OK {
-            return Err(refused(prefix, Effect::None, &answer));
+            .map_err(|error| no_response_error(prefix, Operation::Read, error))?;
+        if response.status != StatusCode::OK {
+            return Err(status_error(prefix, Operation::Read, &response));
         }
-        let listed: Vec<ListedEntry> = postcard::from_bytes(&answer.body)
+        let listed: Vec<ListedEntry> = postcard::from_bytes(&response.body)
             .map_err(|e| Error::Unavailable { reason: format!("unreadable list: {e}") })?;
         Ok(listed.into_iter().map(Entry::from).collect())
     }
@@ -238,7 +241,7 @@
 fn client() -> awc::Client {
     let runtime = tokio::runtime::Handle::current().id();
     CLIENT.with_borrow_mut(|slot| match slot {
-        Some(held) if held.runtime == runtime => held.client.clone(),
+        Some(cached) if cached.runtime == runtime => cached.client.clone(),
         _ => {
             let client = awc::Client::builder().disable_timeout().disable_redirects().finish();
             *slot = Some(RuntimeClient { runtime, client: client.clone() });
@@ -247,37 +250,37 @@
     })
 }
 
-/// `Disconnected` also stands for a connection that closed after the request had left; only the
-/// errors of setting a connection up prove that nothing was sent.
-fn silence(error: &SendRequestError) -> Silence {
+/// Determines whether the request may have been sent. `Disconnected` also covers connections that
+/// closed after the request was sent, so only connection setup errors prove that it was not.
+fn classify_send_error(error: &SendRequestError) -> NoResponse {
     let reason = error.to_string();
     match error {
-        SendRequestError::Url(_) => Silence::BeforeSend(reason),
+        SendRequestError::Url(_) => NoResponse::BeforeSend(reason),
         SendRequestError::Connect(
             ConnectError::Resolver(_)
             | ConnectError::NoRecords
             | ConnectError::Timeout
             | ConnectError::Unresolved
             | ConnectError::Io(_),
-        ) => Silence::BeforeSend(reason),
-        _ => Silence::AfterSend(reason),
+        ) => NoResponse::BeforeSend(reason),
+        _ => NoResponse::AfterSend(reason),
     }
 }
 
-fn failed(key: &str, effect: Effect, silence: Silence) -> Error {
-    match (effect, silence) {
-        (Effect::Write, Silence::AfterSend(reason)) => {
+fn no_response_error(key: &str, operation: Operation, error: NoResponse) -> Error {
+    match (operation, error) {
+        (Operation::Write, NoResponse::AfterSend(reason)) => {
             Error::Unknown { key: key.to_owned(), reason }
         }
-        (_, Silence::BeforeSend(reason) | Silence::AfterSend(reason)) => {
+        (_, NoResponse::BeforeSend(reason) | NoResponse::AfterSend(reason)) => {
             Error::Unavailable { reason }
         }
     }
 }
 
-fn refused(key: &str, effect: Effect, answer: &Answer) -> Error {
-    let reason = format!("status {}", answer.status.as_u16());
-    if effect == Effect::None || answer.status == StatusCode::SERVICE_UNAVAILABLE {
+fn status_error(key: &str, operation: Operation, response: &Response) -> Error {
+    let reason = format!("status {}", response.status.as_u16());
+    if operation == Operation::Read || response.status == StatusCode::SERVICE_UNAVAILABLE {
         Error::Unavailable { reason }
     } else {
         Error::Unknown { key: key.to_owned(), reason }
