--- a/src/store/memory.rs
+++ b/src/store/memory.rs
@@ -1,8 +1,8 @@
-//! The key-value service in memory, with a schedule of faults.
+//! In-memory key-value service with fault injection.
 //!
-//! Tests and the HTTP stand-in share it, so that both mean the same by each fault. Clones share
-//! the data. Versions are drawn from one counter, so that a key deleted and written again never
-//! shows a version it had before.
+//! Tests and the HTTP stand-in share it, so that each fault has the same meaning in both. Clones
+//! share the data. All keys draw their versions from one counter, so that a key that is deleted
+//! and written again never reuses a version.
 
 use crate::store::{Entry, Error, Expect, MAX_VALUE_BYTES, Result, Store};
 use bytes::Bytes;
@@ -11,25 +11,25 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Older values kept of each key, for stale reads.
-const HISTORY: usize = 8;
+/// Maximum number of values kept per key, including the current one, for stale reads.
+const MAX_VERSIONS_PER_KEY: usize = 8;
 
-/// A call that goes wrong.
+/// A fault injected into a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The call fails and has no effect.
     ErrorBefore,
-    /// The call takes effect and its answer is lost.
+    /// The call takes effect and its response is lost.
     ErrorAfterEffect,
-    /// A read answers with the value before the present one.
+    /// A read returns the value before the current one.
     StaleRead,
-    /// A watch misses every change until it ends.
+    /// A watch misses every change until it times out.
     LostWatch,
-    /// A watch answers at once with what its caller has already.
+    /// A watch returns at once with the value that its caller already has.
     DuplicateEvent,
 }
 
-/// Whether the service answers at all.
+/// Whether the service is available.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Outage {
     #[default]
@@ -37,18 +37,18 @@
     Down,
 }
 
-/// What callers have asked of the service.
+/// Counters of the service's use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Calls, a waiting watch counted as one.
+    /// Number of calls; a waiting watch counts as one.
     pub calls: u64,
-    /// Calls that may write.
+    /// Number of calls that may write.
     pub writes: u64,
-    /// Keys and values, both ways.
+    /// Bytes of keys and values, in both directions.
     pub bytes: u64,
 }
 
-/// The service's data and faults.
+/// An in-memory store; clones share its data and faults.
 #[derive(Clone, Debug)]
 pub struct MemoryStore {
     state: Arc<Mutex<State>>,
@@ -59,25 +59,25 @@
 struct State {
     entries: BTreeMap<String, Vec<Entry>>,
     version: u64,
-    next: VecDeque<Fault>,
-    scheduled: BTreeMap<u64, Fault>,
+    queued_faults: VecDeque<Fault>,
+    scheduled_faults: BTreeMap<u64, Fault>,
     outage: Outage,
     usage: Usage,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum CallKind {
     Read,
     Write,
     Watch,
 }
 
 impl Fault {
-    fn strikes(self, kind: Kind) -> bool {
+    fn applies_to(self, kind: CallKind) -> bool {
         match self {
             Self::ErrorBefore | Self::ErrorAfterEffect => true,
-            Self::StaleRead => kind == Kind::Read,
-            Self::LostWatch | Self::DuplicateEvent => kind == Kind::Watch,
+            Self::StaleRead => kind == CallKind::Read,
+            Self::LostWatch | Self::DuplicateEvent => kind == CallKind::Watch,
         }
     }
 }
@@ -89,35 +89,35 @@
 }
 
 impl MemoryStore {
-    /// An empty store without faults.
+    /// Creates an empty store without faults.
     pub fn new() -> Self {
         Self { state: Arc::default(), changed: watch::Sender::new(0) }
     }
 
-    /// A store of its own with the same data, history and faults.
+    /// Creates an independent copy with the same data, history and faults.
     pub fn fork(&self) -> Self {
         let state = self.state().clone();
         Self { changed: watch::Sender::new(state.version), state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Adds a fault that strikes call number `call`, counted from one.
+    /// Schedules a fault for call number `call`, counted from one.
     pub fn with_fault(self, call: u64, fault: Fault) -> Self {
-        self.state().scheduled.insert(call, fault);
+        self.state().scheduled_faults.insert(call, fault);
         self
     }
 
-    /// Queues a fault for the next call that it can strike.
+    /// Queues a fault for the next call that it applies to.
     pub fn inject(&self, fault: Fault) {
-        self.state().next.push_back(fault);
+        self.state().queued_faults.push_back(fault);
     }
 
-    /// Takes the service down, or brings it back with its data.
+    /// Starts or ends an outage; the data is kept.
     pub fn set_outage(&self, outage: Outage) {
         self.state().outage = outage;
         self.changed.send_modify(|_| {});
     }
 
-    /// What was asked so far.
+    /// The counters since the store was created.
     pub fn usage(&self) -> Usage {
         self.state().usage
     }
@@ -155,11 +155,11 @@
 }
 
 impl State {
-    fn begin(&mut self, kind: Kind, key: &str) -> Result<Option<Fault>> {
+    fn start_call(&mut self, kind: CallKind, key: &str) -> Result<Option<Fault>> {
         self.usage.calls += 1;
-        self.usage.writes += u64::from(kind == Kind::Write);
+        self.usage.writes += u64::from(kind == CallKind::Write);
         self.count_value(key.len());
-        let fault = match self.scheduled.remove(&self.usage.calls) {
+        let fault = match self.scheduled_faults.remove(&self.usage.calls) {
             Some(fault) => Some(fault),
             None => self.next_fault(kind),
         };
@@ -168,13 +168,19 @@
         }
         match fault {
             Some(Fault::ErrorBefore) => Err(unavailable("injected")),
-            Some(Fault::ErrorAfterEffect) if kind != Kind::Write => Err(unavailable("lost answer")),
+            Some(Fault::ErrorAfterEffect) if kind != CallKind::Write => {
+                Err(unavailable("lost answer"))
+            }
             other => Ok(other),
         }
     }
 
-    fn next_fault(&mut self, kind: Kind) -> Option<Fault> {
-        if self.next.front()?.strikes(kind) { self.next.pop_front() } else { None }
+    fn next_fault(&mut self, kind: CallKind) -> Option<Fault> {
+        if self.queued_faults.front()?.applies_to(kind) {
+            self.queued_faults.pop_front()
+        } else {
+            None
+        }
     }
 
     fn count_value(&mut self, len: usize) {
@@ -196,19 +202,19 @@
 
     fn check(&self, key: &str, expect: Expect) -> Result<()> {
         let current = self.latest(key).map_or(0, |entry| entry.version);
-        let met = match expect {
+        let holds = match expect {
             Expect::Any => true,
             Expect::Absent => current == 0,
             Expect::Version(version) => current == version && version != 0,
         };
-        if met { Ok(()) } else { Err(Error::Conflict { key: key.to_owned(), current }) }
+        if holds { Ok(()) } else { Err(Error::Conflict { key: key.to_owned(), current }) }
     }
 
-    /// Appends to the key's history; a version of zero stands for "deleted".
-    fn record(&mut self, entry: Entry) {
+    /// Appends to the key's history; version zero marks a deletion.
+    fn push_version(&mut self, entry: Entry) {
         let history = self.entries.entry(entry.key.clone()).or_default();
         history.push(entry);
-        if history.len() > HISTORY {
+        if history.len() > MAX_VERSIONS_PER_KEY {
             history.remove(0);
         }
     }
@@ -222,7 +228,7 @@
 impl Store for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>> {
         let mut state = self.state();
-        let fault = state.begin(Kind::Read, key)?;
+        let fault = state.start_call(CallKind::Read, key)?;
         let entry = state.read(key, fault);
         state.count_value(entry.as_ref().map_or(0, |entry| entry.value.len()));
         Ok(entry)
@@ -230,18 +236,18 @@
 
     async fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
         let mut state = self.state();
-        let fault = state.begin(Kind::Read, prefix)?;
+        let fault = state.start_call(CallKind::Read, prefix)?;
         let keys: Vec<String> = state
             .entries
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .map(|(key, _)| key.clone())
             .collect();
-        let found: Vec<Entry> = keys.iter().filter_map(|key| state.read(key, fault)).collect();
-        for entry in &found {
+        let entries: Vec<Entry> = keys.iter().filter_map(|key| state.read(key, fault)).collect();
+        for entry in &entries {
             state.count_value(entry.key.len() + entry.value.len());
         }
-        Ok(found)
+        Ok(entries)
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> Result<u64> {
@@ -250,11 +256,11 @@
         }
         let (version, fault) = {
             let mut state = self.state();
-            let fault = state.begin(Kind::Write, key)?;
+            let fault = state.start_call(CallKind::Write, key)?;
             state.count_value(value.len());
-            state.check(key, expect).map_err(|e| lose(key, fault, e))?;
+            state.check(key, expect).map_err(|e| lose_conflict(key, fault, e))?;
             let version = state.next_version();
-            state.record(Entry { key: key.to_owned(), value, version });
+            state.push_version(Entry { key: key.to_owned(), value, version });
             (version, fault)
         };
         self.changed.send_modify(|latest| *latest = version);
@@ -267,11 +273,11 @@
     async fn delete(&self, key: &str, expect: Expect) -> Result<()> {
         let fault = {
             let mut state = self.state();
-            let fault = state.begin(Kind::Write, key)?;
-            state.check(key, expect).map_err(|e| lose(key, fault, e))?;
+            let fault = state.start_call(CallKind::Write, key)?;
+            state.check(key, expect).map_err(|e| lose_conflict(key, fault, e))?;
             if state.latest(key).is_some() {
-                let gone = Entry { key: key.to_owned(), value: Bytes::new(), version: 0 };
-                state.record(gone);
+                let deleted = Entry { key: key.to_owned(), value: Bytes::new(), version: 0 };
+                state.push_version(deleted);
             }
             fault
         };
@@ -282,7 +288,7 @@
     }
 
     async fn watch(&self, key: &str, after: u64, wait: Duration) -> Result<Option<Entry>> {
-        let fault = self.state().begin(Kind::Watch, key)?;
+        let fault = self.state().start_call(CallKind::Watch, key)?;
         match fault {
             Some(Fault::LostWatch) => return self.lost_watch(wait).await,
             Some(Fault::DuplicateEvent) => return Ok(self.state().latest(key)),
@@ -295,9 +301,9 @@
     }
 }
 
-/// The answer "conflict" can be lost as well.
-fn lose(key: &str, fault: Option<Fault>, answer: Error) -> Error {
-    if fault == Some(Fault::ErrorAfterEffect) { unknown(key) } else { answer }
+/// Applies `ErrorAfterEffect` to a conflict, whose response can be lost as well.
+fn lose_conflict(key: &str, fault: Option<Fault>, error: Error) -> Error {
+    if fault == Some(Fault::ErrorAfterEffect) { unknown(key) } else { error }
 }
 
 fn unavailable(reason: &str) -> Error {
