--- a/src/storage.rs
+++ b/src/storage.rs
@@ -1,7 +1,7 @@
-//! The duty that reads and writes the platform's key-value service.
+//! The actor that reads and writes the platform's key-value service.
 //!
-//! It writes the partitions of the task log, each by a loop of its own so that one that waits for
-//! the service does not hold up another, and it follows the configuration.
+//! It writes the partitions of the task log and follows the configuration. Each partition has its
+//! own loop, so that one that waits for the service does not block another.
 
 mod follow;
 mod partition;
@@ -23,7 +23,7 @@
 use crate::peers::Peers;
 use crate::ring::{RING_CAPACITY, Ring, WhenFull};
 use actix::prelude::*;
-use follow::{Following, News, Shown};
+use follow::{ConfigFollower, FollowerMessage, FollowerState};
 use indexmap::IndexMap;
 use partition::{Job, Writer};
 use std::cell::RefCell;
@@ -32,15 +32,15 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Jobs that wait for one partition.
-const PARTITION_RING: usize = 1024;
+/// Capacity of each partition's job queue.
+const PARTITION_QUEUE_CAPACITY: usize = 1024;
 
-const FIND_KEY_WAIT: Duration = Duration::from_millis(500);
+const FIND_KEY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers that wait for control.
-const WAITING_ANSWERS: usize = 100_000;
+/// Maximum number of events queued for the control actor.
+const MAX_QUEUED_EVENTS: usize = 100_000;
 
-/// The storage duty.
+/// The storage actor.
 pub struct Storage {
     me: DaemonId,
     store: SharedStore,
@@ -48,12 +48,12 @@
     control: Rc<RefCell<Ring<Told>>>,
     front: watch::Sender<FrontView>,
     partitions: IndexMap<PartitionId, mpsc::Sender<Job>>,
-    shown: Rc<RefCell<Shown>>,
-    news: Option<mpsc::UnboundedSender<News>>,
+    state: Rc<RefCell<FollowerState>>,
+    follower_tx: Option<mpsc::UnboundedSender<FollowerMessage>>,
 }
 
 impl Storage {
-    /// A duty that has nothing in force yet; made on its own thread.
+    /// Creates the actor, without a configuration in force. Must be called on the actor's thread.
     pub fn new(
         me: DaemonId,
         store_url: &str,
@@ -68,44 +68,44 @@
             control: Rc::new(RefCell::new(control)),
             front,
             partitions: IndexMap::new(),
-            shown: Rc::default(),
-            news: None,
+            state: Rc::default(),
+            follower_tx: None,
         }
     }
 
-    /// The ring of answers to control.
+    /// Creates the queue of events for the control actor.
     pub fn answers(control: Addr<Control>) -> Ring<Told> {
-        Ring::new(control, WhenFull::Wait { limit: WAITING_ANSWERS })
+        Ring::new(control, WhenFull::Wait { limit: MAX_QUEUED_EVENTS })
     }
 
-    fn job(&mut self, partition: PartitionId, job: Job) {
+    fn send_job(&mut self, partition: PartitionId, job: Job) {
         let (me, store, control) = (self.me.clone(), self.store.clone(), self.control.clone());
         let sender = self.partitions.entry(partition).or_insert_with(|| {
-            let (tx, rx) = mpsc::channel(PARTITION_RING);
+            let (tx, rx) = mpsc::channel(PARTITION_QUEUE_CAPACITY);
             actix::spawn(Writer { id: partition, me, store, control }.run(rx));
             tx
         });
         if let Err(e) = sender.try_send(job) {
-            self.refuse(&e.into_inner());
+            self.reject_commit(&e.into_inner());
         }
     }
 
-    fn refuse(&self, job: &Job) {
+    fn reject_commit(&self, job: &Job) {
         if let Job::Commit { ticket, .. } = job {
             let reason = "too many commits wait for the key-value service".to_owned();
             let result = CommitResult::NotWritten { reason };
-            self.tell(Event::Committed { ticket: *ticket, result });
+            self.send_event(Event::Committed { ticket: *ticket, result });
         }
     }
 
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         self.control.borrow_mut().tell(event);
     }
 
-    fn tell_follower(&self, news: News) {
-        if let Some(tx) = &self.news {
-            // The loop ends only with the duty.
-            let _ = tx.send(news);
+    fn notify_follower(&self, message: FollowerMessage) {
+        if let Some(tx) = &self.follower_tx {
+            // Sending fails only while the actor shuts down, when the loop is no longer needed.
+            let _ = tx.send(message);
         }
     }
 }
@@ -118,7 +118,7 @@
     }
 }
 
-/// A commit or a recovery that the core asks for.
+/// Performs a commit or recovery requested by the core. Other actions are ignored.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Write(pub Action);
@@ -128,19 +128,19 @@
 
     fn handle(&mut self, msg: Write, _: &mut Self::Context) {
         match msg.0 {
-            Action::Recover { partition } => self.job(partition, Job::Recover),
+            Action::Recover { partition } => self.send_job(partition, Job::Recover),
             Action::Commit { ticket, partition, records } => {
-                self.job(partition, Job::Commit { ticket, records });
+                self.send_job(partition, Job::Commit { ticket, records });
             }
             _ => {}
         }
     }
 }
 
-/// Asks for the task of an idempotency key.
+/// Looks up the task of an idempotency key in the log.
 ///
-/// The core forgets tasks that ended long ago; the log remembers their keys for longer. Without
-/// asking it, a key that is repeated after that would be refused with the commit it travels in.
+/// The core drops tasks that ended long ago, while the log keeps their keys for longer. Without
+/// this lookup, a key that is repeated after that would fail the whole commit that contains it.
 #[derive(Message)]
 #[rtype(result = "Option<TaskId>")]
 pub struct FindKey {
@@ -153,19 +153,19 @@
 
     fn handle(&mut self, msg: FindKey, _: &mut Self::Context) -> Self::Result {
         let (tx, rx) = oneshot::channel();
-        if let Some(loop_tx) = self.partitions.get(&msg.partition) {
-            // A full ring drops the question, and with it the sender that the answer waits for.
-            let _ = loop_tx.try_send(Job::FindKey { key: msg.key, tx });
+        if let Some(job_tx) = self.partitions.get(&msg.partition) {
+            // If the queue is full, the job and its `tx` are dropped, so `rx` fails at once.
+            let _ = job_tx.try_send(Job::FindKey { key: msg.key, tx });
         }
         Box::pin(async move {
-            // A loop that waits for the service would hold the caller up; the core then answers
-            // that the service does not.
-            tokio::time::timeout(FIND_KEY_WAIT, rx).await.ok()?.ok()?
+            // A loop that waits for the service would block the caller. After the timeout, the core
+            // reports that the service does not respond.
+            tokio::time::timeout(FIND_KEY_TIMEOUT, rx).await.ok()?.ok()?
         })
     }
 }
 
-/// The peers are there; the configuration can be followed.
+/// Starts following the configuration; sent once the peers actor is running.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Begin {
@@ -178,13 +178,13 @@
 
     fn handle(&mut self, msg: Begin, _: &mut Self::Context) {
         let (tx, rx) = mpsc::unbounded_channel();
-        self.news = Some(tx);
-        let following = Following::new(msg.me, self.store.clone(), msg.peers, self, rx);
-        actix::spawn(following.run());
+        self.follower_tx = Some(tx);
+        let follower = ConfigFollower::new(msg.me, self.store.clone(), msg.peers, self, rx);
+        actix::spawn(follower.run());
     }
 }
 
-/// The daemons that answer.
+/// Updates the list of daemons that respond.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct KnowMembers(pub Vec<Member>);
@@ -193,20 +193,20 @@
     type Result = ();
 
     fn handle(&mut self, msg: KnowMembers, _: &mut Self::Context) {
-        self.tell_follower(News::Members(msg.0));
+        self.notify_follower(FollowerMessage::Members(msg.0));
     }
 }
 
-/// A revision that a peer knows of; answered with what is known here.
+/// Reports a revision known to a peer. The reply contains the revisions known to this daemon.
 #[derive(Message)]
 #[rtype(result = "TellKnown")]
 pub struct HearRevision {
     pub revision: Revision,
-    /// Peer that has it in force, `ip:port`.
+    /// Address of a peer that has the revision in force, `ip:port`.
     pub from: Option<String>,
 }
 
-/// What is known here.
+/// The configuration revisions known to this daemon.
 #[derive(Clone, Copy, Debug, MessageResponse)]
 pub struct TellKnown(pub Known);
 
@@ -215,16 +215,16 @@
 
     fn handle(&mut self, msg: HearRevision, _: &mut Self::Context) -> Self::Result {
         let known = {
-            let known = &mut self.shown.borrow_mut().known;
+            let known = &mut self.state.borrow_mut().known;
             known.known = known.known.max(msg.revision);
             *known
         };
-        self.tell_follower(News::Heard { revision: msg.revision, from: msg.from });
+        self.notify_follower(FollowerMessage::Heard { revision: msg.revision, from: msg.from });
         TellKnown(known)
     }
 }
 
-/// Asks for the configuration in force if newer than `than`.
+/// Requests the configuration in force, as JSON, if it is newer than `than`.
 #[derive(Message)]
 #[rtype(result = "Option<Vec<u8>>")]
 pub struct GetSnapshot {
@@ -235,8 +235,8 @@
     type Result = Option<Vec<u8>>;
 
     fn handle(&mut self, msg: GetSnapshot, _: &mut Self::Context) -> Self::Result {
-        let shown = self.shown.borrow();
-        let snapshot = shown.snapshot.as_ref()?;
+        let state = self.state.borrow();
+        let snapshot = state.snapshot.as_ref()?;
         if snapshot.revision() <= msg.than {
             return None;
         }
@@ -244,7 +244,7 @@
     }
 }
 
-/// Puts an operator's change in force.
+/// Applies an operator's configuration change.
 #[derive(Message)]
 #[rtype(result = "apply::Result<Applied>")]
 pub struct Apply(pub ChangeRequest);
@@ -253,13 +253,13 @@
     type Result = ResponseFuture<apply::Result<Applied>>;
 
     fn handle(&mut self, msg: Apply, _: &mut Self::Context) -> Self::Result {
-        let known = self.shown.borrow().snapshot.clone();
+        let known = self.state.borrow().snapshot.clone();
         let (store, clock) = (self.store.clone(), self.clock.clone());
         Box::pin(async move { apply::apply_with(&store, &clock, &msg.0, known.as_ref()).await })
     }
 }
 
-/// Asks how an operator's change ended.
+/// Requests the outcome of an operator's configuration change.
 #[derive(Message)]
 #[rtype(result = "apply::Result<Confirmation>")]
 pub struct Confirm {
@@ -280,7 +280,7 @@
 #[derive(Message)]
 #[rtype(result = "audit::Page")]
 pub struct ReadAudit {
-    /// Number of the entry that the page ends before.
+    /// Exclusive upper bound of the entry numbers on the page.
     pub before: Option<u64>,
     pub limit: usize,
 }
@@ -289,19 +289,19 @@
     type Result = ResponseFuture<audit::Page>;
 
     fn handle(&mut self, msg: ReadAudit, _: &mut Self::Context) -> Self::Result {
-        let (store, head) = (self.store.clone(), self.shown.borrow().head.clone());
+        let (store, head) = (self.store.clone(), self.state.borrow().head.clone());
         Box::pin(async move {
             audit::page_or_cached(&store, head.as_ref(), msg.before, msg.limit).await
         })
     }
 }
 
-/// The configuration in force, and whether the service answers.
+/// Requests the configuration in force and whether the key-value service is reachable.
 #[derive(Message)]
 #[rtype(result = "Standing")]
 pub struct GetStanding;
 
-/// What the duty knows.
+/// The reply to [`GetStanding`].
 #[derive(Clone, Debug, MessageResponse)]
 pub struct Standing {
     pub snapshot: Option<Snapshot>,
@@ -312,6 +312,6 @@
     type Result = Standing;
 
     fn handle(&mut self, _: GetStanding, _: &mut Self::Context) -> Self::Result {
-        Standing { snapshot: self.shown.borrow().snapshot.clone(), reach: self.store.reach() }
+        Standing { snapshot: self.state.borrow().snapshot.clone(), reach: self.store.reach() }
     }
 }
--- a/src/storage/follow.rs
+++ b/src/storage/follow.rs
@@ -1,8 +1,8 @@
-//! Following the configuration.
+//! Follows the configuration.
 //!
-//! A few daemons of each failure domain watch the head; the others hear of a new revision from
-//! them and fetch it from a peer. Were all to watch, each waiting watch would count as a call, and
-//! the service's rate would bound the number of daemons.
+//! A few daemons of each failure domain watch the configuration's head. They notify the others of
+//! new revisions, which those fetch from a peer. Each waiting watch counts as a call, so if all
+//! daemons watched, the service's rate limit would bound the number of daemons.
 
 use super::{SharedStore, Storage};
 use crate::config::follow::fetch::{Peer, Started, next_head, pull, start, take_up, watches};
@@ -23,49 +23,49 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Daemons of a failure domain that watch the head.
-pub const WATCHERS: usize = 2;
+/// Number of daemons per failure domain that watch the head.
+pub const WATCHERS_PER_DOMAIN: usize = 2;
 
 const WATCH_WAIT: Duration = Duration::from_secs(5);
-/// A daemon that does not watch still reads the head now and then, in case that it is cut off from
-/// all that do.
-const READ_PERIOD: Duration = Duration::from_secs(30);
-/// Daemons that are told of a revision before it is taken up.
-const MAX_TOLD: usize = 8;
-/// Daemons that a starting one asks.
-const MAX_ASKED: usize = 16;
-const RETRY: Duration = Duration::from_secs(1);
+/// Interval at which daemons that do not watch read the head, in case they are disconnected from
+/// all daemons that do.
+const READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Maximum number of peers notified of a revision before it is put in force.
+const MAX_PEERS_NOTIFIED: usize = 8;
+/// Maximum number of peers that a starting daemon queries.
+const MAX_PEERS_QUERIED: usize = 16;
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What the loop shares with the duty.
+/// The state that the loop shares with the storage actor.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct FollowerState {
     pub known: Known,
     pub snapshot: Option<Snapshot>,
-    /// The head as last read, for the audit trail while the service can't be reached.
+    /// The last head that was read, for serving the audit trail while the service is unreachable.
     pub head: Option<Head>,
 }
 
-/// What the loop is told.
-pub enum News {
-    /// The daemons that answer; none is told before they are known.
+/// A message to the loop.
+pub enum FollowerMessage {
+    /// The daemons that respond. The loop starts following once the list is not empty.
     Members(Vec<Member>),
-    /// A revision that is in force at a peer, or about to be.
+    /// A revision that is, or is about to be, in force at a peer.
     Heard { revision: Revision, from: Option<String> },
 }
 
 /// The loop that follows the configuration.
-pub struct Following {
+pub struct ConfigFollower {
     pub me: Member,
     pub store: SharedStore,
     pub peers: Addr<Peers>,
     pub control: Rc<RefCell<Ring<Told>>>,
     pub front: watch::Sender<FrontView>,
-    pub shown: Rc<RefCell<Shown>>,
-    pub news: mpsc::UnboundedReceiver<News>,
+    pub state: Rc<RefCell<FollowerState>>,
+    pub messages: mpsc::UnboundedReceiver<FollowerMessage>,
     members: Vec<Member>,
 }
 
-/// A peer as the follower asks it.
+/// Sends the follower's requests to one peer.
 struct PeerLink {
     addr: String,
     peers: Addr<Peers>,
@@ -83,56 +83,58 @@
     }
 }
 
-/// What ended a wait.
-enum Woken {
+/// The event that ended a wait.
+enum WaitResult {
     Head(head::Result<Option<Versioned>>),
-    News(Option<News>),
+    Message(Option<FollowerMessage>),
 }
 
-impl Following {
-    /// A loop that has nothing in force yet.
+impl ConfigFollower {
+    /// Creates the loop, without a configuration in force.
     pub fn new(
         me: Member,
         store: SharedStore,
         peers: Addr<Peers>,
-        duty: &Storage,
-        news: mpsc::UnboundedReceiver<News>,
+        storage: &Storage,
+        messages: mpsc::UnboundedReceiver<FollowerMessage>,
     ) -> Self {
         Self {
             me,
             store,
             peers,
-            control: duty.control.clone(),
-            front: duty.front.clone(),
-            shown: duty.shown.clone(),
-            news,
+            control: storage.control.clone(),
+            front: storage.front.clone(),
+            state: storage.state.clone(),
+            messages,
             members: Vec::new(),
         }
     }
 
-    /// Follows until the duty ends.
+    /// Follows the configuration until the storage actor stops.
     pub async fn run(mut self) {
         while self.members.is_empty() {
-            match self.news.recv().await {
-                Some(news) => self.note(&news),
+            match self.messages.recv().await {
+                Some(message) => self.record_message(&message),
                 None => return,
             }
         }
         let (mut follower, mut version) = self.begin().await;
-        self.in_force(&follower, Tell::Domain);
+        self.publish_config(&follower, Tell::Domain);
         loop {
             match self.wait(version).await {
-                Woken::Head(Ok(None)) => {}
-                Woken::Head(Ok(Some(at))) => {
+                WaitResult::Head(Ok(None)) => {}
+                WaitResult::Head(Ok(Some(at))) => {
                     version = at.version;
-                    self.take_up(&mut follower, &at).await;
+                    self.adopt_head(&mut follower, &at).await;
                 }
-                Woken::Head(Err(e)) => {
+                WaitResult::Head(Err(e)) => {
                     log::warn!(reason:% = e; "head-unread");
-                    tokio::time::sleep(jittered(RETRY)).await;
+                    tokio::time::sleep(jittered(RETRY_DELAY)).await;
                 }
-                Woken::News(Some(news)) => self.hear(&mut follower, &news).await,
-                Woken::News(None) => return,
+                WaitResult::Message(Some(message)) => {
+                    self.handle_message(&mut follower, &message).await
+                }
+                WaitResult::Message(None) => return,
             }
         }
     }
@@ -140,52 +142,52 @@
     async fn begin(&mut self) -> (Follower, u64) {
         let mut newcomer = Newcomer::new();
         loop {
-            newcomer.heard(self.shown.borrow().known.known);
-            match start(newcomer, &self.store, &self.links(MAX_ASKED)).await {
+            newcomer.heard(self.state.borrow().known.known);
+            match start(newcomer, &self.store, &self.peer_links(MAX_PEERS_QUERIED)).await {
                 Started::Following { follower, version } => return (follower, version),
                 Started::Waiting { newcomer: same, reason } => {
                     log::warn!(reason = reason.as_str(); "config-waiting");
                     newcomer = same;
                 }
             }
-            self.note_known(newcomer.known());
-            tokio::time::sleep(jittered(RETRY)).await;
-            while let Ok(news) = self.news.try_recv() {
-                self.note(&news);
+            self.record_known(newcomer.known());
+            tokio::time::sleep(jittered(RETRY_DELAY)).await;
+            while let Ok(message) = self.messages.try_recv() {
+                self.record_message(&message);
             }
         }
     }
 
-    /// Waits for the head or for news, whichever comes first.
-    async fn wait(&mut self, version: u64) -> Woken {
-        let ids: Vec<DaemonId> = self.near().map(|member| member.id.clone()).collect();
-        let watching = watches(&self.me.id, &ids, WATCHERS);
+    /// Waits for a newer head or a message, whichever comes first.
+    async fn wait(&mut self, version: u64) -> WaitResult {
+        let ids: Vec<DaemonId> = self.domain_members().map(|member| member.id.clone()).collect();
+        let watching = watches(&self.me.id, &ids, WATCHERS_PER_DOMAIN);
         let store = self.store.clone();
         let head = async move {
             if watching {
                 return next_head(&store, version, WATCH_WAIT).await;
             }
-            tokio::time::sleep(jittered(READ_PERIOD)).await;
+            tokio::time::sleep(jittered(READ_INTERVAL)).await;
             head::read_newer(&store, version).await
         };
         tokio::select! {
-            at = head => Woken::Head(at),
-            news = self.news.recv() => Woken::News(news),
+            at = head => WaitResult::Head(at),
+            message = self.messages.recv() => WaitResult::Message(message),
         }
     }
 
-    async fn take_up(&self, follower: &mut Follower, at: &Versioned) {
-        follower.heard(self.shown.borrow().known.known);
-        self.shown.borrow_mut().head = Some(at.head.clone());
-        match take_up(follower, &self.store, at, &self.links(MAX_TOLD)).await {
-            Ok(outcome) => self.taken(follower, &outcome, Tell::Domain),
+    async fn adopt_head(&self, follower: &mut Follower, at: &Versioned) {
+        follower.heard(self.state.borrow().known.known);
+        self.state.borrow_mut().head = Some(at.head.clone());
+        match take_up(follower, &self.store, at, &self.peer_links(MAX_PEERS_NOTIFIED)).await {
+            Ok(outcome) => self.handle_outcome(follower, &outcome, Tell::Domain),
             Err(e) => log::warn!(reason:% = e; "config-unread"),
         }
     }
 
-    async fn hear(&mut self, follower: &mut Follower, news: &News) {
-        self.note(news);
-        let News::Heard { revision, from } = news else { return };
+    async fn handle_message(&mut self, follower: &mut Follower, message: &FollowerMessage) {
+        self.record_message(message);
+        let FollowerMessage::Heard { revision, from } = message else { return };
         follower.heard(*revision);
         if follower.revision() >= *revision {
             return;
@@ -193,54 +195,54 @@
         let Some(addr) = from.clone() else { return };
         let link = PeerLink { addr, peers: self.peers.clone() };
         if let Some(outcome) = pull(follower, &link).await {
-            self.taken(follower, &outcome, Tell::Nobody);
+            self.handle_outcome(follower, &outcome, Tell::Nobody);
         }
     }
 
-    fn taken(&self, follower: &Follower, outcome: &Outcome, tell: Tell) {
+    fn handle_outcome(&self, follower: &Follower, outcome: &Outcome, tell: Tell) {
         match outcome {
-            Outcome::InForce(_) => self.in_force(follower, tell),
+            Outcome::InForce(_) => self.publish_config(follower, tell),
             Outcome::Same => {}
             Outcome::Refused(refusal) => log::warn!(reason:% = refusal; "config-refused"),
         }
-        self.note_known(follower.known());
+        self.record_known(follower.known());
     }
 
-    fn in_force(&self, follower: &Follower, tell: Tell) {
+    fn publish_config(&self, follower: &Follower, tell: Tell) {
         let config = follower.config().clone();
         log::info!(revision = config.revision.0; "config-in-force");
         {
-            let mut shown = self.shown.borrow_mut();
-            shown.snapshot = Some(follower.snapshot().clone());
+            let mut state = self.state.borrow_mut();
+            state.snapshot = Some(follower.snapshot().clone());
         }
-        self.note_known(follower.known());
+        self.record_known(follower.known());
         self.peers.do_send(Announce::Revision { revision: config.revision, tell });
         self.control.borrow_mut().tell(Event::Configured(config.clone()));
         self.front.send_modify(|view| view.configured(config));
     }
 
-    fn note(&mut self, news: &News) {
-        match news {
-            News::Members(members) => self.members.clone_from(members),
-            News::Heard { revision, .. } => {
-                self.note_known(Known { known: *revision, in_force: None });
+    fn record_message(&mut self, message: &FollowerMessage) {
+        match message {
+            FollowerMessage::Members(members) => self.members.clone_from(members),
+            FollowerMessage::Heard { revision, .. } => {
+                self.record_known(Known { known: *revision, in_force: None });
             }
         }
     }
 
-    fn note_known(&self, known: Known) {
-        let shown = &mut self.shown.borrow_mut().known;
-        shown.known = shown.known.max(known.known);
-        shown.in_force = shown.in_force.max(known.in_force);
+    fn record_known(&self, known: Known) {
+        let recorded = &mut self.state.borrow_mut().known;
+        recorded.known = recorded.known.max(known.known);
+        recorded.in_force = recorded.in_force.max(known.in_force);
     }
 
-    fn near(&self) -> impl Iterator<Item = &Member> {
+    fn domain_members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|member| member.domain == self.me.domain)
     }
 
-    /// Some of the other daemons, those of this failure domain first. The same are chosen after a
-    /// restart, so that those who are asked then are those who were told before.
-    fn links(&self, count: usize) -> Vec<PeerLink> {
+    /// Selects up to `count` other daemons, those of this failure domain first. The selection is
+    /// the same after a restart, so that a starting daemon queries the peers it notified before.
+    fn peer_links(&self, count: usize) -> Vec<PeerLink> {
         let mut others: Vec<&Member> =
             self.members.iter().filter(|member| member.id != self.me.id).collect();
         others.sort_by_key(|member| (member.domain != self.me.domain, member.id.clone()));
