--- a/src/storage/partition.rs
+++ b/src/storage/partition.rs
@@ -14,25 +14,25 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// Long enough that all writers together stay far below the service's rate when it comes back.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Long enough that all writers together stay far below the service's rate limit after an outage.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// What the loop is asked for.
+/// A job for the loop.
 pub enum Job {
     Recover,
     Commit {
         ticket: Ticket,
         records: Vec<Record>,
     },
-    /// Asks for the task of a key, also if the core no longer knows it.
+    /// Looks up the task of an idempotency key, including tasks that the core has dropped.
     FindKey {
         key: IdempotencyKey,
         tx: oneshot::Sender<Option<TaskId>>,
     },
 }
 
-/// One partition's loop.
+/// The loop that writes one partition.
 pub struct Writer {
     pub id: PartitionId,
     pub me: DaemonId,
@@ -41,7 +41,7 @@
 }
 
 impl Writer {
-    /// Does jobs one after another until the senders are gone.
+    /// Processes jobs one at a time until all senders are dropped.
     pub async fn run(self, mut rx: mpsc::Receiver<Job>) {
         let mut partition = None;
         while let Some(job) = rx.recv().await {
@@ -49,7 +49,7 @@
                 Job::Recover => partition = Some(self.recover().await),
                 Job::FindKey { key, tx } => {
                     let found = partition.as_ref().and_then(|p: &Partition| p.find_key(&key));
-                    // A caller that no longer waits is not told.
+                    // The caller may have timed out and dropped the receiver.
                     let _ = tx.send(found);
                 }
                 Job::Commit { ticket, records } => {
@@ -67,7 +67,7 @@
                     let (partition, tasks) = (self.id, loaded.tasks);
                     let next_number = loaded.next_number;
                     log::info!(partition = partition.0, tasks = tasks.len(); "partition-loaded");
-                    self.tell(Event::Recovered { partition, tasks, next_number });
+                    self.send_event(Event::Recovered { partition, tasks, next_number });
                     return loaded.partition;
                 }
                 Err(e) => {
@@ -86,34 +86,34 @@
     ) -> Option<Partition> {
         let Some(mut partition) = partition else {
             let reason = "the partition is not loaded here".to_owned();
-            self.committed(ticket, CommitResult::NotWritten { reason });
+            self.report_commit(ticket, CommitResult::NotWritten { reason });
             return None;
         };
         let mut result = partition.commit(&self.store, records).await;
         let mut backoff = Backoff::new();
-        // The answer was lost and the write may have taken effect. Saying "not written" now could
-        // make the caller submit the task a second time; so nothing is said until it is known.
+        // The response was lost and the write may have taken effect. Reporting `NotWritten` now
+        // could make the caller submit the task twice, so the report waits for the outcome.
         while let Err(Error::Unsettled { .. }) = result {
             backoff.wait().await;
             result = partition.settle(&self.store).await;
         }
         match result {
-            Ok(()) => self.committed(ticket, CommitResult::Durable),
+            Ok(()) => self.report_commit(ticket, CommitResult::Durable),
             Err(e) => {
                 let superseded = matches!(e, Error::Superseded { .. });
                 log::warn!(partition = self.id.0, reason:% = e; "commit-failed");
-                self.committed(ticket, CommitResult::NotWritten { reason: e.to_string() });
+                self.report_commit(ticket, CommitResult::NotWritten { reason: e.to_string() });
                 if superseded {
-                    self.tell(Event::Superseded { partition: self.id });
+                    self.send_event(Event::Superseded { partition: self.id });
                     return None;
                 }
             }
         }
-        self.tidy(&mut partition).await;
+        self.compact_and_sweep(&mut partition).await;
         Some(partition)
     }
 
-    async fn tidy(&self, partition: &mut Partition) {
+    async fn compact_and_sweep(&self, partition: &mut Partition) {
         if partition.compact_due()
             && let Err(e) = partition.compact(&self.store).await
         {
@@ -122,28 +122,28 @@
         partition.sweep(&self.store).await;
     }
 
-    fn committed(&self, ticket: Ticket, result: CommitResult) {
-        self.tell(Event::Committed { ticket, result });
+    fn report_commit(&self, ticket: Ticket, result: CommitResult) {
+        self.send_event(Event::Committed { ticket, result });
     }
 
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         self.control.borrow_mut().tell(event);
     }
 }
 
-/// A growing wait with jitter, so that writers do not come back all at once.
+/// Exponential backoff with jitter, so that writers do not all retry at the same time.
 struct Backoff {
     next: Duration,
 }
 
 impl Backoff {
     fn new() -> Self {
-        Self { next: FIRST_BACKOFF }
+        Self { next: INITIAL_BACKOFF }
     }
 
     async fn wait(&mut self) {
         let share = rand::rng().random_range(0.5..1.0);
         tokio::time::sleep(self.next.mul_f64(share)).await;
-        self.next = (self.next * 2).min(LONGEST_BACKOFF);
+        self.next = (self.next * 2).min(MAX_BACKOFF);
     }
 }
--- a/src/storage/reach.rs
+++ b/src/storage/reach.rs
@@ -1,4 +1,4 @@
-//! The key-value service with a note of whether it answers.
+//! A client of the key-value service that tracks whether the service is reachable.
 
 use crate::clock::Clock;
 use crate::store::http::HttpStore;
@@ -9,22 +9,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether the service answers.
+/// Whether the service is reachable, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reachability {
     pub answers: Answers,
-    /// When it became so, on the daemon's clock.
+    /// When `answers` last changed, on the daemon's clock.
     pub since: Duration,
 }
 
-/// How the last call went.
+/// Whether the last call reached the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answers {
     Reached,
     NotReached,
 }
 
-/// The service as all loops of a daemon share it.
+/// The client shared by all loops of a daemon.
 #[derive(Clone)]
 pub struct SharedStore {
     store: HttpStore,
@@ -33,18 +33,18 @@
 }
 
 impl SharedStore {
-    /// The service at the base URL, not reached yet.
+    /// Creates a client of the service at the base URL, initially `NotReached`.
     pub fn new(url: &str, clock: Arc<dyn Clock>) -> Self {
         let reach = Reachability { answers: Answers::NotReached, since: clock.now() };
         Self { store: HttpStore::new(url), clock, reach: Rc::new(Cell::new(reach)) }
     }
 
-    /// Whether the service answers, as of the last call.
+    /// The service's reachability as of the last call.
     pub fn reach(&self) -> Reachability {
         self.reach.get()
     }
 
-    fn note<T>(&self, result: Result<T>) -> Result<T> {
+    fn record_result<T>(&self, result: Result<T>) -> Result<T> {
         let answers = match &result {
             Ok(_) | Err(Error::Conflict { .. } | Error::TooLarge { .. }) => Answers::Reached,
             Err(Error::Unavailable { .. } | Error::Unknown { .. }) => Answers::NotReached,
@@ -59,22 +59,22 @@
 
 impl Store for SharedStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>> {
-        self.note(self.store.get(key).await)
+        self.record_result(self.store.get(key).await)
     }
 
     async fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
-        self.note(self.store.list(prefix).await)
+        self.record_result(self.store.list(prefix).await)
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> Result<u64> {
-        self.note(self.store.put(key, value, expect).await)
+        self.record_result(self.store.put(key, value, expect).await)
     }
 
     async fn delete(&self, key: &str, expect: Expect) -> Result<()> {
-        self.note(self.store.delete(key, expect).await)
+        self.record_result(self.store.delete(key, expect).await)
     }
 
     async fn watch(&self, key: &str, after: u64, wait: Duration) -> Result<Option<Entry>> {
-        self.note(self.store.watch(key, after, wait).await)
+        self.record_result(self.store.watch(key, after, wait).await)
     }
 }
