--- a/tests/tasklog_http.rs
+++ b/tests/tasklog_http.rs
@@ -1,6 +1,6 @@
-//! The task log over real HTTP, against the stand-in of the key-value service.
+//! Tests of the task log over HTTP, against the stand-in of the key-value service.
 
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/tasks.rs"]
 mod tasks;
 
@@ -36,9 +36,9 @@
     assert_eq!(tasks_now(&store).await, state(many.iter().chain(&tail)));
 }
 
-// What the caller sees: its task is accepted once. The service takes the compare-and-swap of the
-// head and the connection closes before the answer; the writer sends it again, is told that the
-// head has moved, and finds its own commit there.
+// Guards against accepting a task twice or not at all. The service applies the compare-and-swap of
+// the head, and the connection closes before the response. The writer retries, gets a conflict, and
+// must recognize its own commit in the head.
 #[actix_rt::test]
 async fn an_answer_lost_on_the_way_is_settled_as_durable() {
     let kv = Kv::start();
@@ -47,12 +47,17 @@
     kv.faults().lose_answers(1);
     let calls = kv.calls();
     assert_eq!(partition.commit(&store, &[accepted(1)]).await, Ok(()));
-    assert_eq!(kv.calls() - calls, 3, "the lost call, its repetition and the read-back");
+    assert_eq!(
+        kv.calls() - calls,
+        3,
+        "the call with the lost response, its retry and the read of the head"
+    );
     assert_eq!(tasks_now(&store).await, state([accepted(1)].iter()));
 }
 
-// What the caller sees: nothing, until the service is back; then its task is accepted. Every call
-// goes unanswered, so nobody can know; the partition takes no further commit meanwhile.
+// Guards against reporting an outcome that is not known. The service responds to no call, so the
+// partition must not accept another commit until the service is available again. The first commit
+// is then settled as durable.
 #[actix_rt::test]
 async fn a_silent_service_leaves_a_commit_open_until_it_is_back() {
     let kv = Kv::start();
@@ -70,7 +75,7 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_is_surely_not_written_and_a_refusal_is_tried_again() {
+async fn an_outage_is_reported_as_not_written_and_a_single_failure_is_retried() {
     let kv = Kv::start();
     let store = HttpStore::new(&kv.url());
     let mut partition = loaded(&store, "a").await;
@@ -79,12 +84,13 @@
     assert!(matches!(refused, Err(Error::NotWritten { .. })), "{refused:?}");
     kv.faults().set_outage(Outage::Up);
     kv.faults().inject(Fault::ErrorBefore);
-    partition.commit(&store, &[accepted(2)]).await.expect("the second try is taken");
+    partition.commit(&store, &[accepted(2)]).await.expect("the second attempt succeeds");
     assert_eq!(tasks_now(&store).await, state([accepted(2)].iter()));
 }
 
-// What the next writer sees: the whole partition, in one list. Payloads make it several megabytes,
-// more than HTTP clients read by default.
+// The next writer reads the whole partition with one list call. Guards against a response limit
+// that is too low: the payloads make the list several megabytes, more than HTTP clients read by
+// default.
 #[actix_rt::test]
 async fn a_partition_of_many_megabytes_is_read() {
     let kv = Kv::start();
--- a/tests/tasklog_log.rs
+++ b/tests/tasklog_log.rs
@@ -1,9 +1,9 @@
-//! A partition of the task log when nothing fails, and when one writer follows another.
+//! Tests of a task log partition without faults and across changes of its writer.
 
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/fault_store.rs"]
 mod fault_store;
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/tasks.rs"]
 mod tasks;
 
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn ended_tasks_beyond_the_limit_leave_their_key() {
+fn ended_tasks_beyond_the_limit_keep_only_their_key() {
     let store = FaultStore::new();
     let mut partition = load(&store, "a").partition.with_limits(SMALL);
     for n in 1..=5 {
         commit(&mut partition, &store, &[accepted(n), bound(n, 1)]);
     }
-    // 5 ends first, so that the order of ends differs from that of numbers.
+    // Task 5 ends first, so that the order of ending differs from that of the numbers.
     for n in [5, 1, 2, 3] {
         commit(&mut partition, &store, &[ended(n, 1)]);
     }
@@ -102,12 +102,12 @@
         assert_eq!(found, Some(TaskId::new(PartitionId(3), n)), "key {n}");
     }
     assert_eq!(loaded.partition.find_key(&IdempotencyKey::new("never")), None);
-    assert_eq!(loaded.next_number, 6, "numbers of dropped tasks are not given again");
+    assert_eq!(loaded.next_number, 6, "numbers of dropped tasks are not reused");
 }
 
-// What the caller sees: its repeated submission is refused, and names the task that ran. The task
-// ended long ago and was dropped, the writer that knew its key died, and the next one numbers the
-// repeated submission as a new task.
+// Guards against running a repeated submission twice. The first task ended and was dropped, the
+// writer that had its key in memory is gone, and the next one numbers the repeated submission as a
+// new task. The commit must fail with an error that contains the first task.
 #[test]
 fn a_repeated_key_makes_no_second_task_after_the_first_was_dropped() {
     let store = FaultStore::new();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn keys_of_dropped_tasks_are_forgotten_oldest_first() {
+fn keys_of_dropped_tasks_are_evicted_oldest_first() {
     let store = FaultStore::new();
     let mut partition = load(&store, "a").partition.with_limits(SMALL);
     for n in 1..=20 {
@@ -139,7 +139,7 @@
     let loaded = load(&store, "b");
     let known = |n| loaded.partition.find_key(&tasks::key(n)).is_some();
     assert!((15..=20).all(known), "two whole tasks and four keys are kept");
-    assert!(!(1..=14).any(known), "the others are forgotten");
+    assert!(!(1..=14).any(known), "the others are evicted");
     assert!((1..=20).all(|n| partition.find_key(&tasks::key(n)).is_some() == known(n)));
 }
 
@@ -156,9 +156,9 @@
     assert_eq!(kinds, [Call::Put, Call::Put]);
 }
 
-// What the caller sees: the answer of the old writer is "superseded", and its tasks are intact.
-// The old writer pauses; another daemon claims the partition, commits and compacts; the old one
-// wakes up and commits. Its compare-and-swap names a version that is gone for good.
+// Guards against commits of a paused writer. While it is paused, another daemon claims the
+// partition, commits and compacts. The old writer then resumes and commits, and must fail as
+// superseded, since its compare-and-swap expects a version that can't recur.
 #[test]
 fn a_writer_that_slept_through_a_takeover_commits_nothing() {
     let store = FaultStore::new();
@@ -176,10 +176,10 @@
     assert_eq!(loaded.tasks, state([accepted(1), accepted(2), bound(1, 1)].iter()));
 }
 
-// What the caller sees: its task is accepted although the writer lost the partition meanwhile.
-// The commit takes effect and its answer is lost; a second daemon claims the partition on top of
-// it and goes on; only then does the first one read the head back. The head still tells the last
-// commit of each of the latest claims, so the first can tell that its records are in.
+// Guards against reporting a durable commit as lost. The commit takes effect and its response is
+// lost. A second daemon then claims the partition and commits before the first one reads the head
+// back. The head keeps the last commit of each recent claim, so the first writer can still
+// determine that its records are durable.
 #[test]
 fn a_lost_answer_is_settled_even_after_a_takeover() {
     let store = FaultStore::new();
@@ -200,7 +200,7 @@
     assert_eq!(load(&store, "c").tasks, state([accepted(1), bound(1, 1)].iter()));
 }
 
-// The same, but the first write never reached the store: the records are surely not in.
+// The same sequence, but the first write never reaches the store, so its records are not written.
 #[test]
 fn a_lost_write_is_settled_as_not_written_after_a_takeover() {
     let store = FaultStore::new();
@@ -216,8 +216,8 @@
     assert_eq!(load(&store, "c").tasks, state([accepted(7)].iter()));
 }
 
-// What the caller sees: two daemons take the partition over at once and one of them is told so.
-// Both read the same head; the second claim's compare-and-swap finds the first one's.
+// Guards against two writers after concurrent claims. Both daemons read the same head, and the
+// second claim's compare-and-swap must fail because of the first one's claim.
 #[test]
 fn of_two_claims_on_one_head_the_second_is_refused() {
     let store = FaultStore::new();
@@ -230,8 +230,8 @@
     assert_eq!(late.map(|loaded| loaded.next_number), Err(superseded));
 }
 
-// A writer dies after it put a segment and before the head named it. The records never happened,
-// and the next writer deletes the orphan; what a later writer has just put is left alone.
+// A writer crashes after it wrote a segment and before a head references it. The records must have
+// no effect, and the next writer deletes the orphan but keeps a value of a later writer.
 #[test]
 fn orphans_of_earlier_writers_are_deleted_and_those_of_later_ones_kept() {
     let store = FaultStore::new();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_missing_or_damaged_value_is_named_and_nothing_is_made_up() {
+fn a_missing_or_corrupt_value_is_reported_with_its_key() {
     let store = FaultStore::new();
     let mut partition = load(&store, "a").partition.with_limits(SMALL);
     (1..=9).for_each(|n| commit(&mut partition, &store, &[accepted(n), bound(n, 1)]));
