--- a/tests/tasklog_faults.rs
+++ b/tests/tasklog_faults.rs
@@ -1,13 +1,13 @@
-//! Tables of faults of the key-value service, one for each operation on a partition.
+//! Table tests of task log operations under faults of the key-value service.
 //!
-//! Each case names the faults of the operation's calls, counted from its first one, and how the
-//! operation ends. Whatever that is, the log must afterwards hold the records if and only if the
-//! operation said so, also once every write that was on its way has landed.
+//! Each case lists the faults of the operation's calls, counted from the first one, and the
+//! expected outcome. Afterwards, the log must contain the records if and only if the operation
+//! reported them as durable, also after all delayed writes have taken effect.
 
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/fault_store.rs"]
 mod fault_store;
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/tasks.rs"]
 mod tasks;
 
@@ -32,7 +32,7 @@
 enum Operation {
     /// Records that fit into the head.
     CommitSmall,
-    /// Records that are put as a segment first.
+    /// Records that are first written as a segment.
     CommitLarge,
     Compact,
     Load,
@@ -42,21 +42,21 @@
 #[serde(deny_unknown_fields)]
 struct Case {
     name: String,
-    /// Fault of each call; `none` where it works.
+    /// The fault of each call; `none` if the call succeeds.
     faults: Vec<String>,
-    /// The same fault of all later calls.
+    /// The fault of all later calls.
     #[serde(default)]
     then: Option<String>,
-    result: End,
-    /// How it ends once the service is back, where the result leaves it open.
+    result: Outcome,
+    /// The outcome once the service is available again, if `result` is unsettled.
     #[serde(default)]
-    settled: Option<End>,
+    settled: Option<Outcome>,
     calls: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum End {
+enum Outcome {
     Durable,
     NotWritten,
     Superseded,
@@ -64,8 +64,8 @@
     Unreadable,
 }
 
-/// Calls that the last fault of a case is repeated for.
-const FOR_GOOD: usize = 64;
+/// Number of calls, counted from the operation's first one, that `Case::then` extends to.
+const REPEATED_FAULT_CALLS: usize = 64;
 
 fn fault(name: &str) -> Option<Fault> {
     match name {
@@ -78,13 +78,13 @@
     }
 }
 
-fn end(result: &Result<()>) -> End {
+fn outcome(result: &Result<()>) -> Outcome {
     match result {
-        Ok(()) => End::Durable,
-        Err(Error::NotWritten { .. }) => End::NotWritten,
-        Err(Error::Superseded { .. }) => End::Superseded,
-        Err(Error::Unsettled { .. }) => End::Unsettled,
-        Err(Error::Unreadable { .. }) => End::Unreadable,
+        Ok(()) => Outcome::Durable,
+        Err(Error::NotWritten { .. }) => Outcome::NotWritten,
+        Err(Error::Superseded { .. }) => Outcome::Superseded,
+        Err(Error::Unsettled { .. }) => Outcome::Unsettled,
+        Err(Error::Unreadable { .. }) => Outcome::Unreadable,
         Err(error) => panic!("{error}"),
     }
 }
@@ -95,7 +95,7 @@
         fault(name).into_iter().for_each(|fault| store.fail(first + n, fault));
     }
     if let Some(fault) = case.then.as_deref().and_then(fault) {
-        let rest = first + case.faults.len()..first + FOR_GOOD;
+        let rest = first + case.faults.len()..first + REPEATED_FAULT_CALLS;
         rest.for_each(|call| store.fail(call, fault));
     }
 }
@@ -136,24 +136,24 @@
             .map(|loaded| partition = loaded.partition),
     };
     let name = &case.name;
-    assert_eq!(end(&result), case.result, "{name}: {result:?}");
+    assert_eq!(outcome(&result), case.result, "{name}: {result:?}");
     assert_eq!(store.calls() - first, case.calls, "calls, {name}");
 
     store.heal();
-    let mut settled = end(&result);
-    if settled == End::Unsettled {
-        settled = end(&block_on(partition.settle(&store)));
+    let mut settled = outcome(&result);
+    if settled == Outcome::Unsettled {
+        settled = outcome(&block_on(partition.settle(&store)));
     }
     assert_eq!(settled, case.settled.unwrap_or(case.result), "{name}");
-    if settled == End::Durable {
+    if settled == Outcome::Durable {
         records.extend(batch);
     }
     assert_eq!(load(&store, "c").tasks, state(records.iter()), "{name}");
-    check_goes_on(&store, &records);
+    check_next_writer(&store, &records);
 }
 
-/// The next writer commits, compacts and leaves nothing that no head names.
-fn check_goes_on(store: &FaultStore, records: &[Record]) {
+/// Checks that the next writer can commit and compact, and deletes all unreferenced values.
+fn check_next_writer(store: &FaultStore, records: &[Record]) {
     let mut next = load(store, "d").partition;
     let more = [accepted(90), bound(90, 1), ended(90, 1)];
     block_on(next.commit(store, &more)).expect("up");
--- a/tests/tasklog_sweep.rs
+++ b/tests/tasklog_sweep.rs
@@ -1,12 +1,12 @@
-//! Every fault at every call of a partition's life, and two writers that race at random.
+//! Tests of every fault at every call of a fixed sequence, and of two randomly racing writers.
 //!
-//! Both compare with what was answered: records said to be durable are there, records said not to
-//! be written are not and never appear, and the outcome of the others becomes known.
+//! The log is compared with the reported results: records reported as durable are present, records
+//! reported as not written never appear, and the outcome of the others becomes known.
 
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/fault_store.rs"]
 mod fault_store;
-#[allow(dead_code, reason = "each file of tests uses a part of it")]
+#[allow(dead_code, reason = "each test file uses only a part of it")]
 #[path = "common/tasks.rs"]
 mod tasks;
 
@@ -32,24 +32,24 @@
     Fault::Stale,
 ];
 
-/// A writer that keeps what it was told of its records.
+/// A writer that tracks the reported outcome of its records.
 struct Writer {
     name: &'static str,
     partition: Option<Partition>,
-    /// Records whose outcome is open.
-    open: Vec<Record>,
+    /// Records whose outcome is not known yet.
+    unresolved: Vec<Record>,
 }
 
-/// Records said to be durable, in order.
+/// Records reported as durable, in order.
 type Durable = Vec<Record>;
 
 impl Writer {
     fn new(name: &'static str) -> Self {
-        Self { name, partition: None, open: Vec::new() }
+        Self { name, partition: None, unresolved: Vec::new() }
     }
 
-    /// Loads the partition unless it is loaded.
-    fn ready(&mut self, store: &FaultStore) -> Option<&mut Partition> {
+    /// Returns the partition, loading it if necessary; `None` if loading fails.
+    fn loaded_partition(&mut self, store: &FaultStore) -> Option<&mut Partition> {
         if self.partition.is_none() {
             let id = DaemonId::new(self.name);
             let loaded = block_on(Partition::load(store, PartitionId(3), &id)).ok()?;
@@ -59,37 +59,37 @@
     }
 
     fn commit(&mut self, store: &FaultStore, records: &[Record], durable: &mut Durable) {
-        let Some(partition) = self.ready(store) else { return };
+        let Some(partition) = self.loaded_partition(store) else { return };
         if partition.unsettled() {
             return self.settle(store, durable);
         }
         let result = block_on(partition.commit(store, records));
-        self.open = records.to_vec();
-        self.conclude(&result, durable);
+        self.unresolved = records.to_vec();
+        self.record_result(&result, durable);
     }
 
     fn compact(&mut self, store: &FaultStore, durable: &mut Durable) {
-        let Some(partition) = self.ready(store) else { return };
+        let Some(partition) = self.loaded_partition(store) else { return };
         if partition.unsettled() {
             return self.settle(store, durable);
         }
         let result = block_on(partition.compact(store));
         block_on(partition.sweep(store));
-        self.conclude(&result, durable);
+        self.record_result(&result, durable);
     }
 
     fn settle(&mut self, store: &FaultStore, durable: &mut Durable) {
         let Some(partition) = self.partition.as_mut() else { return };
         let result = block_on(partition.settle(store));
-        self.conclude(&result, durable);
+        self.record_result(&result, durable);
     }
 
-    fn conclude(&mut self, result: &Result<()>, durable: &mut Durable) {
+    fn record_result(&mut self, result: &Result<()>, durable: &mut Durable) {
         match result {
-            Ok(()) => durable.append(&mut self.open),
-            Err(Error::NotWritten { .. }) => self.open.clear(),
+            Ok(()) => durable.append(&mut self.unresolved),
+            Err(Error::NotWritten { .. }) => self.unresolved.clear(),
             Err(Error::Superseded { .. }) => {
-                self.open.clear();
+                self.unresolved.clear();
                 self.partition = None;
             }
             Err(Error::Unsettled { .. }) => {}
@@ -98,8 +98,8 @@
     }
 }
 
-/// Two writers, one after the other, with every kind of commit.
-fn life(store: &FaultStore) -> Durable {
+/// Runs two writers, one after the other, with every kind of commit.
+fn run_two_writers(store: &FaultStore) -> Durable {
     let mut durable = Durable::new();
     let mut first = Writer::new("a");
     first.commit(store, &[accepted(1)], &mut durable);
@@ -117,21 +117,21 @@
     durable
 }
 
-fn check(store: &FaultStore, durable: &Durable, what: &str) {
+fn check(store: &FaultStore, durable: &Durable, case: &str) {
     store.heal();
     let mut last = load(store, "z").partition;
     let tasks: Vec<_> = last.tasks().cloned().collect();
-    assert_eq!(tasks, state(durable.iter()), "{what}");
+    assert_eq!(tasks, state(durable.iter()), "{case}");
     while block_on(last.sweep(store)) > 0 {}
     block_on(last.compact(store)).expect("the service is back");
     while block_on(last.sweep(store)) > 0 {}
-    assert!(store.keys().len() <= 2, "{what}: {:?}", store.keys());
+    assert!(store.keys().len() <= 2, "{case}: {:?}", store.keys());
 }
 
 #[test]
-fn no_single_or_double_fault_at_any_call_breaks_a_promise() {
+fn single_and_double_faults_at_any_call_keep_the_log_consistent() {
     let healthy = FaultStore::new();
-    let durable = life(&healthy);
+    let durable = run_two_writers(&healthy);
     check(&healthy, &durable, "healthy");
     let calls = healthy.calls();
     let mut cases = 0;
@@ -142,7 +142,7 @@
                     let store = FaultStore::new();
                     store.fail(call + gap, next);
                     store.fail(call, fault);
-                    let durable = life(&store);
+                    let durable = run_two_writers(&store);
                     check(&store, &durable, &format!("{fault:?} at {call}, {next:?} {gap} later"));
                     cases += 1;
                 }
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn no_outage_of_any_length_at_any_call_breaks_a_promise() {
+fn outages_of_any_length_at_any_call_keep_the_log_consistent() {
     let mut cases = 0;
     for fault in [Fault::Refused, Fault::CallLost, Fault::AnswerLost, Fault::Stale] {
         for call in 0..24 {
             for length in [3, 4, 5, 8, 16, 64] {
                 let store = FaultStore::new();
                 (call..call + length).for_each(|call| store.fail(call, fault));
-                let durable = life(&store);
+                let durable = run_two_writers(&store);
                 check(&store, &durable, &format!("{length} times {fault:?} from {call}"));
                 cases += 1;
             }
@@ -170,7 +170,7 @@
     println!("{cases} cases");
 }
 
-/// Two writers that take the partition from each other while calls fail.
+/// Runs two writers that repeatedly claim the partition from each other while calls fail.
 fn race(seed: u64) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
     let store = FaultStore::new();
@@ -189,8 +189,8 @@
         let writer = &mut writers[rng.random_range(0..2)];
         if rng.random_bool(0.15) {
             writer.compact(&store, &mut durable);
-        } else if rng.random_bool(0.1) && writer.open.is_empty() {
-            // A process that dies loses what it knows.
+        } else if rng.random_bool(0.1) && writer.unresolved.is_empty() {
+            // A process that crashes loses its state in memory.
             writer.partition = None;
         } else {
             let batch: Vec<_> = (0..rng.random_range(1..8)).map(|n| accepted(number + n)).collect();
@@ -206,14 +206,15 @@
     store.calls()
 }
 
-/// Settling late may tell of records out of order; tasks here have one record each.
+/// Sorts by task, because late settling reports records out of order. Each task here has only one
+/// record.
 fn sorted(mut durable: Durable) -> Durable {
     durable.sort_by_key(|record| record.task);
     durable
 }
 
 #[test]
-fn two_racing_writers_never_disagree_with_the_log() {
+fn two_racing_writers_agree_with_the_log() {
     let calls: usize = (0..400).map(race).sum();
     println!("400 seeds, {calls} calls");
 }
