--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -1,5 +1,5 @@
-//! The contract of the key-value service, from one table, against the fake in memory and against
-//! the stand-in over real HTTP.
+//! Contract tests of the key-value service from shared tables, run against the in-memory fake and
+//! against the stand-in over HTTP.
 
 use bytes::Bytes;
 use indexmap::IndexMap;
@@ -14,7 +14,7 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Case {
-    /// What the case shows, for those who read the table.
+    /// Description of the case for readers of the table.
     #[serde(rename = "about")]
     _about: String,
     step: Vec<Step>,
@@ -27,7 +27,7 @@
     Get {
         key: String,
         found: Option<String>,
-        result: Option<Refusal>,
+        result: Option<ErrorKind>,
     },
     List {
         prefix: String,
@@ -37,26 +37,26 @@
         key: String,
         value: String,
         expect: String,
-        result: Option<Refusal>,
+        result: Option<ErrorKind>,
         version: Option<String>,
     },
     PutLarge {
         key: String,
         over: usize,
-        result: Option<Refusal>,
+        result: Option<ErrorKind>,
     },
     Delete {
         key: String,
         expect: String,
-        result: Option<Refusal>,
+        result: Option<ErrorKind>,
     },
     Watch {
         key: String,
         after: String,
         found: Option<String>,
-        result: Option<Refusal>,
+        result: Option<ErrorKind>,
     },
-    /// The change comes while the watch waits.
+    /// A put while a watch waits for it.
     WatchPut {
         key: String,
         after: String,
@@ -72,7 +72,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-enum Refusal {
+enum ErrorKind {
     Conflict,
     Unavailable,
     Unknown,
@@ -103,14 +103,14 @@
     writes: u64,
 }
 
-/// The switches of the implementation under test.
-trait Faulty {
+/// Fault injection into the implementation under test.
+trait FaultInjection {
     fn inject(&self, fault: Fault);
     fn set_outage(&self, outage: Outage);
     fn usage(&self) -> Usage;
 }
 
-impl Faulty for MemoryStore {
+impl FaultInjection for MemoryStore {
     fn inject(&self, fault: Fault) {
         self.inject(fault);
     }
@@ -124,7 +124,7 @@
     }
 }
 
-impl Faulty for KvFaults {
+impl FaultInjection for KvFaults {
     fn inject(&self, fault: Fault) {
         self.inject(fault);
     }
@@ -138,14 +138,14 @@
     }
 }
 
-struct Run<'a, S, F> {
+struct CaseRunner<'a, S, F> {
     store: &'a S,
     faults: &'a F,
-    /// Versions seen, by the names that the table gives them.
+    /// Versions by the names given to them in the table.
     versions: IndexMap<String, u64>,
 }
 
-impl<S: Store, F: Faulty> Run<'_, S, F> {
+impl<S: Store, F: FaultInjection> CaseRunner<'_, S, F> {
     async fn step(&mut self, step: &Step) {
         match step {
             Step::Get { key, found, result } => {
@@ -231,27 +231,27 @@
     }
 }
 
-fn refusal(error: &Error) -> Refusal {
+fn error_kind(error: &Error) -> ErrorKind {
     match error {
-        Error::Conflict { .. } => Refusal::Conflict,
-        Error::Unavailable { .. } => Refusal::Unavailable,
-        Error::Unknown { .. } => Refusal::Unknown,
-        Error::TooLarge { .. } => Refusal::TooLarge,
+        Error::Conflict { .. } => ErrorKind::Conflict,
+        Error::Unavailable { .. } => ErrorKind::Unavailable,
+        Error::Unknown { .. } => ErrorKind::Unknown,
+        Error::TooLarge { .. } => ErrorKind::TooLarge,
     }
 }
 
-fn compare_read(got: Result<Option<Entry>>, found: Option<&str>, result: Option<Refusal>) {
-    assert_eq!(got.as_ref().err().map(refusal), result, "{got:?}");
+fn compare_read(got: Result<Option<Entry>>, found: Option<&str>, result: Option<ErrorKind>) {
+    assert_eq!(got.as_ref().err().map(error_kind), result, "{got:?}");
     let value = got.ok().flatten().map(|entry| entry.value);
     assert_eq!(value.as_deref(), found.map(str::as_bytes));
 }
 
-fn compare_write<T: std::fmt::Debug>(done: &Result<T>, result: Option<Refusal>) {
-    assert_eq!(done.as_ref().err().map(refusal), result, "{done:?}");
+fn compare_write<T: std::fmt::Debug>(done: &Result<T>, result: Option<ErrorKind>) {
+    assert_eq!(done.as_ref().err().map(error_kind), result, "{done:?}");
 }
 
-async fn run(case: &Case, store: &impl Store, faults: &impl Faulty) {
-    let mut run = Run { store, faults, versions: IndexMap::new() };
+async fn run(case: &Case, store: &impl Store, faults: &impl FaultInjection) {
+    let mut run = CaseRunner { store, faults, versions: IndexMap::new() };
     for step in &case.step {
         run.step(step).await;
     }
--- a/tests/store_http.rs
+++ b/tests/store_http.rs
@@ -1,4 +1,4 @@
-//! The client against the stand-in over real HTTP, where the fake in memory has no counterpart.
+//! Tests of the client over HTTP for cases that the in-memory fake can't reproduce.
 
 use bytes::Bytes;
 use std::io::Read;
@@ -11,8 +11,8 @@
 
 const KEY: &str = "config/head";
 
-/// The service takes the write and never answers. Giving up after a bounded time, the caller must
-/// be told that the write may have taken effect.
+/// The service accepts the write and never responds. After the timeout, the client must report that
+/// the write may have taken effect.
 #[actix_rt::test]
 async fn a_silent_service_leaves_a_write_unknown_and_a_read_unavailable() {
     let kv = Kv::start();
@@ -24,7 +24,7 @@
     assert!(matches!(read, Err(Error::Unavailable { .. })), "{read:?}");
 }
 
-/// Nothing listens on the port. No byte of the write has left, so that it surely had no effect.
+/// Nothing listens on the port. No byte of the write was sent, so it can't have had an effect.
 #[actix_rt::test]
 async fn a_refused_connection_proves_that_nothing_was_written() {
     let url = Kv::start().url();
@@ -33,7 +33,7 @@
     assert!(matches!(written, Err(Error::Unavailable { .. })), "{written:?}");
 }
 
-/// The answer breaks off after the write took effect; the client must not send it again by itself.
+/// The response is truncated after the write took effect. The client must not retry it by itself.
 #[actix_rt::test]
 async fn a_cut_answer_leaves_a_write_unknown_and_is_not_repeated() {
     let kv = Kv::start();
@@ -58,7 +58,8 @@
     assert_eq!(entry.version, version);
 }
 
-/// A key of any characters must reach the service whole, and not as a query or another path.
+/// A key with any characters must reach the service unchanged, and must not be parsed as further
+/// query parameters or another path.
 #[actix_rt::test]
 async fn keys_with_any_characters_are_kept_apart() {
     let kv = Kv::start();
@@ -73,8 +74,8 @@
     assert_eq!(store.list("a&").await.expect("a list").len(), 1);
 }
 
-/// The service reads the write and closes the connection without a word. The client's library
-/// reports that like a failed connection; but the write has left, and may have taken effect.
+/// The service reads the write and closes the connection without a response. The HTTP library
+/// reports this like a failed connection, but the write was sent and may have taken effect.
 #[actix_rt::test]
 async fn a_connection_closed_without_an_answer_leaves_a_write_unknown() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
