--- a/benches/tasklog.rs
+++ b/benches/tasklog.rs
@@ -1,9 +1,9 @@
-//! What the task log costs its writer: calls and bytes a second, sizes, and the time to recover.
+//! Benchmarks of the task log's writer: calls and bytes per second, sizes, and recovery time.
 //!
-//! One partition is driven through simulated seconds against a store in memory. Calls and bytes
-//! are exact counts; processor times are of this machine and compared within one run only.
+//! One partition runs for a simulated time against an in-memory store. Calls and bytes are exact
+//! counts. CPU times depend on the machine and are comparable only within one run.
 
-#[allow(dead_code, reason = "the bench uses a part of it")]
+#[allow(dead_code, reason = "the benchmark uses only a part of it")]
 #[path = "../tests/common/fault_store.rs"]
 mod fault_store;
 
@@ -26,40 +26,40 @@
 const WRITERS: f64 = 56.0;
 const SEED: u64 = 7;
 
-/// VMs of the partition's failure domain.
+/// Number of VMs in the partition's failure domain.
 const VMS: u32 = 1000;
 
-/// A boot as a VM may number it, by the milliseconds since 1970.
+/// A realistic boot ID: a VM may use the milliseconds since the Unix epoch.
 const FIRST_BOOT: u64 = 1_796_242_500_250;
 
-/// Share of tasks that are evicted once and resumed.
+/// Fraction of tasks that are evicted once and resumed.
 const EVICTED: f64 = 0.02;
 
-/// What one writer has to record.
+/// The load of one writer.
 #[derive(Clone, Copy)]
 struct Load {
-    /// Task starts a second.
+    /// Task starts per second.
     rate: f64,
-    /// Tasks running.
+    /// Number of running tasks.
     running: usize,
-    /// Commits a second.
+    /// Commits per second.
     commits: usize,
     seconds: usize,
 }
 
 impl Load {
-    /// The two-year size: 910 starts a second and 130,000 tasks over 56 writers.
+    /// The expected peak in two years: 910 starts per second and 130,000 tasks over 56 writers.
     const PEAK: Self = Self { rate: 910.0 / WRITERS, running: 2_321, commits: 1, seconds: 900 };
 }
 
-/// What a load cost.
+/// The measured cost of a load.
 struct Cost {
     record_bytes: f64,
     json_bytes: f64,
     postcard_bytes: f64,
     puts: f64,
     deletes: f64,
-    /// Bytes written a second.
+    /// Bytes written per second.
     bytes: f64,
     micros_per_record: f64,
     page_bytes_per_task: f64,
@@ -79,7 +79,7 @@
         Self { rng, next: 1, waiting: VecDeque::new(), running: VecDeque::new() }
     }
 
-    /// One commit's records: tasks end, waiting ones are bound, new ones are accepted.
+    /// Returns the records of one commit: ends tasks, binds waiting ones and accepts new ones.
     fn batch(&mut self, starts: usize, running: usize) -> Vec<Record> {
         let mut records = Vec::new();
         while self.running.len() + self.waiting.len() > running {
@@ -149,15 +149,15 @@
     loaded.partition.with_limits(limits)
 }
 
-/// Bytes of the same records in other forms.
+/// Sizes of the same records in other encodings.
 #[derive(Default)]
-struct Forms {
+struct EncodedSizes {
     json: usize,
     postcard: usize,
     records: usize,
 }
 
-impl Forms {
+impl EncodedSizes {
     fn add(&mut self, records: &[Record]) {
         self.json += serde_json::to_vec(records).expect("written").len();
         self.postcard += postcard::to_allocvec(records).expect("written").len();
@@ -176,51 +176,60 @@
     block_on(partition.compact(&store)).expect("the store works");
     while block_on(partition.sweep(&store)) > 0 {}
 
-    let mut meter =
-        Meter { first_call: store.calls(), before: partition.stats(), ..Meter::default() };
+    let mut measurement = Measurement {
+        first_call: store.calls(),
+        before: partition.stats(),
+        ..Measurement::default()
+    };
     let mut due = 0.0;
     for _ in 0..load.seconds * load.commits {
         due += load.rate / load.commits as f64;
         let starts = due as usize;
         due -= starts as f64;
         let records = workload.batch(starts, load.running);
-        meter.forms.add(&records);
+        measurement.sizes.add(&records);
         let begin = SystemClock.now();
         block_on(partition.commit(&store, &records)).expect("the store works");
         if partition.compact_due() {
             block_on(partition.compact(&store)).expect("the store works");
         }
         block_on(partition.sweep(&store));
-        meter.busy += SystemClock.now() - begin;
+        measurement.cpu_time += SystemClock.now() - begin;
     }
-    cost(load, &store, &meter, &mut partition)
+    cost(load, &store, &measurement, &mut partition)
 }
 
-/// What was measured while a load ran.
+/// Measurements taken while a load runs.
 #[derive(Default)]
-struct Meter {
+struct Measurement {
     first_call: usize,
     before: Stats,
-    forms: Forms,
-    busy: Duration,
+    sizes: EncodedSizes,
+    cpu_time: Duration,
 }
 
-fn cost(load: Load, store: &FaultStore, meter: &Meter, partition: &mut Partition) -> Cost {
-    let made = store.made_since(meter.first_call);
+fn cost(
+    load: Load,
+    store: &FaultStore,
+    measurement: &Measurement,
+    partition: &mut Partition,
+) -> Cost {
+    let made = store.made_since(measurement.first_call);
     let seconds = load.seconds as f64;
     let puts: Vec<_> = made.iter().filter(|made| made.call == Call::Put).collect();
     let deletes = made.iter().filter(|made| made.call == Call::Delete).count();
-    let per_record = |bytes: usize| bytes as f64 / meter.forms.records as f64;
-    let record_bytes = partition.stats().record_bytes - meter.before.record_bytes;
+    let per_record = |bytes: usize| bytes as f64 / measurement.sizes.records as f64;
+    let record_bytes = partition.stats().record_bytes - measurement.before.record_bytes;
     let page_bytes = page_bytes(store, partition);
     Cost {
         record_bytes: per_record(record_bytes as usize),
-        json_bytes: per_record(meter.forms.json),
-        postcard_bytes: per_record(meter.forms.postcard),
+        json_bytes: per_record(measurement.sizes.json),
+        postcard_bytes: per_record(measurement.sizes.postcard),
         puts: puts.len() as f64 / seconds,
         deletes: deletes as f64 / seconds,
         bytes: puts.iter().map(|made| made.bytes).sum::<usize>() as f64 / seconds,
-        micros_per_record: meter.busy.as_secs_f64() * 1e6 / meter.forms.records as f64,
+        micros_per_record: measurement.cpu_time.as_secs_f64() * 1e6
+            / measurement.sizes.records as f64,
         page_bytes_per_task: page_bytes as f64 / partition.tasks().count() as f64,
         largest_put: made.iter().map(|made| made.bytes).max().unwrap_or(0),
     }
@@ -233,7 +242,7 @@
     made.iter().filter(|made| made.key.contains("/v/")).map(|made| made.bytes).sum()
 }
 
-fn forms_of_records() {
+fn compare_encodings() {
     println!(
         "## The same records in three forms ({} s at the peak, one run)\n",
         Load::PEAK.seconds
@@ -253,13 +262,13 @@
     println!();
 }
 
-fn ways_to_commit() {
+fn compare_tail_sizes() {
     println!("## Where records go, at the peak and on an ordinary hour, one commit a second\n");
     println!(
         "| tail in the head | starts/s | puts/s | deletes/s | KB/s | writers' puts+deletes/s |"
     );
     println!("| --- | --- | --- | --- | --- | --- |");
-    // 130,000 jobs a day over 56 writers.
+    // 130,000 jobs per day over 56 writers.
     let ordinary = Load { rate: 130_000.0 / 86_400.0 / WRITERS, seconds: 3_600, ..Load::PEAK };
     for load in [Load::PEAK, ordinary] {
         for tail_bytes in [0, 1 << 10, 2 << 10, 4 << 10, 16 << 10] {
@@ -277,7 +286,7 @@
     println!();
 }
 
-fn pace() {
+fn compare_commit_rates() {
     println!("## How often to commit, at the peak\n");
     println!("| commits/s | tail in the head | KB/s a writer | writers' puts+deletes/s |");
     println!("| --- | --- | --- | --- |");
@@ -295,7 +304,7 @@
     println!();
 }
 
-fn slopes() {
+fn measure_scaling() {
     println!("## Slopes: one writer, 1 commit a second\n");
     println!(
         "| starts/s | running | puts/s | KB/s | µs a record | page bytes a task | largest put |"
@@ -346,7 +355,7 @@
     covariance / variance
 }
 
-fn recovery() {
+fn measure_recovery() {
     println!("## Recovery of a partition, log full just before a compaction\n");
     println!("| tasks running | calls | KB read | ms of processor (median of 9) |");
     println!("| --- | --- | --- | --- |");
@@ -381,15 +390,15 @@
     println!("\n{:.2} µs of processor a task (least squares)", slope(&points));
 }
 
-/// Bytes of memory that this process has in use.
-fn resident() -> f64 {
+/// Resident memory of this process, in bytes.
+fn resident_bytes() -> f64 {
     const PAGE_BYTES: f64 = 4096.0;
-    let statm = std::fs::read_to_string("/proc/self/statm").expect("the process's figures");
+    let statm = std::fs::read_to_string("/proc/self/statm").expect("statm can be read");
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
     pages.expect("a number of pages") * PAGE_BYTES
 }
 
-fn memory() {
+fn measure_memory() {
     println!("## Memory of a writer's partition\n");
     println!("| tasks running | KB resident for a partition (mean of 8) |");
     println!("| --- | --- |");
@@ -403,9 +412,9 @@
             block_on(partition.commit(&store, &records)).expect("the store works");
         }
         block_on(partition.compact(&store)).expect("the store works");
-        let before = resident();
+        let before = resident_bytes();
         let partitions: Vec<_> = (0..8).map(|_| loaded(&store, Limits::default())).collect();
-        let bytes = (resident() - before) / partitions.len() as f64;
+        let bytes = (resident_bytes() - before) / partitions.len() as f64;
         println!("| {running} | {:.0} |", bytes / 1000.0);
         points.push(Point { x: running as f64, y: bytes });
     }
@@ -413,10 +422,10 @@
 }
 
 fn main() {
-    memory();
-    forms_of_records();
-    ways_to_commit();
-    pace();
-    slopes();
-    recovery();
+    measure_memory();
+    compare_encodings();
+    compare_tail_sizes();
+    compare_commit_rates();
+    measure_scaling();
+    measure_recovery();
 }
