--- a/src/tasklog.rs
+++ b/src/tasklog.rs
@@ -51,11 +51,11 @@
     )]
     Unsettled { partition: PartitionId, reason: String },
     #[error("a record of {task} was given to partition {partition}; give it to its own")]
-    Foreign { partition: PartitionId, task: TaskId },
+    WrongPartition { partition: PartitionId, task: TaskId },
     /// The idempotency key belongs to another task. None of the records took effect, and none will
     /// later.
     #[error("the key `{key}` names {task} already; show that task, or submit with another key")]
-    Repeated { key: IdempotencyKey, task: TaskId },
+    DuplicateKey { key: IdempotencyKey, task: TaskId },
     #[error("the store can't be read ({reason}); load partition {partition} again later")]
     Unreadable { partition: PartitionId, reason: String },
     #[error("`{key}` can't be read: {source}")]
@@ -216,7 +216,7 @@
 
     fn check_own(&self, records: &[Record]) -> Result<()> {
         match records.iter().find(|record| record.task.partition != self.id) {
-            Some(record) => Err(Error::Foreign { partition: self.id, task: record.task }),
+            Some(record) => Err(Error::WrongPartition { partition: self.id, task: record.task }),
             None => Ok(()),
         }
     }
@@ -228,7 +228,7 @@
         for record in records {
             let Change::Accepted { key, .. } = &record.change else { continue };
             if let Some(task) = self.find_key(key).filter(|task| *task != record.task) {
-                return Err(Error::Repeated { key: key.clone(), task });
+                return Err(Error::DuplicateKey { key: key.clone(), task });
             }
         }
         Ok(())
--- a/tests/tasklog_log.rs
+++ b/tests/tasklog_log.rs
@@ -123,7 +123,7 @@
     let Change::Accepted { key, .. } = &mut again.change else { unreachable!() };
     *key = tasks::key(1);
     let task = TaskId::new(PartitionId(3), 1);
-    let repeated = Error::Repeated { key: tasks::key(1), task };
+    let repeated = Error::DuplicateKey { key: tasks::key(1), task };
     assert_eq!(block_on(next.commit(&store, &[accepted(6), again])), Err(repeated));
     assert_eq!(load(&store, "c").next_number, 5, "nothing of the batch was written");
 }
@@ -259,7 +259,10 @@
     let mut foreign = accepted(1);
     foreign.task.partition = PartitionId(4);
     let result = block_on(partition.commit(&store, &[foreign.clone()]));
-    assert_eq!(result, Err(Error::Foreign { partition: PartitionId(3), task: foreign.task }));
+    assert_eq!(
+        result,
+        Err(Error::WrongPartition { partition: PartitionId(3), task: foreign.task })
+    );
 }
 
 #[test]
