--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::core::policy::interference::{Band, Interference, Learning};
-use waxwingstall::core::policy::{Candidate, Choice, Policy, Rank, Relief, Resident};
+use waxwingstall::core::policy::{Candidate, Choice, Policy, Rank, ReliefStep, Resident};
 use waxwingstall::ids::{ClassName, VmId};
 use waxwingstall::model::Config;
 use waxwingstall::peer::{VmHealth, VmView};
@@ -29,7 +29,7 @@
 
     fn ended(&mut self, _vm: &VmId, _class: &ClassName, _outcome: &Outcome, _now: Duration) {}
 
-    fn relieve(&mut self, _vm: &VmId, _residents: &[Resident], _now: Duration) -> Vec<Relief> {
+    fn relieve(&mut self, _vm: &VmId, _residents: &[Resident], _now: Duration) -> Vec<ReliefStep> {
         Vec::new()
     }
 
@@ -38,7 +38,7 @@
         _candidate: &Candidate,
         _residents: &IndexMap<VmId, Vec<Resident>>,
         _now: Duration,
-    ) -> Option<Relief> {
+    ) -> Option<ReliefStep> {
         None
     }
 
@@ -196,7 +196,7 @@
         }
     }
 
-    fn relieve(&mut self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Relief> {
+    fn relieve(&mut self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<ReliefStep> {
         if self.disabled == Disabled::Relief {
             return Vec::new();
         }
@@ -209,7 +209,7 @@
         candidate: &Candidate,
         residents: &IndexMap<VmId, Vec<Resident>>,
         now: Duration,
-    ) -> Option<Relief> {
+    ) -> Option<ReliefStep> {
         let decision = self.writer(candidate).make_room(candidate, residents, now);
         decision.map(|decision| decision.choice)
     }
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, Relief, Resident};
+use waxwingstall::core::policy::{Candidate, Choice, ReliefStep, Resident};
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{Resumption, Urgency};
 use waxwingstall::peer::{ClassCount, VmHealth, VmView};
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -100,20 +100,20 @@
         }
     }
 
-    pub(super) fn apply(&mut self, relief: &Relief, now: u64) {
+    pub(super) fn apply(&mut self, relief: &ReliefStep, now: u64) {
         match relief {
-            Relief::Throttle { vm, task, share } => {
+            ReliefStep::Throttle { vm, task, share } => {
                 self.out.throttles += u64::from(*share < 1.0);
                 if let Some(running) = self.task_mut(vm, task) {
                     running.share = *share;
                 }
             }
-            Relief::Health { vm, health } => {
+            ReliefStep::Health { vm, health } => {
                 let index = self.index[vm];
                 self.vms[index].health = *health;
                 self.update_view(index);
             }
-            Relief::Evict { vm, task, .. } => {
+            ReliefStep::Evict { vm, task, .. } => {
                 self.out.evictions += 1;
                 let never = self.jobs[task.number as usize].spec.resumption == Resumption::Never;
                 self.out.violations += u64::from(never);
--- a/src/core/holder/relief.rs
+++ b/src/core/holder/relief.rs
@@ -8,7 +8,7 @@
 use super::{Holder, VmStep};
 use crate::core::context::Context;
 use crate::core::event::Action;
-use crate::core::policy::{Decision, Relief, Resident, Subject};
+use crate::core::policy::{Decision, ReliefStep, Resident, Subject};
 use crate::ids::{CheckpointId, TaskId, VmId};
 use crate::model::{Idempotency, Resumption, Urgency};
 use crate::peer::CloseReason;
@@ -38,17 +38,17 @@
     }
 
     /// Applies a mitigation that the policy decided on.
-    pub fn apply_relief(&mut self, cx: &mut Context, decision: Decision<Relief>) {
+    pub fn apply_relief(&mut self, cx: &mut Context, decision: Decision<ReliefStep>) {
         cx.act(Action::Explain(decision.record));
         match decision.choice {
-            Relief::Throttle { vm, task, share } => self.throttle(cx, &vm, task, share),
-            Relief::Health { vm, health } => {
+            ReliefStep::Throttle { vm, task, share } => self.throttle(cx, &vm, task, share),
+            ReliefStep::Health { vm, health } => {
                 if let Some(held) = self.vms.get_mut(&vm) {
                     held.health = health;
                     self.views_changed = true;
                 }
             }
-            Relief::Evict { vm, task, attempt } => {
+            ReliefStep::Evict { vm, task, attempt } => {
                 self.evict(cx, &vm, TaskAttempt { task, attempt }, CloseReason::Evicted);
             }
         }
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -119,7 +119,7 @@
 /// A step that relieves a slowed service or makes room for an urgent task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Relief {
+pub enum ReliefStep {
     /// Throttles a task to a share of its processors; 1 lifts the throttle.
     Throttle { vm: VmId, task: TaskId, share: f64 },
     /// Changes the VM's health, which determines whether it accepts new work.
@@ -311,7 +311,7 @@
         vm: &VmId,
         residents: &[Resident],
         now: Duration,
-    ) -> Vec<Decision<Relief>> {
+    ) -> Vec<Decision<ReliefStep>> {
         self.advance_clock(now);
         self.relief_steps(vm, residents, now)
     }
@@ -322,7 +322,7 @@
         candidate: &Candidate,
         residents: &IndexMap<VmId, Vec<Resident>>,
         now: Duration,
-    ) -> Option<Decision<Relief>> {
+    ) -> Option<Decision<ReliefStep>> {
         self.advance_clock(now);
         self.eviction_for(candidate, residents, now)
     }
--- a/src/core/policy/explain.rs
+++ b/src/core/policy/explain.rs
@@ -1,7 +1,7 @@
 //! Decision records: building them, rendering them as text, and replaying them.
 
 use super::decide::{self, Inputs, Offer, PPM};
-use super::{Candidate, Choice, DecisionRecord, Relief, Subject, health, ladder, room};
+use super::{Candidate, Choice, DecisionRecord, ReliefStep, Subject, health, ladder, room};
 use crate::model::Config;
 use crate::peer::VmHealth;
 use indexmap::IndexMap;
@@ -39,7 +39,7 @@
 pub enum Replayed {
     Choice(Choice),
     /// A relief step, or none.
-    Relief(Option<Relief>),
+    Relief(Option<ReliefStep>),
 }
 
 /// Repeats a decision from its record alone.
@@ -55,14 +55,14 @@
 
 /// Builds the record of a relief step.
 pub(super) fn relief_record(
-    relief: &Relief,
+    relief: &ReliefStep,
     recorded: &RecordedInputs,
     config: &Config,
     now: Duration,
 ) -> DecisionRecord {
     let subject = match relief {
-        Relief::Throttle { task, .. } | Relief::Evict { task, .. } => Subject::Task(*task),
-        Relief::Health { vm, .. } => Subject::Vm(vm.clone()),
+        ReliefStep::Throttle { task, .. } | ReliefStep::Evict { task, .. } => Subject::Task(*task),
+        ReliefStep::Health { vm, .. } => Subject::Vm(vm.clone()),
     };
     let mut inputs = IndexMap::new();
     match recorded {
@@ -84,29 +84,29 @@
     }
 }
 
-fn relief_verdict(relief: &Relief, recorded: &RecordedInputs) -> String {
+fn relief_verdict(relief: &ReliefStep, recorded: &RecordedInputs) -> String {
     match (relief, recorded) {
-        (Relief::Evict { vm, .. }, RecordedInputs::Room(room)) => {
+        (ReliefStep::Evict { vm, .. }, RecordedInputs::Room(room)) => {
             format!("evicted from {vm} to make room for urgent task {}", room.task)
         }
-        (Relief::Evict { vm, .. }, _) => format!(
+        (ReliefStep::Evict { vm, .. }, _) => format!(
             "evicted from {vm}: throttling and avoiding did not help the services there enough"
         ),
-        (Relief::Throttle { vm, share, .. }, _) if *share >= 1.0 => {
+        (ReliefStep::Throttle { vm, share, .. }, _) if *share >= 1.0 => {
             format!(
                 "no longer throttled on {vm}: the services there have been well for long enough"
             )
         }
-        (Relief::Throttle { vm, share, .. }, _) => {
+        (ReliefStep::Throttle { vm, share, .. }, _) => {
             format!("throttled on {vm} to {:.0}% of its processors", share * 100.0)
         }
-        (Relief::Health { health: VmHealth::Quarantined, .. }, _) => {
+        (ReliefStep::Health { health: VmHealth::Quarantined, .. }, _) => {
             "quarantined: it fails tasks of classes that work elsewhere; probes only".to_owned()
         }
-        (Relief::Health { health: VmHealth::Avoided, .. }, _) => {
+        (ReliefStep::Health { health: VmHealth::Avoided, .. }, _) => {
             "avoided: nothing new is placed there while a service suffers".to_owned()
         }
-        (Relief::Health { .. }, _) => "open for new work again".to_owned(),
+        (ReliefStep::Health { .. }, _) => "open for new work again".to_owned(),
     }
 }
 
--- a/src/core/policy/health.rs
+++ b/src/core/policy/health.rs
@@ -1,6 +1,6 @@
 //! Decides whether a VM accepts new work, from its failures and its escalation level.
 
-use super::Relief;
+use super::ReliefStep;
 use super::ladder::{self, EscalationLevel};
 use crate::ids::VmId;
 use crate::peer::VmHealth;
@@ -24,10 +24,10 @@
 
 impl Inputs {
     /// Returns the change of health that the inputs call for, if any.
-    pub fn decide(&self) -> Option<Relief> {
+    pub fn decide(&self) -> Option<ReliefStep> {
         let health = self.health();
         let due = self.present != VmHealth::Leaving && self.present != health;
-        due.then(|| Relief::Health { vm: self.vm.clone(), health })
+        due.then(|| ReliefStep::Health { vm: self.vm.clone(), health })
     }
 
     fn health(&self) -> VmHealth {
--- a/src/core/policy/ladder.rs
+++ b/src/core/policy/ladder.rs
@@ -4,7 +4,7 @@
 //! measurement would cause two steps. De-escalation requires a longer calm period, and each relapse
 //! doubles the calm period that the next de-escalation requires.
 
-use super::Relief;
+use super::ReliefStep;
 use super::decide::{NormalizedWeights, PPM};
 use crate::ids::{Attempt, ClassName, TaskId, VmId};
 use crate::peer::VmHealth;
@@ -115,7 +115,7 @@
 
 impl Inputs {
     /// Returns the step that the inputs call for, if any.
-    pub fn decide(&self) -> Option<Relief> {
+    pub fn decide(&self) -> Option<ReliefStep> {
         if self.age > SILENCE_TIMEOUT && self.since_step > SILENCE_TIMEOUT {
             return self.de_escalate();
         }
@@ -134,7 +134,7 @@
         None
     }
 
-    fn escalate(&self) -> Option<Relief> {
+    fn escalate(&self) -> Option<ReliefStep> {
         let harm: i64 = self.culprits.iter().map(|aggressor| aggressor.harm).sum();
         if harm < self.excess / MIN_BATCH_DIVISOR {
             return None;
@@ -146,7 +146,7 @@
         }
     }
 
-    fn throttle(&self) -> Option<Relief> {
+    fn throttle(&self) -> Option<ReliefStep> {
         let least = to_ppm(MIN_SHARE);
         let throttleable = |aggressor: &&Aggressor| {
             aggressor.share > least && aggressor.harm >= self.excess / MIN_HARM_DIVISOR
@@ -154,22 +154,22 @@
         let worst =
             self.culprits.iter().filter(throttleable).max_by_key(|aggressor| aggressor.harm)?;
         let share = (worst.share as f64 / PPM * THROTTLE_FACTOR).max(MIN_SHARE);
-        Some(Relief::Throttle { vm: self.vm.clone(), task: worst.task, share })
+        Some(ReliefStep::Throttle { vm: self.vm.clone(), task: worst.task, share })
     }
 
-    fn avoid(&self) -> Option<Relief> {
-        Some(Relief::Health { vm: self.vm.clone(), health: VmHealth::Avoided })
+    fn avoid(&self) -> Option<ReliefStep> {
+        Some(ReliefStep::Health { vm: self.vm.clone(), health: VmHealth::Avoided })
     }
 
     /// Evicts the task with the highest net gain, if the weights make any eviction worthwhile.
-    fn evict(&self) -> Option<Relief> {
+    fn evict(&self) -> Option<ReliefStep> {
         if self.budget < to_ppm(1.0) {
             return None;
         }
         let worthwhile = |aggressor: &&Aggressor| self.gain(aggressor) > 0;
         let best =
             self.culprits.iter().filter(worthwhile).max_by_key(|aggressor| self.gain(aggressor))?;
-        Some(Relief::Evict { vm: self.vm.clone(), task: best.task, attempt: best.attempt })
+        Some(ReliefStep::Evict { vm: self.vm.clone(), task: best.task, attempt: best.attempt })
     }
 
     fn gain(&self, aggressor: &Aggressor) -> i64 {
@@ -177,7 +177,7 @@
         self.shares.tail * aggressor.harm * RELIEF_WEIGHT - self.shares.evictions * loss
     }
 
-    fn de_escalate(&self) -> Option<Relief> {
+    fn de_escalate(&self) -> Option<ReliefStep> {
         let whole = to_ppm(1.0);
         let limit = (self.trigger as f64 * RESTORE_RATIO) as i64;
         let throttled = self.culprits.iter().filter(|aggressor| aggressor.share < whole);
@@ -193,10 +193,10 @@
             let safe = silent || long_calm || self.excess + rise(least) < limit;
             let share = (least.share as f64 / PPM / THROTTLE_FACTOR).min(1.0);
             let task = least.task;
-            return safe.then(|| Relief::Throttle { vm: self.vm.clone(), task, share });
+            return safe.then(|| ReliefStep::Throttle { vm: self.vm.clone(), task, share });
         }
         let opens = self.rung != EscalationLevel::Calm;
-        opens.then(|| Relief::Health { vm: self.vm.clone(), health: VmHealth::Open })
+        opens.then(|| ReliefStep::Health { vm: self.vm.clone(), health: VmHealth::Open })
     }
 }
 
@@ -341,24 +341,24 @@
     }
 
     /// Records a step that was decided.
-    pub fn record_step(&mut self, relief: &Relief, inputs: &Inputs, now: Duration) {
-        if matches!(relief, Relief::Health { .. }) {
+    pub fn record_step(&mut self, relief: &ReliefStep, inputs: &Inputs, now: Duration) {
+        if matches!(relief, ReliefStep::Health { .. }) {
             self.last_health_step = Some(Box::new(inputs.clone()));
         }
         let de_escalated = self.is_de_escalation(relief);
         match relief {
-            Relief::Throttle { task, share, .. } if *share >= 1.0 => {
+            ReliefStep::Throttle { task, share, .. } if *share >= 1.0 => {
                 self.throttled.shift_remove(task);
             }
-            Relief::Throttle { task, share, .. } => {
+            ReliefStep::Throttle { task, share, .. } => {
                 self.throttled.insert(*task, *share);
                 self.rung = self.rung.max(EscalationLevel::Throttled);
             }
-            Relief::Health { health: VmHealth::Avoided, .. } => {
+            ReliefStep::Health { health: VmHealth::Avoided, .. } => {
                 self.rung = EscalationLevel::Avoided
             }
-            Relief::Health { .. } => self.rung = EscalationLevel::Calm,
-            Relief::Evict { task, .. } => {
+            ReliefStep::Health { .. } => self.rung = EscalationLevel::Calm,
+            ReliefStep::Evict { task, .. } => {
                 self.throttled.shift_remove(task);
             }
         }
@@ -371,11 +371,11 @@
         self.calm_since = None;
     }
 
-    fn is_de_escalation(&self, relief: &Relief) -> bool {
+    fn is_de_escalation(&self, relief: &ReliefStep) -> bool {
         match relief {
-            Relief::Throttle { task, share, .. } => *share > self.share(task),
-            Relief::Health { health, .. } => *health == VmHealth::Open,
-            Relief::Evict { .. } => false,
+            ReliefStep::Throttle { task, share, .. } => *share > self.share(task),
+            ReliefStep::Health { health, .. } => *health == VmHealth::Open,
+            ReliefStep::Evict { .. } => false,
         }
     }
 
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -7,7 +7,7 @@
 use super::ladder::{self, Aggressor, EscalationLevel, Ladder, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
 use super::score::without_self;
-use super::{Candidate, Decision, Policy, Relief, Resident, eviction, health};
+use super::{Candidate, Decision, Policy, ReliefStep, Resident, eviction, health};
 use crate::ids::{ClassName, VmId};
 use crate::model::Urgency;
 use crate::peer::VmHealth;
@@ -34,14 +34,14 @@
         vm: &VmId,
         residents: &[Resident],
         now: Duration,
-    ) -> Vec<Decision<Relief>> {
+    ) -> Vec<Decision<ReliefStep>> {
         self.blame.end_if_overdue(vm, now);
         let mut steps = Vec::new();
         if let Some(inputs) = self.ladder_inputs(vm, residents, now)
             && let Some(relief) = inputs.decide()
         {
             self.record_step(vm, &relief, &inputs, now);
-            if !matches!(relief, Relief::Health { .. }) {
+            if !matches!(relief, ReliefStep::Health { .. }) {
                 steps.push(self.decision(relief, &RecordedInputs::Ladder(inputs), now));
             }
         }
@@ -51,19 +51,25 @@
 
     fn decision(
         &self,
-        relief: Relief,
+        relief: ReliefStep,
         recorded: &RecordedInputs,
         now: Duration,
-    ) -> Decision<Relief> {
+    ) -> Decision<ReliefStep> {
         let record = explain::relief_record(&relief, recorded, &self.config, now);
         Decision { choice: relief, record }
     }
 
-    fn record_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
+    fn record_step(
+        &mut self,
+        vm: &VmId,
+        relief: &ReliefStep,
+        inputs: &ladder::Inputs,
+        now: Duration,
+    ) {
         if let Some(ladder) = self.ladders.get_mut(vm) {
             ladder.record_step(relief, inputs, now);
         }
-        if let Relief::Evict { .. } = relief {
+        if let ReliefStep::Evict { .. } = relief {
             self.budget.spend();
         }
     }
@@ -147,13 +153,13 @@
         services.map(|service| self.model.effect(service, class, band)).fold(0.0, f64::max)
     }
 
-    fn health_step(&mut self, vm: &VmId, now: Duration) -> Option<Decision<Relief>> {
+    fn health_step(&mut self, vm: &VmId, now: Duration) -> Option<Decision<ReliefStep>> {
         let inputs = self.health_inputs(vm, now)?;
         let Some(relief) = inputs.decide() else {
             self.health_requests.swap_remove(vm);
             return None;
         };
-        let Relief::Health { health, .. } = relief else { return None };
+        let ReliefStep::Health { health, .. } = relief else { return None };
         let last = self.health_requests.get(vm);
         if last.is_some_and(|last| last.health == health && now < last.at + HEALTH_RETRY_INTERVAL) {
             return None;
@@ -181,7 +187,7 @@
         candidate: &Candidate,
         residents: &IndexMap<VmId, Vec<Resident>>,
         now: Duration,
-    ) -> Option<Decision<Relief>> {
+    ) -> Option<Decision<ReliefStep>> {
         if candidate.spec.urgency != Urgency::Urgent {
             return None;
         }
--- a/src/core/policy/room.rs
+++ b/src/core/policy/room.rs
@@ -4,7 +4,7 @@
 //! is complete or expires. Evicted tasks still occupy their resources while they are checkpointed,
 //! and a second plan made in the meantime would evict twice as many tasks.
 
-use super::{Relief, Resident, eviction};
+use super::{ReliefStep, Resident, eviction};
 use crate::ids::{Attempt, TaskId, VmId};
 use crate::model::Urgency;
 use crate::units::Resources;
@@ -59,11 +59,11 @@
 
 impl Inputs {
     /// Returns the first eviction of the cheapest plan. Ties go to the first VM by id.
-    pub fn decide(&self) -> Option<Relief> {
+    pub fn decide(&self) -> Option<ReliefStep> {
         let plan = self.best()?;
         let victim = plan.victims.first()?;
         let (task, attempt) = (victim.task, victim.attempt);
-        Some(Relief::Evict { vm: plan.vm.clone(), task, attempt })
+        Some(ReliefStep::Evict { vm: plan.vm.clone(), task, attempt })
     }
 
     pub fn best(&self) -> Option<&Plan> {
--- a/src/core/policy/tests.rs
+++ b/src/core/policy/tests.rs
@@ -139,9 +139,9 @@
 }
 
 /// Applies changes of health to the views, as the core does.
-pub fn apply_health(policy: &mut Policy, steps: &[Decision<Relief>]) {
+pub fn apply_health(policy: &mut Policy, steps: &[Decision<ReliefStep>]) {
     for step in steps {
-        if let Relief::Health { vm, health } = &step.choice {
+        if let ReliefStep::Health { vm, health } = &step.choice {
             let mut view = policy.fleet.get(vm).expect("the VM is known").view.clone();
             view.health = *health;
             policy.upsert_vm(view);
@@ -149,7 +149,7 @@
     }
 }
 
-pub fn assert_replays(decision: &Decision<Relief>) {
+pub fn assert_replays(decision: &Decision<ReliefStep>) {
     let text = serde_json::to_string(&decision.record).expect("a record can be written");
     let record = serde_json::from_str(&text).expect("a record can be read");
     let replayed = explain::replay(&record).expect("it can be replayed");
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -6,7 +6,7 @@
     Outcome::Failed { reason: "exit 1".to_owned() }
 }
 
-fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decision<Relief>> {
+fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decision<ReliefStep>> {
     let steps = policy.relieve(&vm(index), &[], now);
     apply_health(policy, &steps);
     steps
@@ -72,7 +72,7 @@
         policy.ended(&vm(0), &wash, &failed(), secs(2 + number));
     }
     let steps = relieve(&mut policy, 0, secs(10));
-    let quarantined = Relief::Health { vm: vm(0), health: VmHealth::Quarantined };
+    let quarantined = ReliefStep::Health { vm: vm(0), health: VmHealth::Quarantined };
     assert_eq!(steps[0].choice, quarantined);
     let too_early = policy.choose(&candidate(&config, "wash", 1), secs(11)).choice;
     assert!(matches!(too_early, Choice::Wait { .. }), "{too_early:?}");
@@ -85,7 +85,7 @@
         policy.ended(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
     }
     let steps = relieve(&mut policy, 0, secs(300));
-    assert_eq!(steps[0].choice, Relief::Health { vm: vm(0), health: VmHealth::Open });
+    assert_eq!(steps[0].choice, ReliefStep::Health { vm: vm(0), health: VmHealth::Open });
 }
 
 #[test]
--- a/src/core/policy/tests/relief.rs
+++ b/src/core/policy/tests/relief.rs
@@ -8,7 +8,7 @@
     residents: &mut Vec<Resident>,
     slowdown: impl Fn(&Policy, Duration) -> f64,
     until: u64,
-) -> Vec<(u64, Relief)> {
+) -> Vec<(u64, ReliefStep)> {
     let lag = secs(6);
     let mut steps = Vec::new();
     for now in 1..=until {
@@ -24,7 +24,7 @@
         apply_health(policy, &decision);
         for step in decision {
             assert_replays(&step);
-            if let Relief::Evict { task, .. } = &step.choice {
+            if let ReliefStep::Evict { task, .. } = &step.choice {
                 residents.retain(|resident| resident.task != *task);
             }
             steps.push((now, step.choice));
@@ -48,10 +48,10 @@
     let kinds: Vec<_> = steps
         .iter()
         .map(|(_, step)| match step {
-            Relief::Throttle { .. } => "throttle",
-            Relief::Health { health: VmHealth::Avoided, .. } => "avoid",
-            Relief::Health { .. } => "open",
-            Relief::Evict { .. } => "evict",
+            ReliefStep::Throttle { .. } => "throttle",
+            ReliefStep::Health { health: VmHealth::Avoided, .. } => "avoid",
+            ReliefStep::Health { .. } => "open",
+            ReliefStep::Evict { .. } => "evict",
         })
         .collect();
     assert_eq!(kinds[..4], ["throttle", "avoid", "throttle", "evict"], "{steps:?}");
@@ -79,8 +79,8 @@
         run_ladder(&mut policy, &mut residents, |_, at| if at < secs(5) { 1.6 } else { 1.05 }, 400);
     assert_eq!(steps.len(), 2, "{steps:?}");
     let (throttled, restored) = (&steps[0], &steps[1]);
-    assert!(matches!(throttled.1, Relief::Throttle { share, .. } if share == 0.5));
-    assert!(matches!(restored.1, Relief::Throttle { share, .. } if share == 1.0));
+    assert!(matches!(throttled.1, ReliefStep::Throttle { share, .. } if share == 0.5));
+    assert!(matches!(restored.1, ReliefStep::Throttle { share, .. } if share == 1.0));
     assert!(restored.0 > throttled.0 + 30, "{steps:?}");
 }
 
@@ -94,7 +94,8 @@
         resident.checkpoint_at = Some(secs(600));
     }
     let steps = run_ladder(&mut policy, &mut residents, |_, _| 4.0, 600);
-    let evictions = steps.iter().filter(|(_, step)| matches!(step, Relief::Evict { .. })).count();
+    let evictions =
+        steps.iter().filter(|(_, step)| matches!(step, ReliefStep::Evict { .. })).count();
     // The budget allows three at once, and one per minute with equal weights.
     assert!((4..=13).contains(&evictions), "{evictions}: {steps:?}");
 }
@@ -107,7 +108,7 @@
     unresumable.spec.resumption = Resumption::Never;
     let mut residents = vec![unresumable.clone()];
     let steps = run_ladder(&mut policy, &mut residents, |_, _| 4.0, 300);
-    assert!(!steps.iter().any(|(_, step)| matches!(step, Relief::Evict { .. })), "{steps:?}");
+    assert!(!steps.iter().any(|(_, step)| matches!(step, ReliefStep::Evict { .. })), "{steps:?}");
     let mut urgent = candidate(&config, "build", 9);
     urgent.spec.urgency = Urgency::Urgent;
     urgent.spec.resources = Resources::new(32_000, 60_000, 0);
@@ -122,7 +123,7 @@
         let mut residents: Vec<_> =
             (1..=4).map(|number| resident(&config, "build", number, secs(0))).collect();
         let steps = run_ladder(&mut policy, &mut residents, |_, _| 2.0, 600);
-        steps.iter().filter(|(_, step)| matches!(step, Relief::Evict { .. })).count()
+        steps.iter().filter(|(_, step)| matches!(step, ReliefStep::Evict { .. })).count()
     };
     let (tail_weighted, evictions_weighted) =
         (count(config_with_weights(5.0, 1.0)), count(config_with_weights(1.0, 5.0)));
@@ -148,7 +149,7 @@
     urgent.spec.urgency = Urgency::Urgent;
     let decision = policy.make_room(&urgent, &residents, secs(1000)).expect("room can be made");
     assert_replays(&decision);
-    let Relief::Evict { vm: from, task, .. } = &decision.choice else { panic!("{decision:?}") };
+    let ReliefStep::Evict { vm: from, task, .. } = &decision.choice else { panic!("{decision:?}") };
     assert_eq!((from, task.number), (&vm(0), 4));
     assert_eq!(policy.make_room(&urgent, &residents, secs(1001)), None);
 }
@@ -195,14 +196,14 @@
     let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 2)]);
     let mut residents = vec![resident(&config, "build", 1, secs(0))];
     let steps = run_ladder(&mut policy, &mut residents, |_, _| 1.6, 5);
-    assert!(matches!(steps[0].1, Relief::Throttle { .. }), "{steps:?}");
+    assert!(matches!(steps[0].1, ReliefStep::Throttle { .. }), "{steps:?}");
     policy.remove_vm(&vm(0));
     policy.upsert_vm(with_tasks(view(0), "shop", 2));
     for now in 20..200 {
         let tenants = vec![tenant("shop", 1000, 1.0), tenant("build", 1, 1.0)];
         policy.observe(&vm(0), &report(100 + now, secs(1), 0.7, tenants), secs(now));
         let steps = policy.relieve(&vm(0), &residents, secs(now));
-        if let [Decision { choice: Relief::Throttle { share, .. }, .. }] = &steps[..] {
+        if let [Decision { choice: ReliefStep::Throttle { share, .. }, .. }] = &steps[..] {
             assert!(*share > 0.9, "{share}");
             return;
         }
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -6,7 +6,9 @@
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, Decision, Policy, Relief, Resident, explain};
+use waxwingstall::core::policy::{
+    Candidate, Choice, Decision, Policy, ReliefStep, Resident, explain,
+};
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{
     BatchClass, Config, Idempotency, Pool, Resumption, Service, Team, Urgency, Weights,
@@ -262,13 +264,13 @@
         if words.is_empty() { "nothing".to_owned() } else { words.join(", ") }
     }
 
-    fn apply_relief(&mut self, step: &Decision<Relief>) -> String {
+    fn apply_relief(&mut self, step: &Decision<ReliefStep>) -> String {
         let replayed = explain::replay(&step.record).expect("the record can be replayed");
         assert_eq!(replayed, explain::Replayed::Relief(Some(step.choice.clone())));
         match &step.choice {
-            Relief::Throttle { share, .. } => format!("throttle {share}"),
-            Relief::Evict { task, .. } => format!("evict {task}"),
-            Relief::Health { vm: id, health } => {
+            ReliefStep::Throttle { share, .. } => format!("throttle {share}"),
+            ReliefStep::Evict { task, .. } => format!("evict {task}"),
+            ReliefStep::Health { vm: id, health } => {
                 let index = (0..self.health.len()).find(|index| vm(*index) == *id);
                 let index = index.expect("a known VM");
                 self.health[index] = *health;
