--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::core::policy::interference::{Band, Interference, Learning};
-use waxwingstall::core::policy::{Candidate, Choice, Policy, Rank, ReliefStep, Resident};
+use waxwingstall::core::policy::{Candidate, Choice, Policy, Rank, ReliefStep, RunningTask};
 use waxwingstall::ids::{ClassName, VmId};
 use waxwingstall::model::Config;
 use waxwingstall::peer::{VmHealth, VmView};
@@ -29,14 +29,19 @@
 
     fn ended(&mut self, _vm: &VmId, _class: &ClassName, _outcome: &Outcome, _now: Duration) {}
 
-    fn relieve(&mut self, _vm: &VmId, _residents: &[Resident], _now: Duration) -> Vec<ReliefStep> {
+    fn relieve(
+        &mut self,
+        _vm: &VmId,
+        _running_tasks: &[RunningTask],
+        _now: Duration,
+    ) -> Vec<ReliefStep> {
         Vec::new()
     }
 
     fn make_room(
         &mut self,
         _candidate: &Candidate,
-        _residents: &IndexMap<VmId, Vec<Resident>>,
+        _running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         _now: Duration,
     ) -> Option<ReliefStep> {
         None
@@ -196,21 +201,26 @@
         }
     }
 
-    fn relieve(&mut self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<ReliefStep> {
+    fn relieve(
+        &mut self,
+        vm: &VmId,
+        running_tasks: &[RunningTask],
+        now: Duration,
+    ) -> Vec<ReliefStep> {
         if self.disabled == Disabled::Relief {
             return Vec::new();
         }
-        let steps = self.holder(vm).relieve(vm, residents, now);
+        let steps = self.holder(vm).relieve(vm, running_tasks, now);
         steps.into_iter().map(|step| step.choice).collect()
     }
 
     fn make_room(
         &mut self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
     ) -> Option<ReliefStep> {
-        let decision = self.writer(candidate).make_room(candidate, residents, now);
+        let decision = self.writer(candidate).make_room(candidate, running_tasks, now);
         decision.map(|decision| decision.choice)
     }
 
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, ReliefStep, Resident};
+use waxwingstall::core::policy::{Candidate, Choice, ReliefStep, RunningTask};
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{Resumption, Urgency};
 use waxwingstall::peer::{ClassCount, VmHealth, VmView};
@@ -361,10 +361,10 @@
         if candidate.spec.urgency != Urgency::Urgent {
             return;
         }
-        let residents = (0..self.vms.len())
-            .map(|index| (self.vms[index].id.clone(), self.residents(index)))
+        let running_tasks = (0..self.vms.len())
+            .map(|index| (self.vms[index].id.clone(), self.running_tasks(index)))
             .collect();
-        let relief = self.policy.make_room(candidate, &residents, Duration::from_secs(now));
+        let relief = self.policy.make_room(candidate, &running_tasks, Duration::from_secs(now));
         if let Some(relief) = relief {
             self.apply(&relief, now);
         }
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -68,14 +68,14 @@
         }
     }
 
-    pub(super) fn residents(&self, index: usize) -> Vec<Resident> {
+    pub(super) fn running_tasks(&self, index: usize) -> Vec<RunningTask> {
         let running = self.vms[index].tasks.iter().filter(|task| task.closing.is_none());
         running
             .map(|task| {
                 let job = &self.jobs[task.job];
                 let resumable = Scenario::resumable(job);
                 let saved_at = Duration::from_secs(task.saved_at);
-                Resident {
+                RunningTask {
                     task: job.id,
                     attempt: task.attempt,
                     spec: job.spec.clone(),
@@ -92,9 +92,9 @@
             if !self.vms[index].up || !(now + index as u64).is_multiple_of(RELIEVE_EVERY) {
                 continue;
             }
-            let residents = self.residents(index);
+            let running_tasks = self.running_tasks(index);
             let vm = self.vms[index].id.clone();
-            for relief in self.policy.relieve(&vm, &residents, Duration::from_secs(now)) {
+            for relief in self.policy.relieve(&vm, &running_tasks, Duration::from_secs(now)) {
                 self.apply(&relief, now);
             }
         }
--- a/src/core/holder/relief.rs
+++ b/src/core/holder/relief.rs
@@ -8,7 +8,7 @@
 use super::{Holder, VmStep};
 use crate::core::context::Context;
 use crate::core::event::Action;
-use crate::core::policy::{Decision, ReliefStep, Resident, Subject};
+use crate::core::policy::{Decision, ReliefStep, RunningTask, Subject};
 use crate::ids::{CheckpointId, TaskId, VmId};
 use crate::model::{Idempotency, Resumption, Urgency};
 use crate::peer::CloseReason;
@@ -31,8 +31,8 @@
         if self.vms.get(vm_id).is_some_and(|vm| vm.leaving) {
             return self.evacuate(cx, vm_id);
         }
-        let residents = self.residents(cx, vm_id);
-        for decision in cx.policy.relieve(vm_id, &residents, cx.now) {
+        let running_tasks = self.running_tasks(cx, vm_id);
+        for decision in cx.policy.relieve(vm_id, &running_tasks, cx.now) {
             self.apply_relief(cx, decision);
         }
     }
@@ -56,9 +56,11 @@
 
     /// Evicts tasks that can resume from a checkpoint from a leaving VM; others keep running there.
     fn evacuate(&mut self, cx: &mut Context, vm_id: &VmId) {
-        for resident in self.residents(cx, vm_id) {
-            if resident.spec.resumption == Resumption::Checkpoint && is_movable(&resident.spec) {
-                let id = TaskAttempt { task: resident.task, attempt: resident.attempt };
+        for running_task in self.running_tasks(cx, vm_id) {
+            if running_task.spec.resumption == Resumption::Checkpoint
+                && is_movable(&running_task.spec)
+            {
+                let id = TaskAttempt { task: running_task.task, attempt: running_task.attempt };
                 self.evict(cx, vm_id, id, CloseReason::Leaving);
             }
         }
@@ -138,13 +140,13 @@
     }
 
     /// Batch tasks running on a held VM.
-    pub fn residents(&self, cx: &Context, vm_id: &VmId) -> Vec<Resident> {
+    pub fn running_tasks(&self, cx: &Context, vm_id: &VmId) -> Vec<RunningTask> {
         let table = self.vms.get(vm_id).filter(|vm| vm.step == VmStep::Held);
         let Some(table) = table.and_then(|vm| vm.table.as_ref()) else { return Vec::new() };
         table
             .iter()
             .filter(|(_, slot)| slot.kind == TenantKind::Batch && slot.stage == Stage::Running)
-            .map(|(id, slot)| resident(cx, id, slot))
+            .map(|(id, slot)| running_task(cx, id, slot))
             .collect()
     }
 
@@ -158,12 +160,12 @@
     spec.idempotency == Idempotency::Idempotent && spec.resumption != Resumption::Never
 }
 
-fn resident(cx: &Context, id: &TaskAttempt, slot: &Slot) -> Resident {
+fn running_task(cx: &Context, id: &TaskAttempt, slot: &Slot) -> RunningTask {
     let mut spec = slot.spec.clone().unwrap_or_else(|| fallback_spec(cx, slot));
     if !is_movable(&spec) {
         spec.resumption = Resumption::Never;
     }
-    Resident {
+    RunningTask {
         task: id.task,
         attempt: id.attempt,
         spec,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -33,7 +33,7 @@
 use holder::{Holder, StartRequest};
 use indexmap::IndexMap;
 use life::Writer;
-use policy::{Candidate, Resident};
+use policy::{Candidate, RunningTask};
 use std::time::Duration;
 
 /// Maximum number of evictions per step on behalf of one urgent task.
@@ -154,11 +154,13 @@
     fn evict_for(&mut self, candidate: &Candidate) -> EvictionStarted {
         let cx = &mut self.cx;
         let held: Vec<VmId> = self.holder.held().cloned().collect();
-        let residents: IndexMap<VmId, Vec<Resident>> =
-            held.into_iter().map(|vm| (vm.clone(), self.holder.residents(cx, &vm))).collect();
+        let running_tasks: IndexMap<VmId, Vec<RunningTask>> =
+            held.into_iter().map(|vm| (vm.clone(), self.holder.running_tasks(cx, &vm))).collect();
         let mut started = EvictionStarted::No;
         for _ in 0..MAX_EVICTIONS_PER_STEP {
-            let Some(decision) = cx.policy.make_room(candidate, &residents, cx.now) else { break };
+            let Some(decision) = cx.policy.make_room(candidate, &running_tasks, cx.now) else {
+                break;
+            };
             self.holder.apply_relief(cx, decision);
             started = EvictionStarted::Yes;
         }
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -163,7 +163,7 @@
 
 /// A batch task that runs on a VM.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Resident {
+pub struct RunningTask {
     pub task: TaskId,
     pub attempt: Attempt,
     pub spec: TaskSpec,
@@ -309,22 +309,22 @@
     pub fn relieve(
         &mut self,
         vm: &VmId,
-        residents: &[Resident],
+        running_tasks: &[RunningTask],
         now: Duration,
     ) -> Vec<Decision<ReliefStep>> {
         self.advance_clock(now);
-        self.relief_steps(vm, residents, now)
+        self.relief_steps(vm, running_tasks, now)
     }
 
     /// Chooses a task to evict from this daemon's VMs for a waiting urgent task, if any.
     pub fn make_room(
         &mut self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
     ) -> Option<Decision<ReliefStep>> {
         self.advance_clock(now);
-        self.eviction_for(candidate, residents, now)
+        self.eviction_for(candidate, running_tasks, now)
     }
 
     /// Whether the holder of a quarantined VM should accept one task as a probe.
--- a/src/core/policy/eviction.rs
+++ b/src/core/policy/eviction.rs
@@ -1,6 +1,6 @@
 //! The cost of evicting a task, and the rate limit on evictions.
 
-use super::Resident;
+use super::RunningTask;
 use super::decide::{NormalizedWeights, PPM};
 use crate::model::{Idempotency, Resumption};
 use std::time::Duration;
@@ -21,37 +21,37 @@
 ///
 /// Returns `None` if the task must not be evicted: once started, a non-idempotent task could only
 /// end with an unknown outcome.
-pub fn cost(resident: &Resident, now: Duration) -> Option<i64> {
-    if resident.spec.idempotency == Idempotency::NonIdempotent {
+pub fn cost(running_task: &RunningTask, now: Duration) -> Option<i64> {
+    if running_task.spec.idempotency == Idempotency::NonIdempotent {
         return None;
     }
-    let run_time = now.saturating_sub(resident.since);
-    let lost = match resident.spec.resumption {
+    let run_time = now.saturating_sub(running_task.since);
+    let lost = match running_task.spec.resumption {
         Resumption::Never => return None,
         Resumption::FromStart => run_time,
         Resumption::Checkpoint => {
-            resident.checkpoint_at.map_or(run_time, |at| now.saturating_sub(at).min(run_time))
+            running_task.checkpoint_at.map_or(run_time, |at| now.saturating_sub(at).min(run_time))
         }
     };
-    let expected = resident.spec.expected.max(RESTART_COST).as_secs_f64();
+    let expected = running_task.spec.expected.max(RESTART_COST).as_secs_f64();
     let lost = (lost + RESTART_COST).as_secs_f64() / expected;
     Some(((lost.min(10.0) + 0.1) * PPM).round() as i64)
 }
 
 /// Whether the task will finish so soon that evicting it gains nothing.
-pub fn nearly_done(resident: &Resident, now: Duration) -> bool {
-    remaining(resident, now) < NEARLY_DONE
+pub fn nearly_done(running_task: &RunningTask, now: Duration) -> bool {
+    remaining(running_task, now) < NEARLY_DONE
 }
 
 /// Estimates the remaining run time from measured progress, or else from the declared time.
-fn remaining(resident: &Resident, now: Duration) -> Duration {
-    let run_time = now.saturating_sub(resident.since);
-    let progress = resident.progress.clamp(0.0, 1.0);
+fn remaining(running_task: &RunningTask, now: Duration) -> Duration {
+    let run_time = now.saturating_sub(running_task.since);
+    let progress = running_task.progress.clamp(0.0, 1.0);
     if progress > 0.05 && run_time > RESTART_COST {
         return run_time.mul_f64((1.0 - progress) / progress);
     }
     // Declared times are often wrong, and a task past its declared time may still run for long.
-    resident.spec.expected.saturating_sub(run_time).max(NEARLY_DONE)
+    running_task.spec.expected.saturating_sub(run_time).max(NEARLY_DONE)
 }
 
 /// Token bucket that limits the rate of evictions.
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -7,7 +7,7 @@
 use super::ladder::{self, Aggressor, EscalationLevel, Ladder, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
 use super::score::without_self;
-use super::{Candidate, Decision, Policy, ReliefStep, Resident, eviction, health};
+use super::{Candidate, Decision, Policy, ReliefStep, RunningTask, eviction, health};
 use crate::ids::{ClassName, VmId};
 use crate::model::Urgency;
 use crate::peer::VmHealth;
@@ -32,12 +32,12 @@
     pub(super) fn relief_steps(
         &mut self,
         vm: &VmId,
-        residents: &[Resident],
+        running_tasks: &[RunningTask],
         now: Duration,
     ) -> Vec<Decision<ReliefStep>> {
         self.blame.end_if_overdue(vm, now);
         let mut steps = Vec::new();
-        if let Some(inputs) = self.ladder_inputs(vm, residents, now)
+        if let Some(inputs) = self.ladder_inputs(vm, running_tasks, now)
             && let Some(relief) = inputs.decide()
         {
             self.record_step(vm, &relief, &inputs, now);
@@ -77,7 +77,7 @@
     fn ladder_inputs(
         &mut self,
         vm: &VmId,
-        residents: &[Resident],
+        running_tasks: &[RunningTask],
         now: Duration,
     ) -> Option<ladder::Inputs> {
         let shares = self.shares();
@@ -85,14 +85,14 @@
         let lag = self.reports.get(vm)?.lag;
         let budget = self.budget.available(&shares, now);
         let ladder = self.ladders.get_mut(vm)?;
-        ladder.retain(|task| residents.iter().any(|resident| resident.task == *task));
+        ladder.retain(|task| running_tasks.iter().any(|running_task| running_task.task == *task));
         let mut inputs = ladder.inputs(vm, shares, trigger, now);
         inputs.dwell = dwell(lag);
-        if residents.is_empty() {
+        if running_tasks.is_empty() {
             inputs.calm_needed = inputs.calm_needed.min(CALM_WHEN_EMPTY);
         }
         inputs.budget = budget;
-        inputs.culprits = self.aggressors(vm, residents, now);
+        inputs.culprits = self.aggressors(vm, running_tasks, now);
         Some(inputs)
     }
 
@@ -116,12 +116,18 @@
         (for_batch + by_services) as f64 / PPM
     }
 
-    fn aggressors(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Aggressor> {
+    fn aggressors(
+        &self,
+        vm: &VmId,
+        running_tasks: &[RunningTask],
+        now: Duration,
+    ) -> Vec<Aggressor> {
         let Some(reports) = self.reports.get(vm) else { return Vec::new() };
         let Some(ladder) = self.ladders.get(vm) else { return Vec::new() };
         let band = Band::of(reports.load);
-        let aggressor = |resident: &Resident| self.aggressor(vm, resident, ladder, band, now);
-        let mut aggressors: Vec<_> = residents.iter().map(aggressor).collect();
+        let aggressor =
+            |running_task: &RunningTask| self.aggressor(vm, running_task, ladder, band, now);
+        let mut aggressors: Vec<_> = running_tasks.iter().map(aggressor).collect();
         aggressors.sort_by_key(|aggressor| aggressor.task);
         aggressors
     }
@@ -129,20 +135,20 @@
     fn aggressor(
         &self,
         vm: &VmId,
-        resident: &Resident,
+        running_task: &RunningTask,
         ladder: &Ladder,
         band: Band,
         now: Duration,
     ) -> Aggressor {
-        let share = ladder.share(&resident.task);
-        let harm = self.harm(vm, &resident.spec.class, band) * share;
-        let evictable = !eviction::nearly_done(resident, now);
+        let share = ladder.share(&running_task.task);
+        let harm = self.harm(vm, &running_task.spec.class, band) * share;
+        let evictable = !eviction::nearly_done(running_task, now);
         Aggressor {
-            task: resident.task,
-            attempt: resident.attempt,
+            task: running_task.task,
+            attempt: running_task.attempt,
             harm: to_ppm(harm),
             share: to_ppm(share),
-            loss: eviction::cost(resident, now).filter(|_| evictable),
+            loss: eviction::cost(running_task, now).filter(|_| evictable),
         }
     }
 
@@ -185,7 +191,7 @@
     pub(super) fn eviction_for(
         &mut self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
     ) -> Option<Decision<ReliefStep>> {
         if candidate.spec.urgency != Urgency::Urgent {
@@ -194,7 +200,7 @@
         let plans = match self.plans.progress(candidate.task, now) {
             Progress::Waiting => return None,
             Progress::Next(rest) => vec![rest],
-            Progress::None => self.room_plans(candidate, residents, now),
+            Progress::None => self.room_plans(candidate, running_tasks, now),
         };
         let need = candidate.spec.resources;
         let mut inputs = room::Inputs { at: now, task: candidate.task, need, plans };
@@ -209,14 +215,14 @@
     fn room_plans(
         &self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
     ) -> Vec<Plan> {
         let need = &candidate.spec.resources;
         let over_quota = self.domains_over_quota(candidate);
         let pool = self.config.pools.get(&candidate.spec.pool);
         let mut plans = Vec::new();
-        for (id, residents) in residents {
+        for (id, running_tasks) in running_tasks {
             let Some(vm) = self.fleet.get(id) else { continue };
             let view = &vm.view;
             let usable = view.health == VmHealth::Open
@@ -227,7 +233,7 @@
                 && !candidate.avoid.contains(id)
                 && !self.plans.targets(id);
             if usable {
-                plans.extend(room::plan(id, &view.free, need, residents, now));
+                plans.extend(room::plan(id, &view.free, need, running_tasks, now));
             }
         }
         plans.retain(|plan| !plan.victims.is_empty());
--- a/src/core/policy/room.rs
+++ b/src/core/policy/room.rs
@@ -4,7 +4,7 @@
 //! is complete or expires. Evicted tasks still occupy their resources while they are checkpointed,
 //! and a second plan made in the meantime would evict twice as many tasks.
 
-use super::{ReliefStep, Resident, eviction};
+use super::{ReliefStep, RunningTask, eviction};
 use crate::ids::{Attempt, TaskId, VmId};
 use crate::model::Urgency;
 use crate::units::Resources;
@@ -82,10 +82,11 @@
     vm: &VmId,
     free: &Resources,
     need: &Resources,
-    residents: &[Resident],
+    running_tasks: &[RunningTask],
     now: Duration,
 ) -> Option<Plan> {
-    let mut victims: Vec<_> = residents.iter().filter_map(|r| victim(r, need, free, now)).collect();
+    let mut victims: Vec<_> =
+        running_tasks.iter().filter_map(|r| victim(r, need, free, now)).collect();
     victims.sort_by_key(|victim| (victim.loss, victim.task));
     let mut chosen: Vec<Victim> = Vec::new();
     for victim in victims {
@@ -102,17 +103,17 @@
 }
 
 fn victim(
-    resident: &Resident,
+    running_task: &RunningTask,
     need: &Resources,
     free: &Resources,
     now: Duration,
 ) -> Option<Victim> {
-    let spec = &resident.spec;
+    let spec = &running_task.spec;
     if spec.urgency == Urgency::Urgent || !frees_shortage(&spec.resources, need, free) {
         return None;
     }
-    let loss = eviction::cost(resident, now)?;
-    let (task, attempt) = (resident.task, resident.attempt);
+    let loss = eviction::cost(running_task, now)?;
+    let (task, attempt) = (running_task.task, running_task.attempt);
     Some(Victim { task, attempt, loss, frees: spec.resources })
 }
 
--- a/src/core/policy/tests.rs
+++ b/src/core/policy/tests.rs
@@ -127,8 +127,8 @@
 }
 
 /// A batch task that started at `since` and has no checkpoint.
-pub fn resident(config: &Config, class: &str, number: u64, since: Duration) -> Resident {
-    Resident {
+pub fn running_task(config: &Config, class: &str, number: u64, since: Duration) -> RunningTask {
+    RunningTask {
         task: TaskId::new(PartitionId(1), number),
         attempt: Attempt(1),
         spec: spec(config, class),
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::core::policy::{
-    Candidate, Choice, Decision, Policy, ReliefStep, Resident, explain,
+    Candidate, Choice, Decision, Policy, ReliefStep, RunningTask, explain,
 };
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{
@@ -247,10 +247,10 @@
     }
 
     fn relieve(&mut self, request: &RelieveRequest, now: Duration) -> String {
-        let residents: Vec<_> = request
+        let running_tasks: Vec<_> = request
             .tasks
             .iter()
-            .map(|(class, number)| Resident {
+            .map(|(class, number)| RunningTask {
                 task: TaskId::new(PartitionId(1), *number),
                 attempt: Attempt(1),
                 spec: self.spec(class),
@@ -259,7 +259,7 @@
                 progress: 0.1,
             })
             .collect();
-        let steps = self.policy.relieve(&vm(request.vm), &residents, now);
+        let steps = self.policy.relieve(&vm(request.vm), &running_tasks, now);
         let words: Vec<_> = steps.iter().map(|step| self.apply_relief(step)).collect();
         if words.is_empty() { "nothing".to_owned() } else { words.join(", ") }
     }
