--- a/benches/policy/cost.rs
+++ b/benches/policy/cost.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, Policy};
+use waxwingstall::core::policy::{Candidate, PlacementDecision, Policy};
 use waxwingstall::ids::{
     Attempt, BootId, ClassName, DaemonId, DomainId, PartitionId, RackId, TaskId,
 };
@@ -111,7 +111,7 @@
     for number in 0..DECISIONS {
         let candidate = candidate(config, number as u64, cores);
         let decision = policy.choose(&candidate, Duration::from_secs(10));
-        placed += usize::from(matches!(decision.choice, Choice::Place { .. }));
+        placed += usize::from(matches!(decision.choice, PlacementDecision::Place { .. }));
     }
     placed
 }
--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::core::policy::interference::{Band, Interference, Learning};
-use waxwingstall::core::policy::{Candidate, Choice, Policy, Rank, ReliefStep, RunningTask};
+use waxwingstall::core::policy::{
+    Candidate, PlacementDecision, Policy, Rank, ReliefStep, RunningTask,
+};
 use waxwingstall::ids::{ClassName, VmId};
 use waxwingstall::model::Config;
 use waxwingstall::peer::{VmHealth, VmView};
@@ -19,7 +21,7 @@
 pub trait TestedPolicy {
     fn upsert(&mut self, view: VmView);
     fn remove(&mut self, vm: &VmId);
-    fn choose(&mut self, candidate: &Candidate, now: Duration) -> Choice;
+    fn choose(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision;
 
     fn rank(&self, _candidate: &Candidate) -> Option<Rank> {
         None
@@ -96,7 +98,7 @@
         self.views.shift_remove(vm);
     }
 
-    fn choose(&mut self, candidate: &Candidate, _now: Duration) -> Choice {
+    fn choose(&mut self, candidate: &Candidate, _now: Duration) -> PlacementDecision {
         let fits = |view: &&VmView| {
             view.health == VmHealth::Open && candidate.spec.resources.fits_in(&view.free)
         };
@@ -111,8 +113,8 @@
             }),
         };
         match chosen {
-            Some(view) => Choice::Place { vm: view.vm.clone() },
-            None => Choice::Wait { reason: "no room".to_owned() },
+            Some(view) => PlacementDecision::Place { vm: view.vm.clone() },
+            None => PlacementDecision::Wait { reason: "no room".to_owned() },
         }
     }
 }
@@ -183,7 +185,7 @@
         }
     }
 
-    fn choose(&mut self, candidate: &Candidate, now: Duration) -> Choice {
+    fn choose(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision {
         self.writer(candidate).choose(candidate, now).choice
     }
 
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, ReliefStep, RunningTask};
+use waxwingstall::core::policy::{Candidate, PlacementDecision, ReliefStep, RunningTask};
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{Resumption, Urgency};
 use waxwingstall::peer::{ClassCount, VmHealth, VmView};
@@ -338,9 +338,9 @@
                 continue;
             }
             match self.choose(candidate, now) {
-                Choice::Place { vm } => self.start(&waiting, &vm, now),
-                Choice::Never { .. } => self.out.refused += 1,
-                Choice::Wait { .. } => {
+                PlacementDecision::Place { vm } => self.start(&waiting, &vm, now),
+                PlacementDecision::Never { .. } => self.out.refused += 1,
+                PlacementDecision::Wait { .. } => {
                     full.insert(like);
                     self.make_room(candidate, now);
                     self.queue.push(waiting);
@@ -349,7 +349,7 @@
         }
     }
 
-    fn choose(&mut self, candidate: &Candidate, now: u64) -> Choice {
+    fn choose(&mut self, candidate: &Candidate, now: u64) -> PlacementDecision {
         let before = cpu_time();
         let choice = self.policy.choose(candidate, Duration::from_secs(now));
         self.out.decision_time += cpu_time() - before;
--- a/src/core/life/partition.rs
+++ b/src/core/life/partition.rs
@@ -7,7 +7,7 @@
 use super::waiting::Waiting;
 use crate::core::context::{Context, Draining};
 use crate::core::event::{Action, Answer, CommitResult};
-use crate::core::policy::{Choice, Subject};
+use crate::core::policy::{PlacementDecision, Subject};
 use crate::core::query::PartitionSummary;
 use crate::ids::{ClassName, IdempotencyKey, PartitionId, TaskId, Ticket, VmId};
 use crate::peer::{CloseReason, PeerMsg};
@@ -138,7 +138,7 @@
         let state = TaskState::new(id, key.clone(), spec.clone());
         let task = Task::new(state, Step::Submitting, cx.now);
         let decision = cx.policy.admit(&candidate(&task, cx.now), cx.now);
-        if let Choice::Never { reason, nearest } = &decision.choice {
+        if let PlacementDecision::Never { reason, nearest } = &decision.choice {
             let nearest = nearest.map(|size| format!("; the nearest size that fits is {size}"));
             let reason = format!("{reason}{}", nearest.unwrap_or_default());
             cx.act(Action::Explain(decision.record));
--- a/src/core/life/steps.rs
+++ b/src/core/life/steps.rs
@@ -10,7 +10,7 @@
 use super::waiting::Shape;
 use crate::core::context::{Context, Draining};
 use crate::core::event::Action;
-use crate::core::policy::{Candidate, Choice, Subject};
+use crate::core::policy::{Candidate, PlacementDecision, Subject};
 use crate::ids::{Attempt, BootId, CheckpointId, DaemonId, TaskId, VmId};
 use crate::model::{Idempotency, Urgency};
 use crate::peer::{CloseReason, Decline, PeerMsg};
@@ -108,17 +108,17 @@
         let wanted = candidate(task, cx.now);
         let decision = cx.policy.choose(&wanted, cx.now);
         match decision.choice {
-            Choice::Place { vm } => {
+            PlacementDecision::Place { vm } => {
                 cx.act(Action::Explain(decision.record));
                 self.request_reservation(cx, fleet, number, vm);
                 Placed::Dequeued
             }
             // Another task of the shape may be placed on a VM that this one avoids.
-            Choice::Wait { .. } if !wanted.avoid.is_empty() => {
+            PlacementDecision::Wait { .. } if !wanted.avoid.is_empty() => {
                 self.defer(number, cx.now + RETRY_DELAY);
                 Placed::Dequeued
             }
-            Choice::Wait { reason } | Choice::Never { reason, .. } => {
+            PlacementDecision::Wait { reason } | PlacementDecision::Never { reason, .. } => {
                 if self.waiting.block(shape, cx.now + RETRY_DELAY, &reason) {
                     cx.act(Action::Explain(decision.record));
                 }
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -101,7 +101,7 @@
 /// A placement decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Choice {
+pub enum PlacementDecision {
     Place {
         vm: VmId,
     },
@@ -266,12 +266,12 @@
     }
 
     /// Checks whether a task could ever run and whether its team's quota allows it.
-    pub fn admit(&mut self, candidate: &Candidate, now: Duration) -> Decision<Choice> {
+    pub fn admit(&mut self, candidate: &Candidate, now: Duration) -> Decision<PlacementDecision> {
         self.choose(candidate, now)
     }
 
     /// Chooses a VM for a task. The caller reports the result with [`Policy::upsert_vm`].
-    pub fn choose(&mut self, candidate: &Candidate, now: Duration) -> Decision<Choice> {
+    pub fn choose(&mut self, candidate: &Candidate, now: Duration) -> Decision<PlacementDecision> {
         self.advance_clock(now);
         let inputs = self.placement_inputs(candidate, now);
         let choice = inputs.decide();
@@ -365,11 +365,11 @@
         &mut self,
         candidate: &Candidate,
         inputs: &decide::Inputs,
-        choice: &Choice,
+        choice: &PlacementDecision,
         now: Duration,
     ) {
         match choice {
-            Choice::Place { vm } => {
+            PlacementDecision::Place { vm } => {
                 self.reservations.release(candidate.task);
                 self.plans.remove(candidate.task);
                 if inputs.offers.iter().any(|offer| offer.vm == *vm && offer.probe) {
@@ -379,8 +379,8 @@
                     self.blame.record_retry(&candidate.spec.class, now);
                 }
             }
-            Choice::Never { .. } => self.reservations.release(candidate.task),
-            Choice::Wait { .. } => {}
+            PlacementDecision::Never { .. } => self.reservations.release(candidate.task),
+            PlacementDecision::Wait { .. } => {}
         }
     }
 
--- a/src/core/policy/decide.rs
+++ b/src/core/policy/decide.rs
@@ -4,7 +4,7 @@
 //! stored in the decision record. The same function can therefore be run again on a record, and an
 //! explanation can't omit anything that affected the decision.
 
-use super::Choice;
+use super::PlacementDecision;
 use crate::ids::VmId;
 use crate::model::{Urgency, Weights};
 use crate::units::Resources;
@@ -200,7 +200,7 @@
 
 impl Inputs {
     /// Returns the choice that follows from the inputs.
-    pub fn decide(&self) -> Choice {
+    pub fn decide(&self) -> PlacementDecision {
         if let Some(choice) = self.infeasible() {
             return choice;
         }
@@ -213,7 +213,7 @@
             ));
         }
         match self.best() {
-            Some(best) => Choice::Place { vm: best.vm.clone() },
+            Some(best) => PlacementDecision::Place { vm: best.vm.clone() },
             None if self.offers.is_empty() => wait(self.wait_reason()),
             None => wait(format!(
                 "services on every VM with room would suffer too much; a calm VM takes it at the \
@@ -247,7 +247,7 @@
         acceptable.min_by(|l, r| l.compare(r, &self.shares))
     }
 
-    fn infeasible(&self) -> Option<Choice> {
+    fn infeasible(&self) -> Option<PlacementDecision> {
         let (reason, nearest) = match self.feasibility {
             Feasibility::Possible | Feasibility::NotYetKnown => return None,
             Feasibility::TooLarge { nearest } => {
@@ -260,7 +260,7 @@
             Feasibility::EmptyPool => ("the pool has no VM of its least size".to_owned(), None),
             Feasibility::UnknownPool => ("the configuration names no such pool".to_owned(), None),
         };
-        Some(Choice::Never { reason, nearest })
+        Some(PlacementDecision::Never { reason, nearest })
     }
 
     /// Whether the placement keeps the services on the VM below the trigger; above it, a placement
@@ -312,6 +312,6 @@
     (trigger - by_services).max(trigger * MIN_BATCH_SHARE / 1000)
 }
 
-fn wait(reason: String) -> Choice {
-    Choice::Wait { reason }
+fn wait(reason: String) -> PlacementDecision {
+    PlacementDecision::Wait { reason }
 }
--- a/src/core/policy/explain.rs
+++ b/src/core/policy/explain.rs
@@ -1,7 +1,9 @@
 //! Decision records: building them, rendering them as text, and replaying them.
 
 use super::decide::{self, Inputs, Offer, PPM};
-use super::{Candidate, Choice, DecisionRecord, ReliefStep, Subject, health, ladder, room};
+use super::{
+    Candidate, DecisionRecord, PlacementDecision, ReliefStep, Subject, health, ladder, room,
+};
 use crate::model::Config;
 use crate::peer::VmHealth;
 use indexmap::IndexMap;
@@ -37,7 +39,7 @@
 /// The result of replaying a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Replayed {
-    Choice(Choice),
+    Choice(PlacementDecision),
     /// A relief step, or none.
     Relief(Option<ReliefStep>),
 }
@@ -167,7 +169,7 @@
 pub(super) fn placement_record(
     candidate: &Candidate,
     inputs: Inputs,
-    choice: &Choice,
+    choice: &PlacementDecision,
     config: &Config,
 ) -> DecisionRecord {
     let reasons = inputs.passed_over.reasons();
@@ -190,17 +192,17 @@
     }
 }
 
-fn verdict(inputs: &Inputs, choice: &Choice) -> String {
+fn verdict(inputs: &Inputs, choice: &PlacementDecision) -> String {
     match choice {
-        Choice::Place { vm } => {
+        PlacementDecision::Place { vm } => {
             let why = inputs.offers.iter().find(|offer| offer.vm == *vm).map(cost_summary);
             format!("placed on {vm}: {}", why.unwrap_or_default())
         }
-        Choice::Wait { reason } => format!("waits: {reason}"),
-        Choice::Never { reason, nearest: Some(nearest) } => {
+        PlacementDecision::Wait { reason } => format!("waits: {reason}"),
+        PlacementDecision::Never { reason, nearest: Some(nearest) } => {
             format!("refused: {reason}; the nearest size that fits is {nearest}")
         }
-        Choice::Never { reason, nearest: None } => format!("refused: {reason}"),
+        PlacementDecision::Never { reason, nearest: None } => format!("refused: {reason}"),
     }
 }
 
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -28,7 +28,9 @@
         }
         let task = candidate(&config, ["build", "wash"][number as usize % 2], number);
         let class = task.spec.class.clone();
-        let Choice::Place { vm: to } = policy.choose(&task, now).choice else { continue };
+        let PlacementDecision::Place { vm: to } = policy.choose(&task, now).choice else {
+            continue;
+        };
         let outcome = if to == vm(0) { failed() } else { Outcome::Succeeded };
         lost += u32::from(to == vm(0));
         policy.ended(&to, &class, &outcome, now);
@@ -47,11 +49,11 @@
     for number in 0..600 {
         let now = secs(number);
         let good = candidate(&config, "wash", 10_000 + number);
-        if let Choice::Place { vm } = policy.choose(&good, now).choice {
+        if let PlacementDecision::Place { vm } = policy.choose(&good, now).choice {
             policy.ended(&vm, &good.spec.class, &Outcome::Succeeded, now);
         }
         let bad = candidate(&config, "build", number);
-        if let Choice::Place { vm } = policy.choose(&bad, now).choice {
+        if let PlacementDecision::Place { vm } = policy.choose(&bad, now).choice {
             starts += 1;
             policy.ended(&vm, &bad.spec.class, &failed(), now);
         }
@@ -75,13 +77,13 @@
     let quarantined = ReliefStep::Health { vm: vm(0), health: VmHealth::Quarantined };
     assert_eq!(steps[0].choice, quarantined);
     let too_early = policy.choose(&candidate(&config, "wash", 1), secs(11)).choice;
-    assert!(matches!(too_early, Choice::Wait { .. }), "{too_early:?}");
+    assert!(matches!(too_early, PlacementDecision::Wait { .. }), "{too_early:?}");
     for number in 0..2 {
         let now = secs(120 + 60 * number);
         let probe = policy.choose(&candidate(&config, "wash", number), now).choice;
-        assert_eq!(probe, Choice::Place { vm: vm(0) });
+        assert_eq!(probe, PlacementDecision::Place { vm: vm(0) });
         let second = policy.choose(&candidate(&config, "wash", 50 + number), now).choice;
-        assert!(matches!(second, Choice::Wait { .. }), "two probes at once: {second:?}");
+        assert!(matches!(second, PlacementDecision::Wait { .. }), "two probes at once: {second:?}");
         policy.ended(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
     }
     let steps = relieve(&mut policy, 0, secs(300));
@@ -97,7 +99,7 @@
     let mut build = candidate(&config, "build", 1);
     build.spec.idempotency = Idempotency::NonIdempotent;
     let choice = policy.choose(&build, HOUR).choice;
-    assert!(matches!(choice, Choice::Wait { .. }), "{choice:?}");
+    assert!(matches!(choice, PlacementDecision::Wait { .. }), "{choice:?}");
 }
 
 #[test]
--- a/src/core/policy/tests/learning.rs
+++ b/src/core/policy/tests/learning.rs
@@ -104,6 +104,6 @@
     }
     for number in 0..10 {
         let choice = policy.choose(&candidate(&config, "build", number), secs(200)).choice;
-        assert_eq!(choice, Choice::Place { vm: vm(1) });
+        assert_eq!(choice, PlacementDecision::Place { vm: vm(1) });
     }
 }
--- a/src/core/policy/tests/placement.rs
+++ b/src/core/policy/tests/placement.rs
@@ -9,10 +9,10 @@
     let one_left = with_tasks(view(20), "build", 3);
     let mut policy = policy(config.clone(), full.chain([one_left]));
     let decision = policy.choose(&candidate(&config, "build", 1), secs(1));
-    assert_eq!(decision.choice, Choice::Place { vm: vm(20) });
+    assert_eq!(decision.choice, PlacementDecision::Place { vm: vm(20) });
     policy.upsert_vm(with_tasks(view(20), "build", 4));
     let decision = policy.choose(&candidate(&config, "build", 2), secs(2));
-    let Choice::Wait { reason } = &decision.choice else { panic!("{decision:?}") };
+    let PlacementDecision::Wait { reason } = &decision.choice else { panic!("{decision:?}") };
     assert!(reason.contains("no room (21 VMs)"), "{reason}");
 }
 
@@ -23,7 +23,7 @@
     let mut oversized = candidate(&config, "build", 1);
     oversized.spec.resources = Resources::new(48_000, 20_000, 0);
     let decision = policy.admit(&oversized, secs(1));
-    let Choice::Never { nearest, .. } = decision.choice else { panic!("{decision:?}") };
+    let PlacementDecision::Never { nearest, .. } = decision.choice else { panic!("{decision:?}") };
     assert_eq!(nearest, Some(Resources::new(32_000, 20_000, 0)));
     let verdict = decision.record.verdict;
     assert!(verdict.contains("nearest size that fits is 32000m"), "{verdict}");
@@ -36,13 +36,13 @@
         policy(config.clone(), (0..2).map(|index| with_tasks(view(index), "build", 4)));
     let candidate = candidate(&config, "build", 1);
     let before = policy.choose(&candidate, secs(1)).choice;
-    assert!(matches!(before, Choice::Wait { .. }), "{before:?}");
+    assert!(matches!(before, PlacementDecision::Wait { .. }), "{before:?}");
     let mut narrower = config;
     let pool = Pool { domains: vec!["remera".into()], min_size: Resources::ZERO };
     narrower.pools.insert("all".into(), pool);
     policy.configure(Arc::new(narrower));
     let after = policy.choose(&candidate, secs(2)).choice;
-    assert!(matches!(after, Choice::Never { nearest: None, .. }), "{after:?}");
+    assert!(matches!(after, PlacementDecision::Never { nearest: None, .. }), "{after:?}");
 }
 
 /// A daemon that has just started knows only one small VM until the views of other daemons' VMs
@@ -58,9 +58,9 @@
     policy.upsert_vm(small);
     let candidate = candidate(&config, "build", 1);
     let early = policy.admit(&candidate, secs(100)).choice;
-    assert!(matches!(early, Choice::Wait { .. }), "{early:?}");
+    assert!(matches!(early, PlacementDecision::Wait { .. }), "{early:?}");
     let late = policy.admit(&candidate, secs(106)).choice;
-    assert!(matches!(late, Choice::Never { .. }), "{late:?}");
+    assert!(matches!(late, PlacementDecision::Never { .. }), "{late:?}");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let mut policy = policy(config.clone(), (0..1000).map(view));
     let mut chosen = std::collections::BTreeSet::new();
     for number in 0..56 {
-        if let Choice::Place { vm } =
+        if let PlacementDecision::Place { vm } =
             policy.choose(&candidate(&config, "build", number), secs(1)).choice
         {
             chosen.insert(vm);
@@ -110,10 +110,10 @@
     let config = with_quota(config(), "audio", 8);
     let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 1), view(1)]);
     let audio = policy.choose(&candidate(&config, "narration", 1), secs(1)).choice;
-    let Choice::Wait { reason } = audio else { panic!("{audio:?}") };
+    let PlacementDecision::Wait { reason } = audio else { panic!("{audio:?}") };
     assert!(reason.contains("allowance"), "{reason}");
     let cellar = policy.choose(&candidate(&config, "wash", 2), secs(1)).choice;
-    assert!(matches!(cellar, Choice::Place { .. }), "{cellar:?}");
+    assert!(matches!(cellar, PlacementDecision::Place { .. }), "{cellar:?}");
 }
 
 #[test]
@@ -128,11 +128,11 @@
         let mut build = candidate(&config, "build", 1);
         build.spec.resources = Resources::new(8000, 16_384, 1);
         let choice = policy.choose(&build, secs(1)).choice;
-        assert!(matches!(choice, Choice::Wait { .. }), "{:?}: {choice:?}", short.free);
+        assert!(matches!(choice, PlacementDecision::Wait { .. }), "{:?}: {choice:?}", short.free);
         short.free = build.spec.resources;
         policy.upsert_vm(short);
         let choice = policy.choose(&build, secs(2)).choice;
-        assert_eq!(choice, Choice::Place { vm: vm(0) });
+        assert_eq!(choice, PlacementDecision::Place { vm: vm(0) });
     }
 }
 
@@ -155,7 +155,7 @@
         let record = serde_json::from_str(&text).expect("a record can be read");
         let replayed = explain::replay(&record).expect("it can be replayed");
         assert_eq!(replayed, explain::Replayed::Choice(decision.choice.clone()));
-        if let Choice::Place { vm: to } = decision.choice {
+        if let PlacementDecision::Place { vm: to } = decision.choice {
             let known = policy.fleet.get(&to).expect("a known VM").view.clone();
             policy.upsert_vm(with_tasks(known, "build", 1));
         }
--- a/src/core/policy/tests/relief.rs
+++ b/src/core/policy/tests/relief.rs
@@ -170,9 +170,9 @@
     assert!(policy.make_room(&urgent, &running_tasks, secs(100)).is_some());
     policy.upsert_vm(with_tasks(view(0), "build", 3));
     let small = policy.choose(&candidate(&config, "wash", 10), secs(101)).choice;
-    assert!(matches!(small, Choice::Wait { .. }), "{small:?}");
+    assert!(matches!(small, PlacementDecision::Wait { .. }), "{small:?}");
     let placed = policy.choose(&urgent, secs(102)).choice;
-    assert_eq!(placed, Choice::Place { vm: vm(0) });
+    assert_eq!(placed, PlacementDecision::Place { vm: vm(0) });
 }
 
 /// A non-idempotent task that has started must not run twice, so an eviction could only end it with
--- a/src/core/policy/tests/waiting.rs
+++ b/src/core/policy/tests/waiting.rs
@@ -19,13 +19,13 @@
         counts[done] = counts[done].saturating_sub(1);
         policy.upsert_vm(filled(done, counts[done]));
         large.waited = now;
-        if let Choice::Place { .. } = policy.choose(&large, now).choice {
+        if let PlacementDecision::Place { .. } = policy.choose(&large, now).choice {
             assert!(second < 120, "placed after {second} s");
             return;
         }
         number += 1;
         let small = candidate(&config, "narration", number);
-        if let Choice::Place { vm: to } = policy.choose(&small, now).choice {
+        if let PlacementDecision::Place { vm: to } = policy.choose(&small, now).choice {
             let index = (0..4).find(|index| vm(*index) == to).expect("a known VM");
             counts[index] += 1;
             policy.upsert_vm(filled(index, counts[index]));
@@ -48,7 +48,7 @@
     let decision = policy.choose(&candidate(&config, "wash", 1000), secs(101));
     let reserved = decision.record.passed_over.get("held for a task that waited longer");
     assert!(reserved.copied().unwrap_or(0) <= 2, "{:?}", decision.record.passed_over);
-    assert!(matches!(decision.choice, Choice::Place { .. }));
+    assert!(matches!(decision.choice, PlacementDecision::Place { .. }));
 }
 
 #[test]
@@ -61,11 +61,11 @@
     }
     let mut build = candidate(&config, "build", 1);
     let first = policy.choose(&build, secs(101)).choice;
-    let Choice::Wait { reason } = first else { panic!("{first:?}") };
+    let PlacementDecision::Wait { reason } = first else { panic!("{first:?}") };
     assert!(reason.contains("would suffer"), "{reason}");
     build.waited = secs(600);
     let last = policy.choose(&build, secs(701)).choice;
-    assert_eq!(last, Choice::Place { vm: vm(0) });
+    assert_eq!(last, PlacementDecision::Place { vm: vm(0) });
 }
 
 #[test]
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::core::policy::{
-    Candidate, Choice, Decision, Policy, ReliefStep, RunningTask, explain,
+    Candidate, Decision, PlacementDecision, Policy, ReliefStep, RunningTask, explain,
 };
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{
@@ -314,9 +314,11 @@
         let replayed = explain::replay(&decision.record).expect("the record can be replayed");
         assert_eq!(replayed, explain::Replayed::Choice(decision.choice.clone()));
         match decision.choice {
-            Choice::Place { vm } => format!("place {vm}"),
-            Choice::Wait { reason } => format!("wait: {reason}"),
-            Choice::Never { .. } => decision.record.verdict.replacen("refused", "never", 1),
+            PlacementDecision::Place { vm } => format!("place {vm}"),
+            PlacementDecision::Wait { reason } => format!("wait: {reason}"),
+            PlacementDecision::Never { .. } => {
+                decision.record.verdict.replacen("refused", "never", 1)
+            }
         }
     }
 }
