--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use waxwingstall::core::policy::interference::{Band, Interference, Learning};
 use waxwingstall::core::policy::{
-    Candidate, PlacementDecision, Policy, Rank, ReliefStep, RunningTask,
+    Candidate, PlacementDecision, Policy, Priority, ReliefStep, RunningTask,
 };
 use waxwingstall::ids::{ClassName, VmId};
 use waxwingstall::model::Config;
@@ -23,7 +23,7 @@
     fn remove(&mut self, vm: &VmId);
     fn choose(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision;
 
-    fn rank(&self, _candidate: &Candidate) -> Option<Rank> {
+    fn priority(&self, _candidate: &Candidate) -> Option<Priority> {
         None
     }
 
@@ -189,8 +189,8 @@
         self.writer(candidate).choose(candidate, now).choice
     }
 
-    fn rank(&self, candidate: &Candidate) -> Option<Rank> {
-        Some(self.daemons[0].rank(candidate))
+    fn priority(&self, candidate: &Candidate) -> Option<Priority> {
+        Some(self.daemons[0].priority(candidate))
     }
 
     fn observe(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -326,7 +326,7 @@
             let arrived = self.jobs[waiting.job].arrives;
             waiting.candidate.waited = Duration::from_secs(now - arrived);
         }
-        ranked.sort_by_cached_key(|waiting| self.policy.rank(&waiting.candidate));
+        ranked.sort_by_cached_key(|waiting| self.policy.priority(&waiting.candidate));
         let mut full: IndexSet<(ClassName, Resources, Urgency)> = IndexSet::new();
         for waiting in ranked {
             let candidate = &waiting.candidate;
--- a/src/core/life/steps.rs
+++ b/src/core/life/steps.rs
@@ -87,12 +87,12 @@
         unplaced
     }
 
-    /// Unblocked shapes, ordered by the rank of their first tasks.
+    /// Unblocked shapes, ordered by the priority of their first tasks.
     fn shapes_by_rank(&self, cx: &Context) -> Vec<Shape> {
         let mut shapes = self.waiting.unblocked(cx.now);
         shapes.sort_by_cached_key(|shape| {
             let first = self.waiting.first(shape).and_then(|number| self.tasks.get(&number));
-            first.map(|task| cx.policy.rank(&candidate(task, cx.now)))
+            first.map(|task| cx.policy.priority(&candidate(task, cx.now)))
         });
         shapes
     }
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -176,7 +176,7 @@
 
 /// Priority of a waiting task in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
+pub struct Priority {
     urgency: Reverse<Urgency>,
     /// Used fraction of the team's quota, quantized.
     used: u32,
@@ -336,9 +336,9 @@
     ///
     /// Tasks of equal urgency are ordered by the used fraction of their team's quota, in steps, and
     /// then by waiting time, so a burst of a thousand tasks queues behind its own team's tasks.
-    pub fn rank(&self, candidate: &Candidate) -> Rank {
+    pub fn priority(&self, candidate: &Candidate) -> Priority {
         let used = self.quotas.dominant_share(&candidate.spec.team);
-        Rank {
+        Priority {
             urgency: Reverse(candidate.spec.urgency),
             used: (used.clamp(0.0, 1.0) * RANK_STEPS) as u32,
             waited: Reverse(candidate.waited),
--- a/src/core/policy/tests/waiting.rs
+++ b/src/core/policy/tests/waiting.rs
@@ -75,7 +75,7 @@
     let mut burst = candidate(&config, "build", 1);
     burst.waited = secs(500);
     let other = candidate(&config, "wash", 2);
-    assert!(policy.rank(&other) < policy.rank(&burst));
+    assert!(policy.priority(&other) < policy.priority(&burst));
     burst.spec.urgency = Urgency::Urgent;
-    assert!(policy.rank(&burst) < policy.rank(&other));
+    assert!(policy.priority(&burst) < policy.priority(&other));
 }
