--- a/benches/policy/cost.rs
+++ b/benches/policy/cost.rs
@@ -95,7 +95,7 @@
             load,
             tenants: tenants.collect(),
         };
-        policy.observe(&view.vm, &report, Duration::from_secs(1));
+        policy.handle_report(&view.vm, &report, Duration::from_secs(1));
     }
 }
 
--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -27,9 +27,16 @@
         None
     }
 
-    fn observe(&mut self, _vm: &VmId, _report: &UsageReport, _now: Duration) {}
+    fn handle_report(&mut self, _vm: &VmId, _report: &UsageReport, _now: Duration) {}
 
-    fn ended(&mut self, _vm: &VmId, _class: &ClassName, _outcome: &Outcome, _now: Duration) {}
+    fn record_outcome(
+        &mut self,
+        _vm: &VmId,
+        _class: &ClassName,
+        _outcome: &Outcome,
+        _now: Duration,
+    ) {
+    }
 
     fn relieve(
         &mut self,
@@ -193,13 +200,13 @@
         Some(self.daemons[0].priority(candidate))
     }
 
-    fn observe(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
-        self.holder(vm).observe(vm, report, now);
+    fn handle_report(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
+        self.holder(vm).handle_report(vm, report, now);
     }
 
-    fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
+    fn record_outcome(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
         if self.disabled != Disabled::Blame {
-            self.holder(vm).ended(vm, class, outcome, now);
+            self.holder(vm).record_outcome(vm, class, outcome, now);
         }
     }
 
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -64,7 +64,7 @@
             let (index, measured, mut report) = entry.remove();
             report.age = Duration::from_secs(now - measured);
             let vm = self.vms[index].id.clone();
-            self.policy.observe(&vm, &report, Duration::from_secs(now));
+            self.policy.handle_report(&vm, &report, Duration::from_secs(now));
         }
     }
 
--- a/benches/policy/world/work.rs
+++ b/benches/policy/world/work.rs
@@ -153,8 +153,8 @@
         let class = self.jobs[task.job].spec.class.clone();
         let time = Duration::from_secs(now);
         match end {
-            End::Done => self.policy.ended(&vm, &class, &Outcome::Succeeded, time),
-            End::Cancelled => self.policy.ended(&vm, &class, &Outcome::Cancelled, time),
+            End::Done => self.policy.record_outcome(&vm, &class, &Outcome::Succeeded, time),
+            End::Cancelled => self.policy.record_outcome(&vm, &class, &Outcome::Cancelled, time),
             End::Evicted => {
                 let job = &self.jobs[task.job];
                 let kept = if Scenario::resumable(job) { task.done - RESUME_COST } else { 0.0 };
@@ -166,7 +166,7 @@
             End::Failed => {
                 self.out.failed_starts += 1;
                 let outcome = Outcome::Failed { reason: "exit 1".to_owned() };
-                self.policy.ended(&vm, &class, &outcome, time);
+                self.policy.record_outcome(&vm, &class, &outcome, time);
                 let entry = self.failures.entry(task.job).or_default();
                 entry.0 += 1;
                 entry.1 = vec![vm];
--- a/src/core/holder/attempts.rs
+++ b/src/core/holder/attempts.rs
@@ -164,7 +164,7 @@
             Err(worker::Error::Refused { reason }) => {
                 let class = slot.class.clone();
                 let outcome = Outcome::Failed { reason };
-                cx.policy.ended(vm_id, &class, &outcome, now);
+                cx.policy.record_outcome(vm_id, &class, &outcome, now);
                 self.close(cx, vm_id, attempt, CloseReason::NotStarted);
             }
             Err(worker::Error::Fenced { .. } | worker::Error::Held { .. }) => {
@@ -250,7 +250,7 @@
                 proof.started |= slot.boot != boot;
                 let Stage::Closing { why } = slot.stage else { return };
                 if let Some(outcome) = &proof.ended {
-                    cx.policy.ended(vm_id, &slot.class, outcome, now);
+                    cx.policy.record_outcome(vm_id, &slot.class, outcome, now);
                 }
                 slot.set_stage(Stage::Closed { proof, why }, now);
                 self.views_changed = true;
@@ -296,7 +296,7 @@
             if let Some(slot) = self.slot_mut(vm_id, attempt)
                 && let Stage::Ended { outcome } = &slot.stage
             {
-                cx.policy.ended(vm_id, &slot.class, outcome, now);
+                cx.policy.record_outcome(vm_id, &slot.class, outcome, now);
             }
             self.report_stage(cx, vm_id, *attempt);
         }
--- a/src/core/holder/relief.rs
+++ b/src/core/holder/relief.rs
@@ -26,7 +26,7 @@
     ) {
         if let Some(report) = report {
             self.note_progress(vm_id, report);
-            cx.policy.observe(vm_id, report, cx.now);
+            cx.policy.handle_report(vm_id, report, cx.now);
         }
         if self.vms.get(vm_id).is_some_and(|vm| vm.leaving) {
             return self.evacuate(cx, vm_id);
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -281,7 +281,7 @@
     }
 
     /// Processes a usage report of a VM held by this daemon.
-    pub fn observe(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
+    pub fn handle_report(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
         self.advance_clock(now);
         let ladder = self.ladders.entry(vm.clone()).or_default();
         let reports = self.reports.entry(vm.clone()).or_default();
@@ -300,7 +300,13 @@
     }
 
     /// Records the outcome of an attempt on a VM.
-    pub fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
+    pub fn record_outcome(
+        &mut self,
+        vm: &VmId,
+        class: &ClassName,
+        outcome: &Outcome,
+        now: Duration,
+    ) {
         self.advance_clock(now);
         self.blame.record_outcome(vm, class, outcome, now);
     }
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -33,7 +33,7 @@
         };
         let outcome = if to == vm(0) { failed() } else { Outcome::Succeeded };
         lost += u32::from(to == vm(0));
-        policy.ended(&to, &class, &outcome, now);
+        policy.record_outcome(&to, &class, &outcome, now);
         for step in relieve(&mut policy, 0, now) {
             assert_replays(&step);
         }
@@ -50,12 +50,12 @@
         let now = secs(number);
         let good = candidate(&config, "wash", 10_000 + number);
         if let PlacementDecision::Place { vm } = policy.choose(&good, now).choice {
-            policy.ended(&vm, &good.spec.class, &Outcome::Succeeded, now);
+            policy.record_outcome(&vm, &good.spec.class, &Outcome::Succeeded, now);
         }
         let bad = candidate(&config, "build", number);
         if let PlacementDecision::Place { vm } = policy.choose(&bad, now).choice {
             starts += 1;
-            policy.ended(&vm, &bad.spec.class, &failed(), now);
+            policy.record_outcome(&vm, &bad.spec.class, &failed(), now);
         }
         for index in 0..8 {
             assert_eq!(relieve(&mut policy, index, now), [], "at {now:?}");
@@ -69,9 +69,9 @@
     let config = config();
     let mut policy = policy(config.clone(), [view(0), with_tasks(view(1), "build", 4)]);
     let wash: ClassName = "wash".into();
-    policy.ended(&vm(1), &wash, &Outcome::Succeeded, secs(1));
+    policy.record_outcome(&vm(1), &wash, &Outcome::Succeeded, secs(1));
     for number in 0..4 {
-        policy.ended(&vm(0), &wash, &failed(), secs(2 + number));
+        policy.record_outcome(&vm(0), &wash, &failed(), secs(2 + number));
     }
     let steps = relieve(&mut policy, 0, secs(10));
     let quarantined = ReliefStep::Health { vm: vm(0), health: VmHealth::Quarantined };
@@ -84,7 +84,7 @@
         assert_eq!(probe, PlacementDecision::Place { vm: vm(0) });
         let second = policy.choose(&candidate(&config, "wash", 50 + number), now).choice;
         assert!(matches!(second, PlacementDecision::Wait { .. }), "two probes at once: {second:?}");
-        policy.ended(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
+        policy.record_outcome(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
     }
     let steps = relieve(&mut policy, 0, secs(300));
     assert_eq!(steps[0].choice, ReliefStep::Health { vm: vm(0), health: VmHealth::Open });
@@ -107,7 +107,12 @@
     let config = config();
     let mut policy = policy(config, [view(0)]);
     for number in 0..10_000 {
-        policy.ended(&vm(0), &"build".into(), &Outcome::Cancelled, Duration::from_millis(number));
+        policy.record_outcome(
+            &vm(0),
+            &"build".into(),
+            &Outcome::Cancelled,
+            Duration::from_millis(number),
+        );
     }
     assert_eq!(policy.relieve(&vm(0), &[], secs(11)), []);
 }
--- a/src/core/policy/tests/placement.rs
+++ b/src/core/policy/tests/placement.rs
@@ -143,7 +143,7 @@
     let mut policy = policy(config.clone(), views);
     for seq in 1..=60 {
         let tenants = vec![tenant("shop", 1, 1.25), tenant("build", 2, 1.1)];
-        policy.observe(&vm(1), &report(seq, secs(1), 0.7, tenants), secs(seq));
+        policy.handle_report(&vm(1), &report(seq, secs(1), 0.7, tenants), secs(seq));
     }
     let mut kinds = std::collections::BTreeSet::new();
     for number in 0..80 {
--- a/src/core/policy/tests/relief.rs
+++ b/src/core/policy/tests/relief.rs
@@ -18,7 +18,7 @@
             tenants.push(tenant(running_task.spec.class.as_str(), running_task.task.number, 1.0));
         }
         if now % 2 == 0 {
-            policy.observe(&vm(0), &report(now, lag, 0.7, tenants), secs(now));
+            policy.handle_report(&vm(0), &report(now, lag, 0.7, tenants), secs(now));
         }
         let decision = policy.relieve(&vm(0), running_tasks, secs(now));
         apply_health(policy, &decision);
@@ -205,7 +205,7 @@
     policy.upsert_vm(with_tasks(view(0), "shop", 2));
     for now in 20..200 {
         let tenants = vec![tenant("shop", 1000, 1.0), tenant("build", 1, 1.0)];
-        policy.observe(&vm(0), &report(100 + now, secs(1), 0.7, tenants), secs(now));
+        policy.handle_report(&vm(0), &report(100 + now, secs(1), 0.7, tenants), secs(now));
         let steps = policy.relieve(&vm(0), &running_tasks, secs(now));
         if let [Decision { choice: ReliefStep::Throttle { share, .. }, .. }] = &steps[..] {
             assert!(*share > 0.9, "{share}");
--- a/src/core/policy/tests/waiting.rs
+++ b/src/core/policy/tests/waiting.rs
@@ -57,7 +57,7 @@
     let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 4)]);
     for seq in 1..=100 {
         let tenants = vec![tenant("shop", 1, 3.5), tenant("build", 2, 1.0)];
-        policy.observe(&vm(0), &report(seq, secs(1), 0.7, tenants), secs(seq));
+        policy.handle_report(&vm(0), &report(seq, secs(1), 0.7, tenants), secs(seq));
     }
     let mut build = candidate(&config, "build", 1);
     let first = policy.choose(&build, secs(101)).choice;
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -235,7 +235,7 @@
             load: 0.7,
             tenants: report.slowdown.iter().enumerate().map(tenant).collect(),
         };
-        self.policy.observe(&vm(report.vm), &usage, now);
+        self.policy.handle_report(&vm(report.vm), &usage, now);
     }
 
     fn ended(&mut self, ended: &EndedEvent, now: Duration) {
@@ -243,7 +243,7 @@
             true => Outcome::Failed { reason: "exit 1".to_owned() },
             false => Outcome::Succeeded,
         };
-        self.policy.ended(&vm(ended.vm), &ClassName::new(&ended.class), &outcome, now);
+        self.policy.record_outcome(&vm(ended.vm), &ClassName::new(&ended.class), &outcome, now);
     }
 
     fn relieve(&mut self, request: &RelieveRequest, now: Duration) -> String {
