--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -38,7 +38,7 @@
     ) {
     }
 
-    fn relieve(
+    fn decide_relief(
         &mut self,
         _vm: &VmId,
         _running_tasks: &[RunningTask],
@@ -47,7 +47,7 @@
         Vec::new()
     }
 
-    fn make_room(
+    fn plan_preemption(
         &mut self,
         _candidate: &Candidate,
         _running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
@@ -210,7 +210,7 @@
         }
     }
 
-    fn relieve(
+    fn decide_relief(
         &mut self,
         vm: &VmId,
         running_tasks: &[RunningTask],
@@ -219,17 +219,17 @@
         if self.disabled == Disabled::Relief {
             return Vec::new();
         }
-        let steps = self.holder(vm).relieve(vm, running_tasks, now);
+        let steps = self.holder(vm).decide_relief(vm, running_tasks, now);
         steps.into_iter().map(|step| step.choice).collect()
     }
 
-    fn make_room(
+    fn plan_preemption(
         &mut self,
         candidate: &Candidate,
         running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
     ) -> Option<ReliefStep> {
-        let decision = self.writer(candidate).make_room(candidate, running_tasks, now);
+        let decision = self.writer(candidate).plan_preemption(candidate, running_tasks, now);
         decision.map(|decision| decision.choice)
     }
 
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -364,7 +364,8 @@
         let running_tasks = (0..self.vms.len())
             .map(|index| (self.vms[index].id.clone(), self.running_tasks(index)))
             .collect();
-        let relief = self.policy.make_room(candidate, &running_tasks, Duration::from_secs(now));
+        let relief =
+            self.policy.plan_preemption(candidate, &running_tasks, Duration::from_secs(now));
         if let Some(relief) = relief {
             self.apply(&relief, now);
         }
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -94,7 +94,7 @@
             }
             let running_tasks = self.running_tasks(index);
             let vm = self.vms[index].id.clone();
-            for relief in self.policy.relieve(&vm, &running_tasks, Duration::from_secs(now)) {
+            for relief in self.policy.decide_relief(&vm, &running_tasks, Duration::from_secs(now)) {
                 self.apply(&relief, now);
             }
         }
--- a/src/core/holder/relief.rs
+++ b/src/core/holder/relief.rs
@@ -32,7 +32,7 @@
             return self.evacuate(cx, vm_id);
         }
         let running_tasks = self.running_tasks(cx, vm_id);
-        for decision in cx.policy.relieve(vm_id, &running_tasks, cx.now) {
+        for decision in cx.policy.decide_relief(vm_id, &running_tasks, cx.now) {
             self.apply_relief(cx, decision);
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -158,7 +158,8 @@
             held.into_iter().map(|vm| (vm.clone(), self.holder.running_tasks(cx, &vm))).collect();
         let mut started = EvictionStarted::No;
         for _ in 0..MAX_EVICTIONS_PER_STEP {
-            let Some(decision) = cx.policy.make_room(candidate, &running_tasks, cx.now) else {
+            let Some(decision) = cx.policy.plan_preemption(candidate, &running_tasks, cx.now)
+            else {
                 break;
             };
             self.holder.apply_relief(cx, decision);
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -312,7 +312,7 @@
     }
 
     /// Decides the relief steps due on a VM held by this daemon, given the batch tasks there.
-    pub fn relieve(
+    pub fn decide_relief(
         &mut self,
         vm: &VmId,
         running_tasks: &[RunningTask],
@@ -323,7 +323,7 @@
     }
 
     /// Chooses a task to evict from this daemon's VMs for a waiting urgent task, if any.
-    pub fn make_room(
+    pub fn plan_preemption(
         &mut self,
         candidate: &Candidate,
         running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -7,7 +7,7 @@
 }
 
 fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decision<ReliefStep>> {
-    let steps = policy.relieve(&vm(index), &[], now);
+    let steps = policy.decide_relief(&vm(index), &[], now);
     apply_health(policy, &steps);
     steps
 }
@@ -114,5 +114,5 @@
             Duration::from_millis(number),
         );
     }
-    assert_eq!(policy.relieve(&vm(0), &[], secs(11)), []);
+    assert_eq!(policy.decide_relief(&vm(0), &[], secs(11)), []);
 }
--- a/src/core/policy/tests/relief.rs
+++ b/src/core/policy/tests/relief.rs
@@ -20,7 +20,7 @@
         if now % 2 == 0 {
             policy.handle_report(&vm(0), &report(now, lag, 0.7, tenants), secs(now));
         }
-        let decision = policy.relieve(&vm(0), running_tasks, secs(now));
+        let decision = policy.decide_relief(&vm(0), running_tasks, secs(now));
         apply_health(policy, &decision);
         for step in decision {
             assert_replays(&step);
@@ -117,7 +117,7 @@
     urgent.spec.urgency = Urgency::Urgent;
     urgent.spec.resources = Resources::new(32_000, 60_000, 0);
     let running_tasks = IndexMap::from([(vm(0), vec![unresumable])]);
-    assert_eq!(policy.make_room(&urgent, &running_tasks, secs(301)), None);
+    assert_eq!(policy.plan_preemption(&urgent, &running_tasks, secs(301)), None);
 }
 
 #[test]
@@ -151,11 +151,12 @@
     ]);
     let mut urgent = candidate(&config, "narration", 9);
     urgent.spec.urgency = Urgency::Urgent;
-    let decision = policy.make_room(&urgent, &running_tasks, secs(1000)).expect("room can be made");
+    let decision =
+        policy.plan_preemption(&urgent, &running_tasks, secs(1000)).expect("room can be made");
     assert_replays(&decision);
     let ReliefStep::Evict { vm: from, task, .. } = &decision.choice else { panic!("{decision:?}") };
     assert_eq!((from, task.number), (&vm(0), 4));
-    assert_eq!(policy.make_room(&urgent, &running_tasks, secs(1001)), None);
+    assert_eq!(policy.plan_preemption(&urgent, &running_tasks, secs(1001)), None);
 }
 
 /// After the victim of an urgent task is closed, the next task to be placed could take its room.
@@ -167,7 +168,7 @@
     let running_tasks = IndexMap::from([(vm(0), vec![running_task(&config, "build", 1, secs(0))])]);
     let mut urgent = candidate(&config, "build", 9);
     urgent.spec.urgency = Urgency::Urgent;
-    assert!(policy.make_room(&urgent, &running_tasks, secs(100)).is_some());
+    assert!(policy.plan_preemption(&urgent, &running_tasks, secs(100)).is_some());
     policy.upsert_vm(with_tasks(view(0), "build", 3));
     let small = policy.choose(&candidate(&config, "wash", 10), secs(101)).choice;
     assert!(matches!(small, PlacementDecision::Wait { .. }), "{small:?}");
@@ -189,7 +190,7 @@
     let mut urgent = candidate(&config, "build", 9);
     urgent.spec.urgency = Urgency::Urgent;
     let running_tasks = IndexMap::from([(vm(0), non_idempotent)]);
-    assert_eq!(policy.make_room(&urgent, &running_tasks, secs(100)), None);
+    assert_eq!(policy.plan_preemption(&urgent, &running_tasks, secs(100)), None);
 }
 
 /// A lease lapses briefly, and the VM is removed and added again. The worker still throttles the
@@ -206,7 +207,7 @@
     for now in 20..200 {
         let tenants = vec![tenant("shop", 1000, 1.0), tenant("build", 1, 1.0)];
         policy.handle_report(&vm(0), &report(100 + now, secs(1), 0.7, tenants), secs(now));
-        let steps = policy.relieve(&vm(0), &running_tasks, secs(now));
+        let steps = policy.decide_relief(&vm(0), &running_tasks, secs(now));
         if let [Decision { choice: ReliefStep::Throttle { share, .. }, .. }] = &steps[..] {
             assert!(*share > 0.9, "{share}");
             return;
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -259,7 +259,7 @@
                 progress: 0.1,
             })
             .collect();
-        let steps = self.policy.relieve(&vm(request.vm), &running_tasks, now);
+        let steps = self.policy.decide_relief(&vm(request.vm), &running_tasks, now);
         let words: Vec<_> = steps.iter().map(|step| self.apply_relief(step)).collect();
         if words.is_empty() { "nothing".to_owned() } else { words.join(", ") }
     }
