--- a/benches/policy/cost.rs
+++ b/benches/policy/cost.rs
@@ -110,7 +110,7 @@
     let mut placed = 0;
     for number in 0..DECISIONS {
         let candidate = candidate(config, number as u64, cores);
-        let decision = policy.choose(&candidate, Duration::from_secs(10));
+        let decision = policy.place(&candidate, Duration::from_secs(10));
         placed += usize::from(matches!(decision.choice, PlacementDecision::Place { .. }));
     }
     placed
--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -21,7 +21,7 @@
 pub trait TestedPolicy {
     fn upsert(&mut self, view: VmView);
     fn remove(&mut self, vm: &VmId);
-    fn choose(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision;
+    fn place(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision;
 
     fn priority(&self, _candidate: &Candidate) -> Option<Priority> {
         None
@@ -105,7 +105,7 @@
         self.views.shift_remove(vm);
     }
 
-    fn choose(&mut self, candidate: &Candidate, _now: Duration) -> PlacementDecision {
+    fn place(&mut self, candidate: &Candidate, _now: Duration) -> PlacementDecision {
         let fits = |view: &&VmView| {
             view.health == VmHealth::Open && candidate.spec.resources.fits_in(&view.free)
         };
@@ -192,8 +192,8 @@
         }
     }
 
-    fn choose(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision {
-        self.writer(candidate).choose(candidate, now).choice
+    fn place(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision {
+        self.writer(candidate).place(candidate, now).choice
     }
 
     fn priority(&self, candidate: &Candidate) -> Option<Priority> {
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -351,7 +351,7 @@
 
     fn choose(&mut self, candidate: &Candidate, now: u64) -> PlacementDecision {
         let before = cpu_time();
-        let choice = self.policy.choose(candidate, Duration::from_secs(now));
+        let choice = self.policy.place(candidate, Duration::from_secs(now));
         self.out.decision_time += cpu_time() - before;
         self.out.decisions += 1;
         choice
--- a/src/core/life/partition.rs
+++ b/src/core/life/partition.rs
@@ -137,7 +137,7 @@
         let id = TaskId::new(self.id, self.next_number);
         let state = TaskState::new(id, key.clone(), spec.clone());
         let task = Task::new(state, Step::Submitting, cx.now);
-        let decision = cx.policy.admit(&candidate(&task, cx.now), cx.now);
+        let decision = cx.policy.check_admission(&candidate(&task, cx.now), cx.now);
         if let PlacementDecision::Never { reason, nearest } = &decision.choice {
             let nearest = nearest.map(|size| format!("; the nearest size that fits is {size}"));
             let reason = format!("{reason}{}", nearest.unwrap_or_default());
--- a/src/core/life/steps.rs
+++ b/src/core/life/steps.rs
@@ -106,7 +106,7 @@
     ) -> Placed {
         let Some(task) = self.tasks.get(&number) else { return Placed::Dequeued };
         let wanted = candidate(task, cx.now);
-        let decision = cx.policy.choose(&wanted, cx.now);
+        let decision = cx.policy.place(&wanted, cx.now);
         match decision.choice {
             PlacementDecision::Place { vm } => {
                 cx.act(Action::Explain(decision.record));
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -266,12 +266,16 @@
     }
 
     /// Checks whether a task could ever run and whether its team's quota allows it.
-    pub fn admit(&mut self, candidate: &Candidate, now: Duration) -> Decision<PlacementDecision> {
-        self.choose(candidate, now)
+    pub fn check_admission(
+        &mut self,
+        candidate: &Candidate,
+        now: Duration,
+    ) -> Decision<PlacementDecision> {
+        self.place(candidate, now)
     }
 
     /// Chooses a VM for a task. The caller reports the result with [`Policy::upsert_vm`].
-    pub fn choose(&mut self, candidate: &Candidate, now: Duration) -> Decision<PlacementDecision> {
+    pub fn place(&mut self, candidate: &Candidate, now: Duration) -> Decision<PlacementDecision> {
         self.advance_clock(now);
         let inputs = self.placement_inputs(candidate, now);
         let choice = inputs.decide();
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -28,9 +28,7 @@
         }
         let task = candidate(&config, ["build", "wash"][number as usize % 2], number);
         let class = task.spec.class.clone();
-        let PlacementDecision::Place { vm: to } = policy.choose(&task, now).choice else {
-            continue;
-        };
+        let PlacementDecision::Place { vm: to } = policy.place(&task, now).choice else { continue };
         let outcome = if to == vm(0) { failed() } else { Outcome::Succeeded };
         lost += u32::from(to == vm(0));
         policy.record_outcome(&to, &class, &outcome, now);
@@ -49,11 +47,11 @@
     for number in 0..600 {
         let now = secs(number);
         let good = candidate(&config, "wash", 10_000 + number);
-        if let PlacementDecision::Place { vm } = policy.choose(&good, now).choice {
+        if let PlacementDecision::Place { vm } = policy.place(&good, now).choice {
             policy.record_outcome(&vm, &good.spec.class, &Outcome::Succeeded, now);
         }
         let bad = candidate(&config, "build", number);
-        if let PlacementDecision::Place { vm } = policy.choose(&bad, now).choice {
+        if let PlacementDecision::Place { vm } = policy.place(&bad, now).choice {
             starts += 1;
             policy.record_outcome(&vm, &bad.spec.class, &failed(), now);
         }
@@ -76,13 +74,13 @@
     let steps = relieve(&mut policy, 0, secs(10));
     let quarantined = ReliefStep::Health { vm: vm(0), health: VmHealth::Quarantined };
     assert_eq!(steps[0].choice, quarantined);
-    let too_early = policy.choose(&candidate(&config, "wash", 1), secs(11)).choice;
+    let too_early = policy.place(&candidate(&config, "wash", 1), secs(11)).choice;
     assert!(matches!(too_early, PlacementDecision::Wait { .. }), "{too_early:?}");
     for number in 0..2 {
         let now = secs(120 + 60 * number);
-        let probe = policy.choose(&candidate(&config, "wash", number), now).choice;
+        let probe = policy.place(&candidate(&config, "wash", number), now).choice;
         assert_eq!(probe, PlacementDecision::Place { vm: vm(0) });
-        let second = policy.choose(&candidate(&config, "wash", 50 + number), now).choice;
+        let second = policy.place(&candidate(&config, "wash", 50 + number), now).choice;
         assert!(matches!(second, PlacementDecision::Wait { .. }), "two probes at once: {second:?}");
         policy.record_outcome(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
     }
@@ -98,7 +96,7 @@
     let mut policy = policy(config.clone(), [quarantined]);
     let mut build = candidate(&config, "build", 1);
     build.spec.idempotency = Idempotency::NonIdempotent;
-    let choice = policy.choose(&build, HOUR).choice;
+    let choice = policy.place(&build, HOUR).choice;
     assert!(matches!(choice, PlacementDecision::Wait { .. }), "{choice:?}");
 }
 
--- a/src/core/policy/tests/learning.rs
+++ b/src/core/policy/tests/learning.rs
@@ -103,7 +103,7 @@
         policy.handle_report(&vm(0), &pair(seq, "build", 1.9), secs(seq));
     }
     for number in 0..10 {
-        let choice = policy.choose(&candidate(&config, "build", number), secs(200)).choice;
+        let choice = policy.place(&candidate(&config, "build", number), secs(200)).choice;
         assert_eq!(choice, PlacementDecision::Place { vm: vm(1) });
     }
 }
--- a/src/core/policy/tests/placement.rs
+++ b/src/core/policy/tests/placement.rs
@@ -8,10 +8,10 @@
     let full = (0..20).map(|index| with_tasks(view(index), "build", 4));
     let one_left = with_tasks(view(20), "build", 3);
     let mut policy = policy(config.clone(), full.chain([one_left]));
-    let decision = policy.choose(&candidate(&config, "build", 1), secs(1));
+    let decision = policy.place(&candidate(&config, "build", 1), secs(1));
     assert_eq!(decision.choice, PlacementDecision::Place { vm: vm(20) });
     policy.upsert_vm(with_tasks(view(20), "build", 4));
-    let decision = policy.choose(&candidate(&config, "build", 2), secs(2));
+    let decision = policy.place(&candidate(&config, "build", 2), secs(2));
     let PlacementDecision::Wait { reason } = &decision.choice else { panic!("{decision:?}") };
     assert!(reason.contains("no room (21 VMs)"), "{reason}");
 }
@@ -22,7 +22,7 @@
     let mut policy = policy(config.clone(), (0..8).map(view));
     let mut oversized = candidate(&config, "build", 1);
     oversized.spec.resources = Resources::new(48_000, 20_000, 0);
-    let decision = policy.admit(&oversized, secs(1));
+    let decision = policy.check_admission(&oversized, secs(1));
     let PlacementDecision::Never { nearest, .. } = decision.choice else { panic!("{decision:?}") };
     assert_eq!(nearest, Some(Resources::new(32_000, 20_000, 0)));
     let verdict = decision.record.verdict;
@@ -35,13 +35,13 @@
     let mut policy =
         policy(config.clone(), (0..2).map(|index| with_tasks(view(index), "build", 4)));
     let candidate = candidate(&config, "build", 1);
-    let before = policy.choose(&candidate, secs(1)).choice;
+    let before = policy.place(&candidate, secs(1)).choice;
     assert!(matches!(before, PlacementDecision::Wait { .. }), "{before:?}");
     let mut narrower = config;
     let pool = Pool { domains: vec!["remera".into()], min_size: Resources::ZERO };
     narrower.pools.insert("all".into(), pool);
     policy.configure(Arc::new(narrower));
-    let after = policy.choose(&candidate, secs(2)).choice;
+    let after = policy.place(&candidate, secs(2)).choice;
     assert!(matches!(after, PlacementDecision::Never { nearest: None, .. }), "{after:?}");
 }
 
@@ -57,9 +57,9 @@
     small.free = small.size;
     policy.upsert_vm(small);
     let candidate = candidate(&config, "build", 1);
-    let early = policy.admit(&candidate, secs(100)).choice;
+    let early = policy.check_admission(&candidate, secs(100)).choice;
     assert!(matches!(early, PlacementDecision::Wait { .. }), "{early:?}");
-    let late = policy.admit(&candidate, secs(106)).choice;
+    let late = policy.check_admission(&candidate, secs(106)).choice;
     assert!(matches!(late, PlacementDecision::Never { .. }), "{late:?}");
 }
 
@@ -70,7 +70,7 @@
     let mut backward = policy(config.clone(), (0..300).rev().map(view));
     for number in 0..50 {
         let candidate = candidate(&config, "narration", number);
-        assert_eq!(forward.choose(&candidate, secs(1)), backward.choose(&candidate, secs(1)));
+        assert_eq!(forward.place(&candidate, secs(1)), backward.place(&candidate, secs(1)));
     }
 }
 
@@ -81,7 +81,7 @@
     let mut chosen = std::collections::BTreeSet::new();
     for number in 0..56 {
         if let PlacementDecision::Place { vm } =
-            policy.choose(&candidate(&config, "build", number), secs(1)).choice
+            policy.place(&candidate(&config, "build", number), secs(1)).choice
         {
             chosen.insert(vm);
         }
@@ -97,7 +97,7 @@
     for number in 0..60 {
         let mut candidate = candidate(&config, "build", number);
         candidate.spec.resources.milli_cores.0 = 1000 * number as u32;
-        let decision = policy.choose(&candidate, secs(1));
+        let decision = policy.place(&candidate, secs(1));
         let text = serde_json::to_string(&decision.record).expect("a record can be written");
         let record = serde_json::from_str(&text).expect("a record can be read");
         let replayed = explain::replay(&record).expect("it can be replayed");
@@ -109,10 +109,10 @@
 fn a_team_at_its_quota_waits_while_others_are_placed() {
     let config = with_quota(config(), "audio", 8);
     let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 1), view(1)]);
-    let audio = policy.choose(&candidate(&config, "narration", 1), secs(1)).choice;
+    let audio = policy.place(&candidate(&config, "narration", 1), secs(1)).choice;
     let PlacementDecision::Wait { reason } = audio else { panic!("{audio:?}") };
     assert!(reason.contains("allowance"), "{reason}");
-    let cellar = policy.choose(&candidate(&config, "wash", 2), secs(1)).choice;
+    let cellar = policy.place(&candidate(&config, "wash", 2), secs(1)).choice;
     assert!(matches!(cellar, PlacementDecision::Place { .. }), "{cellar:?}");
 }
 
@@ -127,11 +127,11 @@
         let mut policy = policy(config.clone(), [short.clone()]);
         let mut build = candidate(&config, "build", 1);
         build.spec.resources = Resources::new(8000, 16_384, 1);
-        let choice = policy.choose(&build, secs(1)).choice;
+        let choice = policy.place(&build, secs(1)).choice;
         assert!(matches!(choice, PlacementDecision::Wait { .. }), "{:?}: {choice:?}", short.free);
         short.free = build.spec.resources;
         policy.upsert_vm(short);
-        let choice = policy.choose(&build, secs(2)).choice;
+        let choice = policy.place(&build, secs(2)).choice;
         assert_eq!(choice, PlacementDecision::Place { vm: vm(0) });
     }
 }
@@ -149,7 +149,7 @@
     for number in 0..80 {
         let mut build = candidate(&config, "build", number);
         build.waited = secs(number * 10);
-        let decision = policy.choose(&build, secs(100));
+        let decision = policy.place(&build, secs(100));
         kinds.insert(decision.record.verdict.split(&[' ', ':'][..]).next().map(str::to_owned));
         let text = serde_json::to_string(&decision.record).expect("a record can be written");
         let record = serde_json::from_str(&text).expect("a record can be read");
--- a/src/core/policy/tests/quotas.rs
+++ b/src/core/policy/tests/quotas.rs
@@ -54,7 +54,7 @@
     let mut policy = policy(config.clone(), [view(0), remote]);
     policy.remove_vm(&vm(1));
     policy.upsert_vm(with_tasks(view(0), "build", 1));
-    let choice = policy.choose(&candidate(&config, "build", 1), secs(1)).choice;
+    let choice = policy.place(&candidate(&config, "build", 1), secs(1)).choice;
     assert!(matches!(choice, PlacementDecision::Wait { .. }), "{choice:?}");
 }
 
@@ -63,10 +63,10 @@
     let config = with_quota(config(), "audio", 16);
     let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 2)]);
     let build = candidate(&config, "build", 1);
-    assert!(matches!(policy.choose(&build, secs(1)).choice, PlacementDecision::Wait { .. }));
+    assert!(matches!(policy.place(&build, secs(1)).choice, PlacementDecision::Wait { .. }));
     policy.upsert_vm(with_tasks(view(0), "build", 1));
-    assert!(matches!(policy.choose(&build, secs(2)).choice, PlacementDecision::Place { .. }));
+    assert!(matches!(policy.place(&build, secs(2)).choice, PlacementDecision::Place { .. }));
     policy.upsert_vm(with_tasks(view(0), "build", 2));
     policy.configure(Arc::new(with_quota(config, "audio", 24)));
-    assert!(matches!(policy.choose(&build, secs(3)).choice, PlacementDecision::Place { .. }));
+    assert!(matches!(policy.place(&build, secs(3)).choice, PlacementDecision::Place { .. }));
 }
--- a/src/core/policy/tests/relief.rs
+++ b/src/core/policy/tests/relief.rs
@@ -170,9 +170,9 @@
     urgent.spec.urgency = Urgency::Urgent;
     assert!(policy.plan_preemption(&urgent, &running_tasks, secs(100)).is_some());
     policy.upsert_vm(with_tasks(view(0), "build", 3));
-    let small = policy.choose(&candidate(&config, "wash", 10), secs(101)).choice;
+    let small = policy.place(&candidate(&config, "wash", 10), secs(101)).choice;
     assert!(matches!(small, PlacementDecision::Wait { .. }), "{small:?}");
-    let placed = policy.choose(&urgent, secs(102)).choice;
+    let placed = policy.place(&urgent, secs(102)).choice;
     assert_eq!(placed, PlacementDecision::Place { vm: vm(0) });
 }
 
--- a/src/core/policy/tests/waiting.rs
+++ b/src/core/policy/tests/waiting.rs
@@ -19,13 +19,13 @@
         counts[done] = counts[done].saturating_sub(1);
         policy.upsert_vm(filled(done, counts[done]));
         large.waited = now;
-        if let PlacementDecision::Place { .. } = policy.choose(&large, now).choice {
+        if let PlacementDecision::Place { .. } = policy.place(&large, now).choice {
             assert!(second < 120, "placed after {second} s");
             return;
         }
         number += 1;
         let small = candidate(&config, "narration", number);
-        if let PlacementDecision::Place { vm: to } = policy.choose(&small, now).choice {
+        if let PlacementDecision::Place { vm: to } = policy.place(&small, now).choice {
             let index = (0..4).find(|index| vm(*index) == to).expect("a known VM");
             counts[index] += 1;
             policy.upsert_vm(filled(index, counts[index]));
@@ -43,9 +43,9 @@
         let mut large = candidate(&config, "build", number);
         large.spec.resources = Resources::new(30_000, 40_000, 0);
         large.waited = secs(100);
-        policy.choose(&large, secs(100));
+        policy.place(&large, secs(100));
     }
-    let decision = policy.choose(&candidate(&config, "wash", 1000), secs(101));
+    let decision = policy.place(&candidate(&config, "wash", 1000), secs(101));
     let reserved = decision.record.passed_over.get("held for a task that waited longer");
     assert!(reserved.copied().unwrap_or(0) <= 2, "{:?}", decision.record.passed_over);
     assert!(matches!(decision.choice, PlacementDecision::Place { .. }));
@@ -60,11 +60,11 @@
         policy.handle_report(&vm(0), &report(seq, secs(1), 0.7, tenants), secs(seq));
     }
     let mut build = candidate(&config, "build", 1);
-    let first = policy.choose(&build, secs(101)).choice;
+    let first = policy.place(&build, secs(101)).choice;
     let PlacementDecision::Wait { reason } = first else { panic!("{first:?}") };
     assert!(reason.contains("would suffer"), "{reason}");
     build.waited = secs(600);
-    let last = policy.choose(&build, secs(701)).choice;
+    let last = policy.place(&build, secs(701)).choice;
     assert_eq!(last, PlacementDecision::Place { vm: vm(0) });
 }
 
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -310,7 +310,7 @@
             waited: Duration::from_secs(request.waited),
             avoid: Vec::new(),
         };
-        let decision = self.policy.choose(&candidate, now);
+        let decision = self.policy.place(&candidate, now);
         let replayed = explain::replay(&decision.record).expect("the record can be replayed");
         assert_eq!(replayed, explain::Replayed::Choice(decision.choice.clone()));
         match decision.choice {
