--- a/src/core/context.rs
+++ b/src/core/context.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Events for which the state chart has no transition from the current state.
-    pub undeclared: u64,
+    pub undeclared_transitions: u64,
     /// Messages and responses that were late, duplicated or for an earlier attempt.
     pub stale: u64,
     pub starts: u64,
--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -492,7 +492,7 @@
     match chart.next(vm.step, event) {
         Ok(next) => vm.step = next,
         Err(e) => {
-            cx.counters.undeclared += 1;
+            cx.counters.undeclared_transitions += 1;
             eprintln!("DBG vm {e}");
             log::warn!(error:% = e; "undeclared transition");
         }
--- a/src/core/life/task.rs
+++ b/src/core/life/task.rs
@@ -153,7 +153,7 @@
                 Fired::Moved
             }
             Err(e) => {
-                cx.counters.undeclared += 1;
+                cx.counters.undeclared_transitions += 1;
                 eprintln!("DBG {} {} {e}", self.state.id, self.state.attempt);
                 log::warn!(task:% = self.state.id, error:% = e; "undeclared transition");
                 Fired::Undeclared
--- a/tests/common/promises.rs
+++ b/tests/common/promises.rs
@@ -50,7 +50,7 @@
         broken.extend(answered_wrongly(world, submission));
     }
     for id in world.daemons() {
-        let undeclared = world.core(&id).counters().undeclared;
+        let undeclared = world.core(&id).counters().undeclared_transitions;
         if undeclared > 0 {
             broken.push(format!("{undeclared} undeclared transitions on {id}"));
         }
