--- a/src/core/life/partition.rs
+++ b/src/core/life/partition.rs
@@ -491,7 +491,7 @@
             id: self.id,
             tasks: self.tasks.len(),
             waiting: self.waiting.len(),
-            unwritten: self.log.len(),
+            queued_records: self.log.len(),
         }
     }
 
--- a/src/core/query.rs
+++ b/src/core/query.rs
@@ -17,7 +17,7 @@
     /// Tasks waiting for a VM.
     pub waiting: usize,
     /// Records waiting for a commit.
-    pub unwritten: usize,
+    pub queued_records: usize,
 }
 
 impl Core {
--- a/tests/common/solo.rs
+++ b/tests/common/solo.rs
@@ -72,7 +72,8 @@
             self.actions = kept;
             let is_view =
                 |action: &Action| matches!(action, Action::Send { msg: PeerMsg::Views { .. }, .. });
-            let written = self.core.partitions().iter().all(|partition| partition.unwritten == 0);
+            let written =
+                self.core.partitions().iter().all(|partition| partition.queued_records == 0);
             let last = written && own.iter().all(is_view);
             own.into_iter().for_each(|action| self.carry_out(action));
             if last {
