--- a/src/control.rs
+++ b/src/control.rs
@@ -180,7 +180,7 @@
 
     fn show(&self, task: TaskId) -> Option<Shown> {
         let state = self.core.task(task)?.clone();
-        Some(Shown { task: state, waiting_for: self.core.waiting_for(task) })
+        Some(Shown { task: state, waiting_for: self.core.waiting_reason(task) })
     }
 }
 
--- a/src/core/query.rs
+++ b/src/core/query.rs
@@ -32,7 +32,7 @@
     }
 
     /// Describes what a task is waiting for; `None` if it is running, has ended or is unknown.
-    pub fn waiting_for(&self, id: TaskId) -> Option<String> {
+    pub fn waiting_reason(&self, id: TaskId) -> Option<String> {
         let task = self.find_task(id)?;
         let vm = task.vm.as_ref().map_or("a VM", |vm| vm.as_str());
         let held = task.vm.as_ref().and_then(|vm| self.writer.fleet().holder(vm)).is_some();
--- a/tests/common/promises.rs
+++ b/tests/common/promises.rs
@@ -67,7 +67,8 @@
         Phase::Ended { outcome: Outcome::Unknown { .. } } if once => None,
         Phase::Ended { outcome: Outcome::Cancelled } if world.cancelled.contains(&task.id) => None,
         phase => {
-            let waits = world.writer().and_then(|writer| world.core(&writer).waiting_for(task.id));
+            let waits =
+                world.writer().and_then(|writer| world.core(&writer).waiting_reason(task.id));
             Some(format!("{} is {phase:?} with {finishes} finishes; waits {waits:?}", task.id))
         }
     }
--- a/tests/core_steps.rs
+++ b/tests/core_steps.rs
@@ -281,7 +281,7 @@
         records == Some(waxwingstall::task::Phase::Waiting)
     };
     assert!(!released(&solo));
-    assert!(solo.core.waiting_for(task(0)).is_none_or(|text| text.contains("w0")));
+    assert!(solo.core.waiting_reason(task(0)).is_none_or(|text| text.contains("w0")));
     solo.tell(Event::Listed(vec![listed("w9")]));
     solo.wait(ms(2_000));
     solo.wait(ms(50_000));
@@ -423,6 +423,6 @@
     solo.wait(ms(1_500));
     let asked = |msg: &&PeerMsg| matches!(msg, PeerMsg::Reserve { .. });
     assert!(solo.sent_to(OTHER).iter().any(asked));
-    let waits = solo.core.waiting_for(task(0));
+    let waits = solo.core.waiting_reason(task(0));
     assert!(waits.as_deref().is_some_and(|text| text.starts_with("for a VM")), "{waits:?}");
 }
