--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -211,7 +211,7 @@
     /// Recomputes which VMs this daemon is the preferred holder of.
     pub fn update_preferences(&mut self, cx: &mut Context) {
         for (id, listed) in &self.listed {
-            let preferred = cx.members.holder_of(id, &listed.domain) == Some(&cx.cfg.me);
+            let preferred = cx.members.preferred_holder(id, &listed.domain) == Some(&cx.cfg.me);
             if preferred {
                 self.vms.entry(id.clone()).or_insert_with(|| Vm::new(listed.domain.clone()));
             }
--- a/src/core/holder/attempts.rs
+++ b/src/core/holder/attempts.rs
@@ -308,8 +308,10 @@
         let Some(slot) = self.slot_mut(vm_id, &attempt) else { return };
         let Some(msg) = slot.report(vm_id, &attempt) else { return };
         slot.retry_at = retry_at;
-        let to =
-            slot.writer.take().or_else(|| cx.members.writer_of(attempt.task.partition).cloned());
+        let to = slot
+            .writer
+            .take()
+            .or_else(|| cx.members.preferred_writer(attempt.task.partition).cloned());
         if let Some(to) = to {
             cx.send(&to, msg);
         }
--- a/src/core/holder/outbox.rs
+++ b/src/core/holder/outbox.rs
@@ -48,7 +48,7 @@
         }
         self.retry_at = cx.now + cx.cfg.limits.retry_period;
         for (key, msg) in &self.reports {
-            if let Some(to) = cx.members.writer_of(key.attempt.task.partition).cloned() {
+            if let Some(to) = cx.members.preferred_writer(key.attempt.task.partition).cloned() {
                 cx.send(&to, msg.clone());
             }
         }
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -28,7 +28,7 @@
         }
         self.writers = partitions
             .iter()
-            .filter_map(|home| Some((home.id, self.preferred_writer(home)?.clone())))
+            .filter_map(|home| Some((home.id, self.select_writer(home)?.clone())))
             .collect();
     }
 
@@ -38,12 +38,12 @@
     }
 
     /// Daemon preferred as the holder of a VM.
-    pub fn holder_of(&self, vm: &VmId, domain: &DomainId) -> Option<&DaemonId> {
+    pub fn preferred_holder(&self, vm: &VmId, domain: &DomainId) -> Option<&DaemonId> {
         self.choose(vm.as_str().as_bytes(), domain)
     }
 
     /// Daemon preferred as the writer of a partition.
-    pub fn writer_of(&self, partition: PartitionId) -> Option<&DaemonId> {
+    pub fn preferred_writer(&self, partition: PartitionId) -> Option<&DaemonId> {
         self.writers.get(&partition)
     }
 
@@ -52,7 +52,7 @@
         self.writers.values().collect()
     }
 
-    fn preferred_writer(&self, home: &PartitionHome) -> Option<&DaemonId> {
+    fn select_writer(&self, home: &PartitionHome) -> Option<&DaemonId> {
         self.choose(&home.id.0.to_le_bytes(), &home.domain)
     }
 
--- a/src/core/query.rs
+++ b/src/core/query.rs
@@ -64,13 +64,13 @@
     }
 
     /// The daemon preferred as the writer of the partition.
-    pub fn writer_of(&self, partition: PartitionId) -> Option<DaemonId> {
-        self.cx.members.writer_of(partition).cloned()
+    pub fn preferred_writer(&self, partition: PartitionId) -> Option<DaemonId> {
+        self.cx.members.preferred_writer(partition).cloned()
     }
 
     /// The daemon preferred as the holder of a VM in a failure domain.
-    pub fn holder_of(&self, vm: &VmId, domain: &DomainId) -> Option<DaemonId> {
-        self.cx.members.holder_of(vm, domain).cloned()
+    pub fn preferred_holder(&self, vm: &VmId, domain: &DomainId) -> Option<DaemonId> {
+        self.cx.members.preferred_holder(vm, domain).cloned()
     }
 
     /// The VMs whose control lease this daemon holds.
--- a/src/front/forward.rs
+++ b/src/front/forward.rs
@@ -17,7 +17,7 @@
     }
     let writer = handles
         .control
-        .send(Inspect(move |control: &Control| control.core().writer_of(partition)))
+        .send(Inspect(move |control: &Control| control.core().preferred_writer(partition)))
         .await
         .ok()
         .flatten();
--- a/src/front/shares.rs
+++ b/src/front/shares.rs
@@ -58,7 +58,7 @@
     let domain = handles.domain.clone();
     let holders = handles.control.send(Inspect(move |control: &Control| {
         let core = control.core();
-        vms.iter().map(|vm| core.holder_of(vm, &domain)).collect::<Vec<_>>()
+        vms.iter().map(|vm| core.preferred_holder(vm, &domain)).collect::<Vec<_>>()
     }));
     let Ok(holders) = holders.await else { return };
     let mut batches: IndexMap<DaemonId, Vec<ShareRequest>> = IndexMap::new();
--- a/src/front/status.rs
+++ b/src/front/status.rs
@@ -94,7 +94,7 @@
         let summary = own.iter().find(|summary| summary.id == *id);
         PartitionStatus {
             partition: *id,
-            writer: core.writer_of(*id),
+            writer: core.preferred_writer(*id),
             tasks: summary.map(|summary| count(summary.tasks)),
             waiting_tasks: summary.map(|summary| count(summary.waiting)),
         }
--- a/tests/core_steps.rs
+++ b/tests/core_steps.rs
@@ -374,7 +374,7 @@
 fn a_lone_daemon_holds_the_vm_and_is_the_preferred_writer() {
     let solo = Solo::at_work(&["w0"]);
     assert_eq!(solo.core.vms().len(), 1);
-    assert_eq!(solo.core.writer_of(PARTITION), Some(daemon(ME)));
+    assert_eq!(solo.core.preferred_writer(PARTITION), Some(daemon(ME)));
 }
 
 /// Guards against an urgent task waiting behind a narration that could resume on another VM. The
