--- a/src/core/holder.rs
+++ b/src/core/holder.rs
@@ -211,7 +211,8 @@
     /// Recomputes which VMs this daemon is the preferred holder of.
     pub fn update_preferences(&mut self, cx: &mut Context) {
         for (id, listed) in &self.listed {
-            let preferred = cx.members.preferred_holder(id, &listed.domain) == Some(&cx.cfg.me);
+            let preferred =
+                cx.members.preferred_holder(id, &listed.domain) == Some(&cx.cfg.daemon_id);
             if preferred {
                 self.vms.entry(id.clone()).or_insert_with(|| Vm::new(listed.domain.clone()));
             }
@@ -483,7 +484,7 @@
 
     fn views(&self, cx: &Context) -> Vec<VmView> {
         let held = self.vms.iter().filter(|(_, vm)| vm.step == VmStep::Held);
-        held.filter_map(|(id, vm)| vm.view(id, &cx.cfg.me)).collect()
+        held.filter_map(|(id, vm)| vm.view(id, &cx.cfg.daemon_id)).collect()
     }
 }
 
--- a/src/core/life.rs
+++ b/src/core/life.rs
@@ -103,7 +103,7 @@
     pub fn members_changed(&mut self, cx: &mut Context) {
         self.fleet.expire(cx);
         for home in &cx.cfg.partitions {
-            let preferred = cx.members.preferred_writer(home.id) == Some(&cx.cfg.me);
+            let preferred = cx.members.preferred_writer(home.id) == Some(&cx.cfg.daemon_id);
             let role = self.roles.entry(home.id).or_insert(Role::Other { since: None });
             match role {
                 Role::Other { since } if preferred => *since = since.or(Some(cx.now)),
@@ -177,7 +177,7 @@
             return;
         }
         let partition = Partition::recovered(cx, id, self.chart.clone(), tasks, next_number);
-        let preferred = cx.members.preferred_writer(id) == Some(&cx.cfg.me);
+        let preferred = cx.members.preferred_writer(id) == Some(&cx.cfg.daemon_id);
         let other_preferred_since = if preferred { None } else { Some(cx.now) };
         self.roles
             .insert(id, Role::Writing { partition: Box::new(partition), other_preferred_since });
@@ -189,7 +189,7 @@
         if !matches!(self.roles.get(&id), Some(Role::Writing { .. })) {
             return;
         }
-        let preferred = cx.members.preferred_writer(id) == Some(&cx.cfg.me);
+        let preferred = cx.members.preferred_writer(id) == Some(&cx.cfg.daemon_id);
         let least = cx.cfg.limits.recover_after;
         let wait = self.losses.entry(id).or_default().record(cx.now, least);
         let role = Role::Other { since: preferred.then_some(cx.now + wait) };
@@ -341,7 +341,7 @@
         self.eviction_requests = self.eviction_requests.wrapping_add(1);
         let room = &candidate.spec.resources;
         let Some(vm) =
-            self.fleet.find_large_enough(room, &cx.cfg.me, self.eviction_requests).cloned()
+            self.fleet.find_large_enough(room, &cx.cfg.daemon_id, self.eviction_requests).cloned()
         else {
             return;
         };
@@ -394,7 +394,7 @@
     }
 
     fn close_all(&mut self, cx: &mut Context, vm: &VmId) {
-        let from = cx.cfg.me.clone();
+        let from = cx.cfg.daemon_id.clone();
         for partition in self.partitions_mut() {
             for TaskAttempt { task, attempt } in partition.bound_to(vm) {
                 let report = AttemptReport { from: from.clone(), vm: vm.clone(), task, attempt };
--- a/src/core/life/log.rs
+++ b/src/core/life/log.rs
@@ -232,7 +232,7 @@
         let backoff = limits.store_backoff * 2_u32.saturating_pow(failures.min(16) - 1);
         let wait = backoff.min(limits.store_backoff_max);
         let seed = u64::from(failures);
-        let hash = xxh3_64_with_seed(cx.cfg.me.as_str().as_bytes(), seed) % 512;
+        let hash = xxh3_64_with_seed(cx.cfg.daemon_id.as_str().as_bytes(), seed) % 512;
         let jitter = wait / 1024 * u32::try_from(hash).unwrap_or(0);
         self.store = StoreState::Down { until: cx.now + wait / 2 + jitter, failures };
     }
--- a/src/core/settings.rs
+++ b/src/core/settings.rs
@@ -6,7 +6,7 @@
 /// Settings of a core.
 #[derive(Clone, Debug)]
 pub struct CoreSettings {
-    pub me: DaemonId,
+    pub daemon_id: DaemonId,
     /// Failure domain of this daemon.
     pub domain: DomainId,
     /// Requested duration of control leases and task leases.
@@ -89,9 +89,9 @@
 
 impl CoreSettings {
     /// Creates settings with leases of 10 s that are renewed every 2 s.
-    pub fn new(me: DaemonId, domain: DomainId) -> Self {
+    pub fn new(daemon_id: DaemonId, domain: DomainId) -> Self {
         Self {
-            me,
+            daemon_id,
             domain,
             lease_ttl: Duration::from_secs(10),
             sync_period: Duration::from_secs(2),
