--- a/benches/core_fencing.rs
+++ b/benches/core_fencing.rs
@@ -30,7 +30,7 @@
 }
 
 impl Faults for RandomPauses {
-    fn meet(&mut self, _: Duration, _: &DaemonId, action: &Action) -> Fate {
+    fn inject(&mut self, _: Duration, _: &DaemonId, action: &Action) -> Fate {
         let has_effect = matches!(
             action,
             Action::Start { .. } | Action::Close { .. } | Action::Checkpoint { .. }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -22,8 +22,8 @@
 
 /// What is done with an action before it is carried out.
 pub trait Faults {
-    /// Decides on an action that a daemon is about to carry out.
-    fn meet(&mut self, now: Duration, from: &DaemonId, action: &Action) -> Fate;
+    /// Returns the fault to inject into an action that a daemon is about to carry out.
+    fn inject(&mut self, now: Duration, from: &DaemonId, action: &Action) -> Fate;
 
     /// Time that a message takes.
     fn latency(&mut self) -> Duration {
@@ -88,7 +88,7 @@
 pub struct Sound;
 
 impl Faults for Sound {
-    fn meet(&mut self, _: Duration, _: &DaemonId, _: &Action) -> Fate {
+    fn inject(&mut self, _: Duration, _: &DaemonId, _: &Action) -> Fate {
         Fate::Done
     }
 }
@@ -420,7 +420,7 @@
             if !self.nodes.contains_key(from) {
                 return;
             }
-            let fate = self.faults.meet(self.now, from, &action);
+            let fate = self.faults.inject(self.now, from, &action);
             match fate {
                 Fate::KilledBefore => return self.kill(from),
                 Fate::PausedBeforeCheck(pause) => {
--- a/tests/core_faults.rs
+++ b/tests/core_faults.rs
@@ -163,7 +163,7 @@
 }
 
 impl Faults for SingleFault {
-    fn meet(&mut self, _: Duration, _: &DaemonId, action: &Action) -> Fate {
+    fn inject(&mut self, _: Duration, _: &DaemonId, action: &Action) -> Fate {
         if self.remaining == 0 || !self.step.matches(action) {
             return Fate::Done;
         }
--- a/tests/core_properties.rs
+++ b/tests/core_properties.rs
@@ -39,7 +39,7 @@
 }
 
 impl Faults for RandomFaults {
-    fn meet(&mut self, _: Duration, _: &DaemonId, _: &Action) -> Fate {
+    fn inject(&mut self, _: Duration, _: &DaemonId, _: &Action) -> Fate {
         if !self.active {
             return Fate::Done;
         }
