--- a/benches/core_fencing.rs
+++ b/benches/core_fencing.rs
@@ -10,7 +10,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::promises::{broken_now, summary};
+use common::promises::{invariant_violations, summary};
 use common::world::{Acts, ClockCheck, Excused, Fate, Faults, World};
 use common::{Kind, ms, spec};
 use rand::rngs::StdRng;
@@ -76,7 +76,7 @@
     total.acts.withheld += acts.withheld;
     total.acts.without_lease += acts.without_lease;
     total.acts.against_holder += acts.against_holder;
-    total.broken_runs += u64::from(!broken_now(&world).is_empty());
+    total.broken_runs += u64::from(!invariant_violations(&world).is_empty());
     let end = summary(&world);
     total.finished += end.finished;
     total.unknown += end.unknown;
--- a/tests/common/promises.rs
+++ b/tests/common/promises.rs
@@ -25,8 +25,8 @@
     pub resumed: u32,
 }
 
-/// Promises that must hold at every moment.
-pub fn broken_now<F: Faults>(world: &World<F>) -> Vec<String> {
+/// Returns the violations of the invariants that hold at all times.
+pub fn invariant_violations<F: Faults>(world: &World<F>) -> Vec<String> {
     let mut broken = world.violations();
     let book = world.book();
     for task in world.tasks() {
@@ -42,9 +42,13 @@
     broken
 }
 
-/// Promises that must hold once the faults are over and everything has settled.
-pub fn broken_at_rest<F: Faults>(world: &World<F>, submissions: &[Submission]) -> Vec<String> {
-    let mut broken = broken_now(world);
+/// Returns the violations of the invariants that hold after the faults have ended and the cluster
+/// has settled.
+pub fn final_state_violations<F: Faults>(
+    world: &World<F>,
+    submissions: &[Submission],
+) -> Vec<String> {
+    let mut broken = invariant_violations(world);
     broken.extend(world.tasks().iter().filter_map(|task| unsettled(world, task)));
     for submission in submissions {
         broken.extend(answered_wrongly(world, submission));
--- a/tests/core_faults.rs
+++ b/tests/core_faults.rs
@@ -10,7 +10,9 @@
 #[allow(dead_code)] // each test binary uses only part of the module
 mod common;
 
-use common::promises::{Submission, Summary, broken_at_rest, broken_now, summary};
+use common::promises::{
+    Submission, Summary, final_state_violations, invariant_violations, summary,
+};
 use common::world::{Fate, Faults, World};
 use common::{Kind, ms, spec};
 use serde::Deserialize;
@@ -217,7 +219,7 @@
     world.add_daemon("c");
     for _ in 0..8 {
         world.run_for(ms(5_000));
-        let broken = broken_now(&world);
+        let broken = invariant_violations(&world);
         if !broken.is_empty() {
             return Err(broken);
         }
@@ -226,7 +228,7 @@
         submissions.extend(submit_again(&mut world, &submissions[..8]));
         world.run_for(ms(45_000));
     }
-    let mut broken = broken_at_rest(&world, &submissions);
+    let mut broken = final_state_violations(&world, &submissions);
     if world.faults.remaining > 0 {
         broken.push(format!("{step:?} occurred less than {occurrence} times"));
     }
--- a/tests/core_properties.rs
+++ b/tests/core_properties.rs
@@ -9,7 +9,7 @@
 #[allow(dead_code)] // each test binary uses only part of the module
 mod common;
 
-use common::promises::{Submission, broken_at_rest, broken_now, summary};
+use common::promises::{Submission, final_state_violations, invariant_violations, summary};
 use common::world::{Excused, Fate, Faults, World};
 use common::{Kind, ms, spec};
 use rand::rngs::StdRng;
@@ -164,13 +164,13 @@
         run.inject_random_event();
         let time = ms(run.rng.random_range(20..800));
         run.world.run_for(time);
-        let broken = broken_now(&run.world);
+        let broken = invariant_violations(&run.world);
         if !broken.is_empty() {
             return Err(format!("seed {seed}, step {step}: {}", broken.join("; ")));
         }
     }
     run.settle();
-    let broken = broken_at_rest(&run.world, &run.submissions);
+    let broken = final_state_violations(&run.world, &run.submissions);
     let end = summary(&run.world);
     if broken.is_empty() {
         return Ok(());
