--- a/benches/core_step.rs
+++ b/benches/core_step.rs
@@ -55,11 +55,11 @@
     solo.tell(Event::Members(members));
     solo.wait(ms(600));
     solo.recover((0..tasks).map(running).collect());
-    solo.hear(HOLDER, PeerMsg::Views { views: (0..VMS).map(view).collect() });
+    solo.receive(HOLDER, PeerMsg::Views { views: (0..VMS).map(view).collect() });
     for number in 0..tasks {
         let vm = VmId::new(&format!("v{}", number % VMS));
         let task = TaskId::new(PARTITION, number);
-        solo.hear(HOLDER, PeerMsg::Started { vm, task, attempt: Attempt(1) });
+        solo.receive(HOLDER, PeerMsg::Started { vm, task, attempt: Attempt(1) });
     }
     solo.take();
     solo
@@ -113,7 +113,7 @@
 
 /// Sends the holder's views, as at each renewal, and ticks the core for two seconds.
 fn advance_two_seconds(solo: &mut Solo, progress: &mut Progress) {
-    solo.hear(HOLDER, PeerMsg::Views { views: (0..VMS).map(view).collect() });
+    solo.receive(HOLDER, PeerMsg::Views { views: (0..VMS).map(view).collect() });
     for _ in 0..20 {
         solo.wait(ms(100));
         progress.steps += 1;
--- a/tests/common/solo.rs
+++ b/tests/common/solo.rs
@@ -144,8 +144,8 @@
         ticket
     }
 
-    /// A message from another daemon.
-    pub fn hear(&mut self, from: &str, msg: PeerMsg) {
+    /// Delivers a message from another daemon.
+    pub fn receive(&mut self, from: &str, msg: PeerMsg) {
         self.tell(Event::Peer { from: DaemonId::new(from), msg });
     }
 
--- a/tests/core_steps.rs
+++ b/tests/core_steps.rs
@@ -57,8 +57,8 @@
 /// A core that holds w0, on which task 0 of another daemon runs.
 fn with_a_running_task(spec: &TaskSpec) -> Solo {
     let mut solo = Solo::at_work(&["w0"]);
-    solo.hear(OTHER, reserve(0, spec));
-    solo.hear(OTHER, start(0, spec));
+    solo.receive(OTHER, reserve(0, spec));
+    solo.receive(OTHER, start(0, spec));
     solo.started("w0", task(0), 1);
     solo.take();
     solo
@@ -71,13 +71,13 @@
     let mut solo = with_a_running_task(&vm_sized_task());
     let (vm, boot, attempt) = (VmId::new("w0"), BootId(1), Attempt(1));
     let why = CloseReason::Cancelled;
-    solo.hear(OTHER, PeerMsg::Close { vm, boot, task: task(0), attempt, why });
+    solo.receive(OTHER, PeerMsg::Close { vm, boot, task: task(0), attempt, why });
     assert_eq!(closes(&solo), 1);
-    solo.hear(OTHER, reserve(1, &vm_sized_task()));
+    solo.receive(OTHER, reserve(1, &vm_sized_task()));
     assert!(declined(&solo, Decline::NoRoom));
     solo.take();
     solo.closed("w0", task(0), 1);
-    solo.hear(OTHER, reserve(1, &vm_sized_task()));
+    solo.receive(OTHER, reserve(1, &vm_sized_task()));
     assert!(!declined(&solo, Decline::NoRoom));
 }
 
@@ -89,8 +89,8 @@
     let mut solo = Solo::at_work(&["w0"]);
     let sent = solo.now;
     solo.now += ms(10);
-    solo.hear(OTHER, reserve(0, &spec));
-    solo.hear(OTHER, start(0, &spec));
+    solo.receive(OTHER, reserve(0, &spec));
+    solo.receive(OTHER, start(0, &spec));
     solo.started("w0", task(0), 1);
     solo.now += ms(10);
     solo.synced("w0", sent, Vec::new(), Vec::new());
@@ -123,11 +123,11 @@
 fn after_a_pause_past_the_lease_nothing_is_sent() {
     let spec = spec(Kind::Narration, ms(1_000));
     let mut solo = Solo::at_work(&["w0"]);
-    solo.hear(OTHER, reserve(0, &spec));
+    solo.receive(OTHER, reserve(0, &spec));
     solo.take();
     solo.now += ms(9_600);
-    solo.hear(OTHER, start(0, &spec));
-    solo.hear(OTHER, reserve(1, &spec));
+    solo.receive(OTHER, start(0, &spec));
+    solo.receive(OTHER, reserve(1, &spec));
     assert_eq!(starts(&solo), 0);
     assert!(declined(&solo, Decline::NotHeld));
     assert!(solo.core.vms().is_empty());
@@ -256,7 +256,7 @@
     let reported = [ME, OTHER].iter().flat_map(|to| solo.sent_to(to)).filter(is_end).count();
     assert_eq!(reported, 1);
     let (vm, attempt) = (VmId::new("w0"), Attempt(1));
-    solo.hear(OTHER, PeerMsg::EndedAck { vm, task: task(0), attempt });
+    solo.receive(OTHER, PeerMsg::EndedAck { vm, task: task(0), attempt });
     solo.take();
     solo.wait(ms(2_500));
     assert!(![ME, OTHER].iter().flat_map(|to| solo.sent_to(to)).any(|msg| is_end(&msg)));
@@ -301,7 +301,7 @@
     let draining = Member { state: MemberState::Draining, ..member(ME) };
     solo.tell(Event::Members(vec![draining, member(OTHER)]));
     let caller = solo.submit(1, spec(Kind::Narration, ms(1_000)));
-    solo.hear(OTHER, reserve(1, &spec(Kind::Narration, ms(1_000))));
+    solo.receive(OTHER, reserve(1, &spec(Kind::Narration, ms(1_000))));
     assert!(matches!(solo.answer(caller), Some(Answer::NotRun { .. })));
     assert!(declined(&solo, Decline::NotHeld));
     assert!(solo.actions.iter().any(|action| matches!(action, Action::Release { .. })));
@@ -331,7 +331,7 @@
     });
     solo.synced("w0", sent, Vec::new(), ended.collect());
     let reports: Vec<PeerMsg> = solo.sent_to(ME).into_iter().cloned().collect();
-    reports.into_iter().for_each(|msg| solo.hear(ME, msg));
+    reports.into_iter().for_each(|msg| solo.receive(ME, msg));
     let mut tries = 0;
     for _ in 0..3_600 {
         solo.wait(ms(1_000));
@@ -384,7 +384,7 @@
     let mut solo = with_a_running_task(&vm_sized_task());
     solo.wait(ms(100));
     let urgent = TaskSpec { urgency: Urgency::Urgent, ..vm_sized_task() };
-    solo.hear(OTHER, reserve(1, &urgent));
+    solo.receive(OTHER, reserve(1, &urgent));
     assert!(declined(&solo, Decline::NoRoom));
     let checkpoints =
         solo.actions.iter().filter(|action| matches!(action, Action::Checkpoint { .. })).count();
@@ -395,7 +395,7 @@
         ..vm_sized_task()
     });
     solo.wait(ms(100));
-    solo.hear(OTHER, reserve(1, &urgent));
+    solo.receive(OTHER, reserve(1, &urgent));
     assert_eq!(closes(&solo), 0);
 }
 
@@ -416,7 +416,7 @@
         classes: Vec::new(),
         health: VmHealth::Open,
     };
-    solo.hear(OTHER, PeerMsg::Views { views: vec![full] });
+    solo.receive(OTHER, PeerMsg::Views { views: vec![full] });
     let urgent = TaskSpec { urgency: Urgency::Urgent, ..vm_sized_task() };
     solo.submit(1, urgent);
     solo.settle();
