--- a/benches/policy/cost.rs
+++ b/benches/policy/cost.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, Policy};
+use waxwingstall::core::policy::{Candidate, PlacementDecision, Policy};
 use waxwingstall::ids::{
     Attempt, BootId, ClassName, DaemonId, DomainId, PartitionId, RackId, TaskId,
 };
@@ -95,7 +95,7 @@
             load,
             tenants: tenants.collect(),
         };
-        policy.observe(&view.vm, &report, Duration::from_secs(1));
+        policy.handle_report(&view.vm, &report, Duration::from_secs(1));
     }
 }
 
@@ -110,8 +110,8 @@
     let mut placed = 0;
     for number in 0..DECISIONS {
         let candidate = candidate(config, number as u64, cores);
-        let decided = policy.choose(&candidate, Duration::from_secs(10));
-        placed += usize::from(matches!(decided.choice, Choice::Place { .. }));
+        let decision = policy.place(&candidate, Duration::from_secs(10));
+        placed += usize::from(matches!(decision.choice, PlacementDecision::Place { .. }));
     }
     placed
 }
--- a/benches/policy/rows.rs
+++ b/benches/policy/rows.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::core::policy::interference::{Band, Interference, Learning};
-use waxwingstall::core::policy::{Candidate, Choice, Policy, Rank, Relief, Resident};
+use waxwingstall::core::policy::{
+    Candidate, PlacementDecision, Policy, Priority, ReliefStep, RunningTask,
+};
 use waxwingstall::ids::{ClassName, VmId};
 use waxwingstall::model::Config;
 use waxwingstall::peer::{VmHealth, VmView};
@@ -19,26 +21,38 @@
 pub trait TestedPolicy {
     fn upsert(&mut self, view: VmView);
     fn remove(&mut self, vm: &VmId);
-    fn choose(&mut self, candidate: &Candidate, now: Duration) -> Choice;
+    fn place(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision;
 
-    fn rank(&self, _candidate: &Candidate) -> Option<Rank> {
+    fn priority(&self, _candidate: &Candidate) -> Option<Priority> {
         None
     }
 
-    fn observe(&mut self, _vm: &VmId, _report: &UsageReport, _now: Duration) {}
+    fn handle_report(&mut self, _vm: &VmId, _report: &UsageReport, _now: Duration) {}
 
-    fn ended(&mut self, _vm: &VmId, _class: &ClassName, _outcome: &Outcome, _now: Duration) {}
+    fn record_outcome(
+        &mut self,
+        _vm: &VmId,
+        _class: &ClassName,
+        _outcome: &Outcome,
+        _now: Duration,
+    ) {
+    }
 
-    fn relieve(&mut self, _vm: &VmId, _residents: &[Resident], _now: Duration) -> Vec<Relief> {
+    fn decide_relief(
+        &mut self,
+        _vm: &VmId,
+        _running_tasks: &[RunningTask],
+        _now: Duration,
+    ) -> Vec<ReliefStep> {
         Vec::new()
     }
 
-    fn make_room(
+    fn plan_preemption(
         &mut self,
         _candidate: &Candidate,
-        _residents: &IndexMap<VmId, Vec<Resident>>,
+        _running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         _now: Duration,
-    ) -> Option<Relief> {
+    ) -> Option<ReliefStep> {
         None
     }
 
@@ -91,7 +105,7 @@
         self.views.shift_remove(vm);
     }
 
-    fn choose(&mut self, candidate: &Candidate, _now: Duration) -> Choice {
+    fn place(&mut self, candidate: &Candidate, _now: Duration) -> PlacementDecision {
         let fits = |view: &&VmView| {
             view.health == VmHealth::Open && candidate.spec.resources.fits_in(&view.free)
         };
@@ -106,8 +120,8 @@
             }),
         };
         match chosen {
-            Some(view) => Choice::Place { vm: view.vm.clone() },
-            None => Choice::Wait { reason: "no room".to_owned() },
+            Some(view) => PlacementDecision::Place { vm: view.vm.clone() },
+            None => PlacementDecision::Wait { reason: "no room".to_owned() },
         }
     }
 }
@@ -178,40 +192,45 @@
         }
     }
 
-    fn choose(&mut self, candidate: &Candidate, now: Duration) -> Choice {
-        self.writer(candidate).choose(candidate, now).choice
+    fn place(&mut self, candidate: &Candidate, now: Duration) -> PlacementDecision {
+        self.writer(candidate).place(candidate, now).choice
     }
 
-    fn rank(&self, candidate: &Candidate) -> Option<Rank> {
-        Some(self.daemons[0].rank(candidate))
+    fn priority(&self, candidate: &Candidate) -> Option<Priority> {
+        Some(self.daemons[0].priority(candidate))
     }
 
-    fn observe(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
-        self.holder(vm).observe(vm, report, now);
+    fn handle_report(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
+        self.holder(vm).handle_report(vm, report, now);
     }
 
-    fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
+    fn record_outcome(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
         if self.disabled != Disabled::Blame {
-            self.holder(vm).ended(vm, class, outcome, now);
+            self.holder(vm).record_outcome(vm, class, outcome, now);
         }
     }
 
-    fn relieve(&mut self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Relief> {
+    fn decide_relief(
+        &mut self,
+        vm: &VmId,
+        running_tasks: &[RunningTask],
+        now: Duration,
+    ) -> Vec<ReliefStep> {
         if self.disabled == Disabled::Relief {
             return Vec::new();
         }
-        let steps = self.holder(vm).relieve(vm, residents, now);
+        let steps = self.holder(vm).decide_relief(vm, running_tasks, now);
         steps.into_iter().map(|step| step.choice).collect()
     }
 
-    fn make_room(
+    fn plan_preemption(
         &mut self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
-    ) -> Option<Relief> {
-        let decided = self.writer(candidate).make_room(candidate, residents, now);
-        decided.map(|decided| decided.choice)
+    ) -> Option<ReliefStep> {
+        let decision = self.writer(candidate).plan_preemption(candidate, running_tasks, now);
+        decision.map(|decision| decision.choice)
     }
 
     fn effects_changed(&mut self, truth: &HiddenEffects) {
--- a/benches/policy/world.rs
+++ b/benches/policy/world.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, Relief, Resident};
+use waxwingstall::core::policy::{Candidate, PlacementDecision, ReliefStep, RunningTask};
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{Resumption, Urgency};
 use waxwingstall::peer::{ClassCount, VmHealth, VmView};
@@ -326,7 +326,7 @@
             let arrived = self.jobs[waiting.job].arrives;
             waiting.candidate.waited = Duration::from_secs(now - arrived);
         }
-        ranked.sort_by_cached_key(|waiting| self.policy.rank(&waiting.candidate));
+        ranked.sort_by_cached_key(|waiting| self.policy.priority(&waiting.candidate));
         let mut full: IndexSet<(ClassName, Resources, Urgency)> = IndexSet::new();
         for waiting in ranked {
             let candidate = &waiting.candidate;
@@ -338,9 +338,9 @@
                 continue;
             }
             match self.choose(candidate, now) {
-                Choice::Place { vm } => self.start(&waiting, &vm, now),
-                Choice::Never { .. } => self.out.refused += 1,
-                Choice::Wait { .. } => {
+                PlacementDecision::Place { vm } => self.start(&waiting, &vm, now),
+                PlacementDecision::Never { .. } => self.out.refused += 1,
+                PlacementDecision::Wait { .. } => {
                     full.insert(like);
                     self.make_room(candidate, now);
                     self.queue.push(waiting);
@@ -349,9 +349,9 @@
         }
     }
 
-    fn choose(&mut self, candidate: &Candidate, now: u64) -> Choice {
+    fn choose(&mut self, candidate: &Candidate, now: u64) -> PlacementDecision {
         let before = cpu_time();
-        let choice = self.policy.choose(candidate, Duration::from_secs(now));
+        let choice = self.policy.place(candidate, Duration::from_secs(now));
         self.out.decision_time += cpu_time() - before;
         self.out.decisions += 1;
         choice
@@ -361,10 +361,11 @@
         if candidate.spec.urgency != Urgency::Urgent {
             return;
         }
-        let residents = (0..self.vms.len())
-            .map(|index| (self.vms[index].id.clone(), self.residents(index)))
+        let running_tasks = (0..self.vms.len())
+            .map(|index| (self.vms[index].id.clone(), self.running_tasks(index)))
             .collect();
-        let relief = self.policy.make_room(candidate, &residents, Duration::from_secs(now));
+        let relief =
+            self.policy.plan_preemption(candidate, &running_tasks, Duration::from_secs(now));
         if let Some(relief) = relief {
             self.apply(&relief, now);
         }
--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -64,18 +64,18 @@
             let (index, measured, mut report) = entry.remove();
             report.age = Duration::from_secs(now - measured);
             let vm = self.vms[index].id.clone();
-            self.policy.observe(&vm, &report, Duration::from_secs(now));
+            self.policy.handle_report(&vm, &report, Duration::from_secs(now));
         }
     }
 
-    pub(super) fn residents(&self, index: usize) -> Vec<Resident> {
+    pub(super) fn running_tasks(&self, index: usize) -> Vec<RunningTask> {
         let running = self.vms[index].tasks.iter().filter(|task| task.closing.is_none());
         running
             .map(|task| {
                 let job = &self.jobs[task.job];
                 let resumable = Scenario::resumable(job);
                 let saved_at = Duration::from_secs(task.saved_at);
-                Resident {
+                RunningTask {
                     task: job.id,
                     attempt: task.attempt,
                     spec: job.spec.clone(),
@@ -92,28 +92,28 @@
             if !self.vms[index].up || !(now + index as u64).is_multiple_of(RELIEVE_EVERY) {
                 continue;
             }
-            let residents = self.residents(index);
+            let running_tasks = self.running_tasks(index);
             let vm = self.vms[index].id.clone();
-            for relief in self.policy.relieve(&vm, &residents, Duration::from_secs(now)) {
+            for relief in self.policy.decide_relief(&vm, &running_tasks, Duration::from_secs(now)) {
                 self.apply(&relief, now);
             }
         }
     }
 
-    pub(super) fn apply(&mut self, relief: &Relief, now: u64) {
+    pub(super) fn apply(&mut self, relief: &ReliefStep, now: u64) {
         match relief {
-            Relief::Throttle { vm, task, share } => {
+            ReliefStep::Throttle { vm, task, share } => {
                 self.out.throttles += u64::from(*share < 1.0);
                 if let Some(running) = self.task_mut(vm, task) {
                     running.share = *share;
                 }
             }
-            Relief::Health { vm, health } => {
+            ReliefStep::Health { vm, health } => {
                 let index = self.index[vm];
                 self.vms[index].health = *health;
                 self.update_view(index);
             }
-            Relief::Evict { vm, task, .. } => {
+            ReliefStep::Evict { vm, task, .. } => {
                 self.out.evictions += 1;
                 let never = self.jobs[task.number as usize].spec.resumption == Resumption::Never;
                 self.out.violations += u64::from(never);
--- a/src/core/holder/relief.rs
+++ b/src/core/holder/relief.rs
@@ -8,7 +8,7 @@
 use super::{Holder, VmStep};
 use crate::core::context::Context;
 use crate::core::event::Action;
-use crate::core::policy::{Decided, Relief, Resident, Subject};
+use crate::core::policy::{Decision, ReliefStep, RunningTask, Subject};
 use crate::ids::{CheckpointId, TaskId, VmId};
 use crate::model::{Idempotency, Resumption, Urgency};
 use crate::peer::CloseReason;
@@ -26,29 +26,29 @@
     ) {
         if let Some(report) = report {
             self.note_progress(vm_id, report);
-            cx.policy.observe(vm_id, report, cx.now);
+            cx.policy.handle_report(vm_id, report, cx.now);
         }
         if self.vms.get(vm_id).is_some_and(|vm| vm.leaving) {
             return self.evacuate(cx, vm_id);
         }
-        let residents = self.residents(cx, vm_id);
-        for decided in cx.policy.relieve(vm_id, &residents, cx.now) {
-            self.apply_relief(cx, decided);
+        let running_tasks = self.running_tasks(cx, vm_id);
+        for decision in cx.policy.decide_relief(vm_id, &running_tasks, cx.now) {
+            self.apply_relief(cx, decision);
         }
     }
 
     /// Applies a mitigation that the policy decided on.
-    pub fn apply_relief(&mut self, cx: &mut Context, decided: Decided<Relief>) {
-        cx.act(Action::Explain(decided.record));
-        match decided.choice {
-            Relief::Throttle { vm, task, share } => self.throttle(cx, &vm, task, share),
-            Relief::Health { vm, health } => {
+    pub fn apply_relief(&mut self, cx: &mut Context, decision: Decision<ReliefStep>) {
+        cx.act(Action::Explain(decision.record));
+        match decision.choice {
+            ReliefStep::Throttle { vm, task, share } => self.throttle(cx, &vm, task, share),
+            ReliefStep::Health { vm, health } => {
                 if let Some(held) = self.vms.get_mut(&vm) {
                     held.health = health;
                     self.views_changed = true;
                 }
             }
-            Relief::Evict { vm, task, attempt } => {
+            ReliefStep::Evict { vm, task, attempt } => {
                 self.evict(cx, &vm, TaskAttempt { task, attempt }, CloseReason::Evicted);
             }
         }
@@ -56,9 +56,11 @@
 
     /// Evicts tasks that can resume from a checkpoint from a leaving VM; others keep running there.
     fn evacuate(&mut self, cx: &mut Context, vm_id: &VmId) {
-        for resident in self.residents(cx, vm_id) {
-            if resident.spec.resumption == Resumption::Checkpoint && is_movable(&resident.spec) {
-                let id = TaskAttempt { task: resident.task, attempt: resident.attempt };
+        for running_task in self.running_tasks(cx, vm_id) {
+            if running_task.spec.resumption == Resumption::Checkpoint
+                && is_movable(&running_task.spec)
+            {
+                let id = TaskAttempt { task: running_task.task, attempt: running_task.attempt };
                 self.evict(cx, vm_id, id, CloseReason::Leaving);
             }
         }
@@ -138,13 +140,13 @@
     }
 
     /// Batch tasks running on a held VM.
-    pub fn residents(&self, cx: &Context, vm_id: &VmId) -> Vec<Resident> {
+    pub fn running_tasks(&self, cx: &Context, vm_id: &VmId) -> Vec<RunningTask> {
         let table = self.vms.get(vm_id).filter(|vm| vm.step == VmStep::Held);
         let Some(table) = table.and_then(|vm| vm.table.as_ref()) else { return Vec::new() };
         table
             .iter()
             .filter(|(_, slot)| slot.kind == TenantKind::Batch && slot.stage == Stage::Running)
-            .map(|(id, slot)| resident(cx, id, slot))
+            .map(|(id, slot)| running_task(cx, id, slot))
             .collect()
     }
 
@@ -158,12 +160,12 @@
     spec.idempotency == Idempotency::Idempotent && spec.resumption != Resumption::Never
 }
 
-fn resident(cx: &Context, id: &TaskAttempt, slot: &Slot) -> Resident {
+fn running_task(cx: &Context, id: &TaskAttempt, slot: &Slot) -> RunningTask {
     let mut spec = slot.spec.clone().unwrap_or_else(|| fallback_spec(cx, slot));
     if !is_movable(&spec) {
         spec.resumption = Resumption::Never;
     }
-    Resident {
+    RunningTask {
         task: id.task,
         attempt: id.attempt,
         spec,
--- a/src/core/life/steps.rs
+++ b/src/core/life/steps.rs
@@ -10,7 +10,7 @@
 use super::waiting::Shape;
 use crate::core::context::{Context, Draining};
 use crate::core::event::Action;
-use crate::core::policy::{Candidate, Choice, Subject};
+use crate::core::policy::{Candidate, PlacementDecision, Subject};
 use crate::ids::{Attempt, BootId, CheckpointId, DaemonId, TaskId, VmId};
 use crate::model::{Idempotency, Urgency};
 use crate::peer::{CloseReason, Decline, PeerMsg};
@@ -87,12 +87,12 @@
         unplaced
     }
 
-    /// Unblocked shapes, ordered by the rank of their first tasks.
+    /// Unblocked shapes, ordered by the priority of their first tasks.
     fn shapes_by_rank(&self, cx: &Context) -> Vec<Shape> {
         let mut shapes = self.waiting.unblocked(cx.now);
         shapes.sort_by_cached_key(|shape| {
             let first = self.waiting.first(shape).and_then(|number| self.tasks.get(&number));
-            first.map(|task| cx.policy.rank(&candidate(task, cx.now)))
+            first.map(|task| cx.policy.priority(&candidate(task, cx.now)))
         });
         shapes
     }
@@ -106,21 +106,21 @@
     ) -> Placed {
         let Some(task) = self.tasks.get(&number) else { return Placed::Dequeued };
         let wanted = candidate(task, cx.now);
-        let decided = cx.policy.choose(&wanted, cx.now);
-        match decided.choice {
-            Choice::Place { vm } => {
-                cx.act(Action::Explain(decided.record));
+        let decision = cx.policy.place(&wanted, cx.now);
+        match decision.choice {
+            PlacementDecision::Place { vm } => {
+                cx.act(Action::Explain(decision.record));
                 self.request_reservation(cx, fleet, number, vm);
                 Placed::Dequeued
             }
             // Another task of the shape may be placed on a VM that this one avoids.
-            Choice::Wait { .. } if !wanted.avoid.is_empty() => {
+            PlacementDecision::Wait { .. } if !wanted.avoid.is_empty() => {
                 self.defer(number, cx.now + RETRY_DELAY);
                 Placed::Dequeued
             }
-            Choice::Wait { reason } | Choice::Never { reason, .. } => {
+            PlacementDecision::Wait { reason } | PlacementDecision::Never { reason, .. } => {
                 if self.waiting.block(shape, cx.now + RETRY_DELAY, &reason) {
-                    cx.act(Action::Explain(decided.record));
+                    cx.act(Action::Explain(decision.record));
                 }
                 Placed::No(wanted)
             }
--- a/src/core/policy.rs
+++ b/src/core/policy.rs
@@ -101,7 +101,7 @@
 /// A placement decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Choice {
+pub enum PlacementDecision {
     Place {
         vm: VmId,
     },
@@ -119,7 +119,7 @@
 /// A step that relieves a slowed service or makes room for an urgent task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Relief {
+pub enum ReliefStep {
     /// Throttles a task to a share of its processors; 1 lifts the throttle.
     Throttle { vm: VmId, task: TaskId, share: f64 },
     /// Changes the VM's health, which determines whether it accepts new work.
@@ -156,14 +156,14 @@
 
 /// A decision with its record.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Decided<T> {
+pub struct Decision<T> {
     pub choice: T,
     pub record: DecisionRecord,
 }
 
 /// A batch task that runs on a VM.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Resident {
+pub struct RunningTask {
     pub task: TaskId,
     pub attempt: Attempt,
     pub spec: TaskSpec,
@@ -176,7 +176,7 @@
 
 /// Priority of a waiting task in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
+pub struct Priority {
     urgency: Reverse<Urgency>,
     /// Used fraction of the team's quota, quantized.
     used: u32,
@@ -266,22 +266,26 @@
     }
 
     /// Checks whether a task could ever run and whether its team's quota allows it.
-    pub fn admit(&mut self, candidate: &Candidate, now: Duration) -> Decided<Choice> {
-        self.choose(candidate, now)
+    pub fn check_admission(
+        &mut self,
+        candidate: &Candidate,
+        now: Duration,
+    ) -> Decision<PlacementDecision> {
+        self.place(candidate, now)
     }
 
     /// Chooses a VM for a task. The caller reports the result with [`Policy::upsert_vm`].
-    pub fn choose(&mut self, candidate: &Candidate, now: Duration) -> Decided<Choice> {
+    pub fn place(&mut self, candidate: &Candidate, now: Duration) -> Decision<PlacementDecision> {
         self.advance_clock(now);
         let inputs = self.placement_inputs(candidate, now);
         let choice = inputs.decide();
         self.record_choice(candidate, &inputs, &choice, now);
         let record = explain::placement_record(candidate, inputs, &choice, &self.config);
-        Decided { choice, record }
+        Decision { choice, record }
     }
 
     /// Processes a usage report of a VM held by this daemon.
-    pub fn observe(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
+    pub fn handle_report(&mut self, vm: &VmId, report: &UsageReport, now: Duration) {
         self.advance_clock(now);
         let ladder = self.ladders.entry(vm.clone()).or_default();
         let reports = self.reports.entry(vm.clone()).or_default();
@@ -300,31 +304,37 @@
     }
 
     /// Records the outcome of an attempt on a VM.
-    pub fn ended(&mut self, vm: &VmId, class: &ClassName, outcome: &Outcome, now: Duration) {
+    pub fn record_outcome(
+        &mut self,
+        vm: &VmId,
+        class: &ClassName,
+        outcome: &Outcome,
+        now: Duration,
+    ) {
         self.advance_clock(now);
         self.blame.record_outcome(vm, class, outcome, now);
     }
 
     /// Decides the relief steps due on a VM held by this daemon, given the batch tasks there.
-    pub fn relieve(
+    pub fn decide_relief(
         &mut self,
         vm: &VmId,
-        residents: &[Resident],
+        running_tasks: &[RunningTask],
         now: Duration,
-    ) -> Vec<Decided<Relief>> {
+    ) -> Vec<Decision<ReliefStep>> {
         self.advance_clock(now);
-        self.relief_steps(vm, residents, now)
+        self.relief_steps(vm, running_tasks, now)
     }
 
     /// Chooses a task to evict from this daemon's VMs for a waiting urgent task, if any.
-    pub fn make_room(
+    pub fn plan_preemption(
         &mut self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
-    ) -> Option<Decided<Relief>> {
+    ) -> Option<Decision<ReliefStep>> {
         self.advance_clock(now);
-        self.eviction_for(candidate, residents, now)
+        self.eviction_for(candidate, running_tasks, now)
     }
 
     /// Whether the holder of a quarantined VM should accept one task as a probe.
@@ -336,9 +346,9 @@
     ///
     /// Tasks of equal urgency are ordered by the used fraction of their team's quota, in steps, and
     /// then by waiting time, so a burst of a thousand tasks queues behind its own team's tasks.
-    pub fn rank(&self, candidate: &Candidate) -> Rank {
+    pub fn priority(&self, candidate: &Candidate) -> Priority {
         let used = self.quotas.dominant_share(&candidate.spec.team);
-        Rank {
+        Priority {
             urgency: Reverse(candidate.spec.urgency),
             used: (used.clamp(0.0, 1.0) * RANK_STEPS) as u32,
             waited: Reverse(candidate.waited),
@@ -365,11 +375,11 @@
         &mut self,
         candidate: &Candidate,
         inputs: &decide::Inputs,
-        choice: &Choice,
+        choice: &PlacementDecision,
         now: Duration,
     ) {
         match choice {
-            Choice::Place { vm } => {
+            PlacementDecision::Place { vm } => {
                 self.reservations.release(candidate.task);
                 self.plans.remove(candidate.task);
                 if inputs.offers.iter().any(|offer| offer.vm == *vm && offer.probe) {
@@ -379,8 +389,8 @@
                     self.blame.record_retry(&candidate.spec.class, now);
                 }
             }
-            Choice::Never { .. } => self.reservations.release(candidate.task),
-            Choice::Wait { .. } => {}
+            PlacementDecision::Never { .. } => self.reservations.release(candidate.task),
+            PlacementDecision::Wait { .. } => {}
         }
     }
 
--- a/src/core/policy/tests.rs
+++ b/src/core/policy/tests.rs
@@ -127,8 +127,8 @@
 }
 
 /// A batch task that started at `since` and has no checkpoint.
-pub fn resident(config: &Config, class: &str, number: u64, since: Duration) -> Resident {
-    Resident {
+pub fn running_task(config: &Config, class: &str, number: u64, since: Duration) -> RunningTask {
+    RunningTask {
         task: TaskId::new(PartitionId(1), number),
         attempt: Attempt(1),
         spec: spec(config, class),
@@ -139,9 +139,9 @@
 }
 
 /// Applies changes of health to the views, as the core does.
-pub fn apply_health(policy: &mut Policy, steps: &[Decided<Relief>]) {
+pub fn apply_health(policy: &mut Policy, steps: &[Decision<ReliefStep>]) {
     for step in steps {
-        if let Relief::Health { vm, health } = &step.choice {
+        if let ReliefStep::Health { vm, health } = &step.choice {
             let mut view = policy.fleet.get(vm).expect("the VM is known").view.clone();
             view.health = *health;
             policy.upsert_vm(view);
@@ -149,9 +149,9 @@
     }
 }
 
-pub fn assert_replays(decided: &Decided<Relief>) {
-    let text = serde_json::to_string(&decided.record).expect("a record can be written");
+pub fn assert_replays(decision: &Decision<ReliefStep>) {
+    let text = serde_json::to_string(&decision.record).expect("a record can be written");
     let record = serde_json::from_str(&text).expect("a record can be read");
     let replayed = explain::replay(&record).expect("it can be replayed");
-    assert_eq!(replayed, explain::Replayed::Relief(Some(decided.choice.clone())));
+    assert_eq!(replayed, explain::Replayed::Relief(Some(decision.choice.clone())));
 }
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -6,8 +6,8 @@
     Outcome::Failed { reason: "exit 1".to_owned() }
 }
 
-fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decided<Relief>> {
-    let steps = policy.relieve(&vm(index), &[], now);
+fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decision<ReliefStep>> {
+    let steps = policy.decide_relief(&vm(index), &[], now);
     apply_health(policy, &steps);
     steps
 }
@@ -28,10 +28,10 @@
         }
         let task = candidate(&config, ["build", "wash"][number as usize % 2], number);
         let class = task.spec.class.clone();
-        let Choice::Place { vm: to } = policy.choose(&task, now).choice else { continue };
+        let PlacementDecision::Place { vm: to } = policy.place(&task, now).choice else { continue };
         let outcome = if to == vm(0) { failed() } else { Outcome::Succeeded };
         lost += u32::from(to == vm(0));
-        policy.ended(&to, &class, &outcome, now);
+        policy.record_outcome(&to, &class, &outcome, now);
         for step in relieve(&mut policy, 0, now) {
             assert_replays(&step);
         }
@@ -47,13 +47,13 @@
     for number in 0..600 {
         let now = secs(number);
         let good = candidate(&config, "wash", 10_000 + number);
-        if let Choice::Place { vm } = policy.choose(&good, now).choice {
-            policy.ended(&vm, &good.spec.class, &Outcome::Succeeded, now);
+        if let PlacementDecision::Place { vm } = policy.place(&good, now).choice {
+            policy.record_outcome(&vm, &good.spec.class, &Outcome::Succeeded, now);
         }
         let bad = candidate(&config, "build", number);
-        if let Choice::Place { vm } = policy.choose(&bad, now).choice {
+        if let PlacementDecision::Place { vm } = policy.place(&bad, now).choice {
             starts += 1;
-            policy.ended(&vm, &bad.spec.class, &failed(), now);
+            policy.record_outcome(&vm, &bad.spec.class, &failed(), now);
         }
         for index in 0..8 {
             assert_eq!(relieve(&mut policy, index, now), [], "at {now:?}");
@@ -67,25 +67,25 @@
     let config = config();
     let mut policy = policy(config.clone(), [view(0), with_tasks(view(1), "build", 4)]);
     let wash: ClassName = "wash".into();
-    policy.ended(&vm(1), &wash, &Outcome::Succeeded, secs(1));
+    policy.record_outcome(&vm(1), &wash, &Outcome::Succeeded, secs(1));
     for number in 0..4 {
-        policy.ended(&vm(0), &wash, &failed(), secs(2 + number));
+        policy.record_outcome(&vm(0), &wash, &failed(), secs(2 + number));
     }
     let steps = relieve(&mut policy, 0, secs(10));
-    let quarantined = Relief::Health { vm: vm(0), health: VmHealth::Quarantined };
+    let quarantined = ReliefStep::Health { vm: vm(0), health: VmHealth::Quarantined };
     assert_eq!(steps[0].choice, quarantined);
-    let too_early = policy.choose(&candidate(&config, "wash", 1), secs(11)).choice;
-    assert!(matches!(too_early, Choice::Wait { .. }), "{too_early:?}");
+    let too_early = policy.place(&candidate(&config, "wash", 1), secs(11)).choice;
+    assert!(matches!(too_early, PlacementDecision::Wait { .. }), "{too_early:?}");
     for number in 0..2 {
         let now = secs(120 + 60 * number);
-        let probe = policy.choose(&candidate(&config, "wash", number), now).choice;
-        assert_eq!(probe, Choice::Place { vm: vm(0) });
-        let second = policy.choose(&candidate(&config, "wash", 50 + number), now).choice;
-        assert!(matches!(second, Choice::Wait { .. }), "two probes at once: {second:?}");
-        policy.ended(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
+        let probe = policy.place(&candidate(&config, "wash", number), now).choice;
+        assert_eq!(probe, PlacementDecision::Place { vm: vm(0) });
+        let second = policy.place(&candidate(&config, "wash", 50 + number), now).choice;
+        assert!(matches!(second, PlacementDecision::Wait { .. }), "two probes at once: {second:?}");
+        policy.record_outcome(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
     }
     let steps = relieve(&mut policy, 0, secs(300));
-    assert_eq!(steps[0].choice, Relief::Health { vm: vm(0), health: VmHealth::Open });
+    assert_eq!(steps[0].choice, ReliefStep::Health { vm: vm(0), health: VmHealth::Open });
 }
 
 #[test]
@@ -96,8 +96,8 @@
     let mut policy = policy(config.clone(), [quarantined]);
     let mut build = candidate(&config, "build", 1);
     build.spec.idempotency = Idempotency::NonIdempotent;
-    let choice = policy.choose(&build, HOUR).choice;
-    assert!(matches!(choice, Choice::Wait { .. }), "{choice:?}");
+    let choice = policy.place(&build, HOUR).choice;
+    assert!(matches!(choice, PlacementDecision::Wait { .. }), "{choice:?}");
 }
 
 #[test]
@@ -105,7 +105,12 @@
     let config = config();
     let mut policy = policy(config, [view(0)]);
     for number in 0..10_000 {
-        policy.ended(&vm(0), &"build".into(), &Outcome::Cancelled, Duration::from_millis(number));
+        policy.record_outcome(
+            &vm(0),
+            &"build".into(),
+            &Outcome::Cancelled,
+            Duration::from_millis(number),
+        );
     }
-    assert_eq!(policy.relieve(&vm(0), &[], secs(11)), []);
+    assert_eq!(policy.decide_relief(&vm(0), &[], secs(11)), []);
 }
--- a/src/core/policy/tests/waiting.rs
+++ b/src/core/policy/tests/waiting.rs
@@ -19,13 +19,13 @@
         counts[done] = counts[done].saturating_sub(1);
         policy.upsert_vm(filled(done, counts[done]));
         large.waited = now;
-        if let Choice::Place { .. } = policy.choose(&large, now).choice {
+        if let PlacementDecision::Place { .. } = policy.place(&large, now).choice {
             assert!(second < 120, "placed after {second} s");
             return;
         }
         number += 1;
         let small = candidate(&config, "narration", number);
-        if let Choice::Place { vm: to } = policy.choose(&small, now).choice {
+        if let PlacementDecision::Place { vm: to } = policy.place(&small, now).choice {
             let index = (0..4).find(|index| vm(*index) == to).expect("a known VM");
             counts[index] += 1;
             policy.upsert_vm(filled(index, counts[index]));
@@ -43,12 +43,12 @@
         let mut large = candidate(&config, "build", number);
         large.spec.resources = Resources::new(30_000, 40_000, 0);
         large.waited = secs(100);
-        policy.choose(&large, secs(100));
+        policy.place(&large, secs(100));
     }
-    let decided = policy.choose(&candidate(&config, "wash", 1000), secs(101));
-    let reserved = decided.record.passed_over.get("held for a task that waited longer");
-    assert!(reserved.copied().unwrap_or(0) <= 2, "{:?}", decided.record.passed_over);
-    assert!(matches!(decided.choice, Choice::Place { .. }));
+    let decision = policy.place(&candidate(&config, "wash", 1000), secs(101));
+    let reserved = decision.record.passed_over.get("held for a task that waited longer");
+    assert!(reserved.copied().unwrap_or(0) <= 2, "{:?}", decision.record.passed_over);
+    assert!(matches!(decision.choice, PlacementDecision::Place { .. }));
 }
 
 #[test]
@@ -57,15 +57,15 @@
     let mut policy = policy(config.clone(), [with_tasks(view(0), "shop", 4)]);
     for seq in 1..=100 {
         let tenants = vec![tenant("shop", 1, 3.5), tenant("build", 2, 1.0)];
-        policy.observe(&vm(0), &report(seq, secs(1), 0.7, tenants), secs(seq));
+        policy.handle_report(&vm(0), &report(seq, secs(1), 0.7, tenants), secs(seq));
     }
     let mut build = candidate(&config, "build", 1);
-    let first = policy.choose(&build, secs(101)).choice;
-    let Choice::Wait { reason } = first else { panic!("{first:?}") };
+    let first = policy.place(&build, secs(101)).choice;
+    let PlacementDecision::Wait { reason } = first else { panic!("{first:?}") };
     assert!(reason.contains("would suffer"), "{reason}");
     build.waited = secs(600);
-    let last = policy.choose(&build, secs(701)).choice;
-    assert_eq!(last, Choice::Place { vm: vm(0) });
+    let last = policy.place(&build, secs(701)).choice;
+    assert_eq!(last, PlacementDecision::Place { vm: vm(0) });
 }
 
 #[test]
@@ -75,7 +75,7 @@
     let mut burst = candidate(&config, "build", 1);
     burst.waited = secs(500);
     let other = candidate(&config, "wash", 2);
-    assert!(policy.rank(&other) < policy.rank(&burst));
+    assert!(policy.priority(&other) < policy.priority(&burst));
     burst.spec.urgency = Urgency::Urgent;
-    assert!(policy.rank(&burst) < policy.rank(&other));
+    assert!(policy.priority(&burst) < policy.priority(&other));
 }
--- a/src/core/query.rs
+++ b/src/core/query.rs
@@ -17,7 +17,7 @@
     /// Tasks waiting for a VM.
     pub waiting: usize,
     /// Records waiting for a commit.
-    pub unwritten: usize,
+    pub queued_records: usize,
 }
 
 impl Core {
@@ -32,7 +32,7 @@
     }
 
     /// Describes what a task is waiting for; `None` if it is running, has ended or is unknown.
-    pub fn waiting_for(&self, id: TaskId) -> Option<String> {
+    pub fn waiting_reason(&self, id: TaskId) -> Option<String> {
         let task = self.find_task(id)?;
         let vm = task.vm.as_ref().map_or("a VM", |vm| vm.as_str());
         let held = task.vm.as_ref().and_then(|vm| self.writer.fleet().holder(vm)).is_some();
@@ -64,13 +64,13 @@
     }
 
     /// The daemon preferred as the writer of the partition.
-    pub fn writer_of(&self, partition: PartitionId) -> Option<DaemonId> {
-        self.cx.members.writer_of(partition).cloned()
+    pub fn preferred_writer(&self, partition: PartitionId) -> Option<DaemonId> {
+        self.cx.members.preferred_writer(partition).cloned()
     }
 
     /// The daemon preferred as the holder of a VM in a failure domain.
-    pub fn holder_of(&self, vm: &VmId, domain: &DomainId) -> Option<DaemonId> {
-        self.cx.members.holder_of(vm, domain).cloned()
+    pub fn preferred_holder(&self, vm: &VmId, domain: &DomainId) -> Option<DaemonId> {
+        self.cx.members.preferred_holder(vm, domain).cloned()
     }
 
     /// The VMs whose control lease this daemon holds.
--- a/tests/policy_faults.rs
+++ b/tests/policy_faults.rs
@@ -6,7 +6,9 @@
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
-use waxwingstall::core::policy::{Candidate, Choice, Decided, Policy, Relief, Resident, explain};
+use waxwingstall::core::policy::{
+    Candidate, Decision, PlacementDecision, Policy, ReliefStep, RunningTask, explain,
+};
 use waxwingstall::ids::{Attempt, BootId, ClassName, DaemonId, PartitionId, TaskId, VmId};
 use waxwingstall::model::{
     BatchClass, Config, Idempotency, Pool, Resumption, Service, Team, Urgency, Weights,
@@ -233,7 +235,7 @@
             load: 0.7,
             tenants: report.slowdown.iter().enumerate().map(tenant).collect(),
         };
-        self.policy.observe(&vm(report.vm), &usage, now);
+        self.policy.handle_report(&vm(report.vm), &usage, now);
     }
 
     fn ended(&mut self, ended: &EndedEvent, now: Duration) {
@@ -241,14 +243,14 @@
             true => Outcome::Failed { reason: "exit 1".to_owned() },
             false => Outcome::Succeeded,
         };
-        self.policy.ended(&vm(ended.vm), &ClassName::new(&ended.class), &outcome, now);
+        self.policy.record_outcome(&vm(ended.vm), &ClassName::new(&ended.class), &outcome, now);
     }
 
     fn relieve(&mut self, request: &RelieveRequest, now: Duration) -> String {
-        let residents: Vec<_> = request
+        let running_tasks: Vec<_> = request
             .tasks
             .iter()
-            .map(|(class, number)| Resident {
+            .map(|(class, number)| RunningTask {
                 task: TaskId::new(PartitionId(1), *number),
                 attempt: Attempt(1),
                 spec: self.spec(class),
@@ -257,18 +259,18 @@
                 progress: 0.1,
             })
             .collect();
-        let steps = self.policy.relieve(&vm(request.vm), &residents, now);
+        let steps = self.policy.decide_relief(&vm(request.vm), &running_tasks, now);
         let words: Vec<_> = steps.iter().map(|step| self.apply_relief(step)).collect();
         if words.is_empty() { "nothing".to_owned() } else { words.join(", ") }
     }
 
-    fn apply_relief(&mut self, step: &Decided<Relief>) -> String {
+    fn apply_relief(&mut self, step: &Decision<ReliefStep>) -> String {
         let replayed = explain::replay(&step.record).expect("the record can be replayed");
         assert_eq!(replayed, explain::Replayed::Relief(Some(step.choice.clone())));
         match &step.choice {
-            Relief::Throttle { share, .. } => format!("throttle {share}"),
-            Relief::Evict { task, .. } => format!("evict {task}"),
-            Relief::Health { vm: id, health } => {
+            ReliefStep::Throttle { share, .. } => format!("throttle {share}"),
+            ReliefStep::Evict { task, .. } => format!("evict {task}"),
+            ReliefStep::Health { vm: id, health } => {
                 let index = (0..self.health.len()).find(|index| vm(*index) == *id);
                 let index = index.expect("a known VM");
                 self.health[index] = *health;
@@ -308,13 +310,15 @@
             waited: Duration::from_secs(request.waited),
             avoid: Vec::new(),
         };
-        let decided = self.policy.choose(&candidate, now);
-        let replayed = explain::replay(&decided.record).expect("the record can be replayed");
-        assert_eq!(replayed, explain::Replayed::Choice(decided.choice.clone()));
-        match decided.choice {
-            Choice::Place { vm } => format!("place {vm}"),
-            Choice::Wait { reason } => format!("wait: {reason}"),
-            Choice::Never { .. } => decided.record.verdict.replacen("refused", "never", 1),
+        let decision = self.policy.place(&candidate, now);
+        let replayed = explain::replay(&decision.record).expect("the record can be replayed");
+        assert_eq!(replayed, explain::Replayed::Choice(decision.choice.clone()));
+        match decision.choice {
+            PlacementDecision::Place { vm } => format!("place {vm}"),
+            PlacementDecision::Wait { reason } => format!("wait: {reason}"),
+            PlacementDecision::Never { .. } => {
+                decision.record.verdict.replacen("refused", "never", 1)
+            }
         }
     }
 }
