--- a/src/request/slot.rs
+++ b/src/request/slot.rs
@@ -26,7 +26,7 @@
 /// Unanswered probes after which the endpoint is assumed to be gone.
 const MAX_UNANSWERED: u32 = 3;
 
-/// Longest time a slot is held_for for an abandoned request.
+/// Longest time a slot is held for an abandoned request.
 const MAX_HOLD: Duration = Duration::from_secs(300);
 
 /// What the result of a request says about the health of the endpoint.
