--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -4,7 +4,7 @@
 //! | component | responsibility | when its mailbox is full |
 //! |---|---|---|
 //! | `control` | makes all decisions: shards and their ownership | new calls are refused as not run; responses from other components wait |
-//! | `machines` | lists machines, orders their maintenance, stores the records of maintenance waves | the wave waits |
+//! | `machines` | lists machines, orders their upkeep, stores the records of upkeep waves | the wave waits |
 //! | `records` | reads and writes the store | commits wait in control |
 //! | `orders` | calls the VMs and the permit service | VM calls wait in control |
 //! | `links` | exchanges messages with other daemons | messages are dropped; the senders repeat them |
@@ -58,7 +58,7 @@
     type Vms: VmApi + Clone + Unpin + 'static;
     /// Client for the service that permits steps on VMs.
     type Permits: PermitApi + Clone + Unpin + 'static;
-    /// Client for the machine maintenance service.
+    /// Client for the machine upkeep service.
     type Machines: MachineApi + Clone + Unpin + 'static;
 
     /// Creates a store client. Called on the thread that uses it.
@@ -70,7 +70,7 @@
     /// Creates a permit service client. Called on the thread that uses it.
     fn permits(&self) -> Self::Permits;
 
-    /// Creates a machine maintenance client. Called on the thread that uses it.
+    /// Creates a machine upkeep client. Called on the thread that uses it.
     fn machines(&self) -> Self::Machines;
 
     /// Key prefix of the VM announcements.
--- a/src/jobs/control.rs
+++ b/src/jobs/control.rs
@@ -14,13 +14,13 @@
 
 pub use messages::{
     Connect, ConnectionRefused, Drain, ExternalCallResult, HandleCall, HandleLoanMessage,
-    HandleOffer, HasShards, HelloReceived, MaintenanceResult, ReleaseShards, StoreEvent,
+    HandleOffer, HasShards, HelloReceived, ReleaseShards, StoreEvent, UpkeepResult,
 };
 
 use super::calls::Reply;
 use super::confirmed::ConfigConfirmation;
 use super::links::{ForwardPermitRequest, PeerLinks, SendLoanMessage};
-use super::machines::MaintenanceAction;
+use super::machines::UpkeepAction;
 use super::orders::{RequestPermits, VmCall};
 use super::records::{ClaimShard, CommitShard, ConfirmOwnership, ReadHeads, RemoveShard};
 use super::view::{JobDirectory, ShardView, View};
@@ -55,8 +55,8 @@
 /// Interval at which the view of the shards and their owners is published.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval at which maintenance waves are advanced.
-const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which upkeep waves are advanced.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval at which the local shards are summarized and informed about the other shards. Each of
 /// the two costs as much as a few dozen events.
@@ -69,7 +69,7 @@
 pub struct ActorHandles {
     pub vm_calls: Ring<VmCall>,
     pub permits: Recipient<RequestPermits>,
-    pub maintenance: Recipient<MaintenanceAction>,
+    pub upkeep: Recipient<UpkeepAction>,
     pub links: Addr<PeerLinks>,
     pub claims: Recipient<ClaimShard>,
     pub commits: Recipient<CommitShard>,
@@ -135,8 +135,8 @@
     plan: Plan,
     store_reach: StoreReachability,
     store_lost_at: Option<Duration>,
-    maintenance: WaveScheduler,
-    next_maintenance: Duration,
+    upkeep: WaveScheduler,
+    next_upkeep: Duration,
     /// Number of open permit requests by the daemon that sends them to the service.
     permit_requests: IndexMap<String, u32>,
     offers: IndexMap<String, ShardOffer>,
@@ -166,7 +166,7 @@
         directory: Arc<Mutex<JobDirectory>>,
     ) -> Self {
         let now = clock.now();
-        let maintenance = WaveScheduler::new(&me.name);
+        let upkeep = WaveScheduler::new(&me.name);
         Self {
             settings,
             journal,
@@ -183,8 +183,8 @@
             plan: Plan::default(),
             store_reach: StoreReachability::Away,
             store_lost_at: None,
-            maintenance,
-            next_maintenance: now,
+            upkeep,
+            next_upkeep: now,
             permit_requests: IndexMap::new(),
             offers: IndexMap::new(),
             reported_lapses: IndexMap::new(),
@@ -329,9 +329,9 @@
         if now.steady >= self.next_publish {
             self.next_publish = now.steady + PUBLISH_INTERVAL;
             self.step_ownership(cluster::Event::Tick, cx);
-            if now.steady >= self.next_maintenance {
-                self.next_maintenance = now.steady + MAINTENANCE_INTERVAL;
-                self.tick_maintenance(cx);
+            if now.steady >= self.next_upkeep {
+                self.next_upkeep = now.steady + UPKEEP_INTERVAL;
+                self.tick_upkeep(cx);
             }
             if now.steady >= self.next_neighbours {
                 self.next_neighbours = now.steady + NEIGHBOUR_INTERVAL;
@@ -345,20 +345,20 @@
         }
     }
 
-    fn tick_maintenance(&mut self, cx: &mut Context<Self>) {
+    fn tick_upkeep(&mut self, cx: &mut Context<Self>) {
         let to_own_shard = |(name, hosted): (&String, &HostedShard)| OwnedShard {
             name: name.clone(),
             fence: hosted.shard.fence(),
             vacated: hosted.shard.drained_vms(),
         };
         let shards = self.hosted.iter().map(to_own_shard).collect();
-        self.step_maintenance(upkeep::duty::Event::Tick(shards), cx);
+        self.step_upkeep(upkeep::duty::Event::Tick(shards), cx);
     }
 
-    /// Passes an event to the maintenance state machine and executes the resulting actions.
-    fn step_maintenance(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
+    /// Passes an event to the upkeep state machine and executes the resulting actions.
+    fn step_upkeep(&mut self, event: upkeep::duty::Event, cx: &mut Context<Self>) {
         let now = self.clock.now();
-        for action in self.maintenance.step(now, event) {
+        for action in self.upkeep.step(now, event) {
             match action {
                 upkeep::duty::Action::Note(note) => self.journal.write(note),
                 upkeep::duty::Action::Vacate { shard, order } => {
@@ -366,7 +366,7 @@
                 }
                 other => {
                     if let Some(actors) = &self.actors {
-                        actors.maintenance.do_send(MaintenanceAction(other));
+                        actors.upkeep.do_send(UpkeepAction(other));
                     }
                 }
             }
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -107,7 +107,7 @@
             StoreEvent::Plan(plan) => {
                 if plan != self.plan {
                     self.plan = plan.clone();
-                    self.step_maintenance(upkeep::duty::Event::Plan(plan.clone()), cx);
+                    self.step_upkeep(upkeep::duty::Event::Plan(plan.clone()), cx);
                     self.step_ownership(cluster::Event::Plan(plan), cx);
                 }
             }
@@ -128,7 +128,7 @@
                 self.update_fleet(vms, list_status, at, cx);
             }
             StoreEvent::Config(loaded) => self.apply_config(*loaded, cx),
-            StoreEvent::Wave(wave) => self.step_maintenance(upkeep::duty::Event::Wave(wave), cx),
+            StoreEvent::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
             StoreEvent::ConfigConfirmed { at } => self.confirm_config(at),
             StoreEvent::ConfigReadFailed { reason } => self.config_error = Some(reason),
             StoreEvent::Reach { reach, silent, reason } => {
@@ -140,17 +140,17 @@
     }
 }
 
-/// Result of an action for a maintenance wave.
+/// Result of an action for an upkeep wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct MaintenanceResult(pub upkeep::duty::Event);
+pub struct UpkeepResult(pub upkeep::duty::Event);
 
-impl Handler<MaintenanceResult> for Control {
+impl Handler<UpkeepResult> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: MaintenanceResult, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: UpkeepResult, cx: &mut Self::Context) {
         self.begin_handler(cx);
-        self.step_maintenance(msg.0, cx);
+        self.step_upkeep(msg.0, cx);
     }
 }
 
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -7,7 +7,7 @@
 use crate::job::{Job, JobId, JobState, Life, QueueName, Repeat, Resume, RunNumber, Step};
 use crate::jobs::calls::{Call, Reply};
 use crate::jobs::links::PeerLinks;
-use crate::jobs::machines::MaintenanceAction;
+use crate::jobs::machines::UpkeepAction;
 use crate::jobs::orders::{RequestPermits, VmCall};
 use crate::jobs::records::{
     ClaimShard, CommitShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard,
@@ -66,7 +66,7 @@
     };
 }
 
-ignored!(VmCall, MaintenanceAction, ClaimShard, CommitShard, RemoveShard, ReadHeads);
+ignored!(VmCall, UpkeepAction, ClaimShard, CommitShard, RemoveShard, ReadHeads);
 
 fn me() -> Member {
     Member {
@@ -98,7 +98,7 @@
     control.do_send(Connect(ActorHandles {
         vm_calls: Ring::new(others.clone(), WhenFull::Drop),
         permits: others.clone().recipient(),
-        maintenance: others.clone().recipient(),
+        upkeep: others.clone().recipient(),
         links: PeerLinks::new(control.clone()).start(),
         claims: others.clone().recipient(),
         commits: others.clone().recipient(),
--- a/src/jobs/daemon.rs
+++ b/src/jobs/daemon.rs
@@ -111,7 +111,7 @@
         let permits = external_calls.clone().recipient();
         let links = start_links(&arbiters[3], listener, &control, permits).await?;
         control.do_send(Connect(ActorHandles {
-            maintenance: machines.recipient(),
+            upkeep: machines.recipient(),
             permits: external_calls.clone().recipient(),
             vm_calls: Ring::new(external_calls, ACTION_RING_POLICY),
             links: links.clone(),
--- a/src/jobs/follow/operators.rs
+++ b/src/jobs/follow/operators.rs
@@ -1,4 +1,4 @@
-//! Follower of the operator entries: the configuration, and maintenance waves.
+//! Follower of the operator entries: the configuration, and upkeep waves.
 //!
 //! A watch reports every version of the configuration in full. If versions are written faster than
 //! the network transfers them, each answer would hold more versions than the one before. An answer
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -1,11 +1,10 @@
-//! The actor that lists machines, orders their maintenance, and stores the records of maintenance
-//! waves.
+//! The actor that lists machines, orders their upkeep, and stores the records of upkeep waves.
 //!
 //! Control decides what to do, in [`upkeep::duty`](crate::upkeep::duty); the result of each call is
 //! sent back to it.
 
 use super::Platform;
-use super::control::{Control, MaintenanceResult};
+use super::control::{Control, UpkeepResult};
 use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
@@ -17,7 +16,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Actor for machine maintenance.
+/// Actor for machine upkeep.
 pub struct Machines<P: Platform> {
     platform: P,
     machines: P::Machines,
@@ -43,15 +42,15 @@
     }
 }
 
-/// Carries out an action for a maintenance wave.
+/// Carries out an action for an upkeep wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct MaintenanceAction(pub Action);
+pub struct UpkeepAction(pub Action);
 
-impl<P: Platform> Handler<MaintenanceAction> for Machines<P> {
+impl<P: Platform> Handler<UpkeepAction> for Machines<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: MaintenanceAction, _: &mut Self::Context) {
+    fn handle(&mut self, msg: UpkeepAction, _: &mut Self::Context) {
         let (machines, store) = (self.machines.clone(), self.store.clone());
         let (platform, control) = (self.platform.clone(), self.control.clone());
         let clock = self.clock.clone();
@@ -73,7 +72,7 @@
                 // Handled by control itself.
                 Action::Vacate { .. } | Action::Note(_) => return,
             };
-            control.do_send(MaintenanceResult(event));
+            control.do_send(UpkeepResult(event));
         });
     }
 }
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -74,7 +74,7 @@
     interference: interference::InterferenceModel,
     loans: loan::Loans,
     permit_requests: permits::PermitRequests,
-    maintenance_drain: vacate::MaintenanceDrain,
+    upkeep_drain: vacate::UpkeepDrain,
     crash_log: crash::CrashLog,
     reservations: compact::Reservations,
     vm_list: fleet::VmListSource,
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -177,7 +177,7 @@
     pub(super) fn handle_vm_crash(&mut self, id: &VmId) {
         let now = self.now.steady;
         let Some(vm) = self.vms.get(id) else { return };
-        if vm.leaving.is_some() || self.maintenance_drain.is_draining(id) {
+        if vm.leaving.is_some() || self.upkeep_drain.is_draining(id) {
             return;
         }
         let runs = vm.runs.iter();
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// VMs to drain because their machines go down for maintenance.
+/// VMs to drain because their machines go down for upkeep.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrainOrder {
     /// VMs to drain immediately.
--- a/src/shard/recover.rs
+++ b/src/shard/recover.rs
@@ -90,7 +90,7 @@
             log: Log::new(keys, recovered.seq, SilenceRecord::new(recovered.silent)),
             loans: super::loan::Loans::default(),
             permit_requests: super::permits::PermitRequests::default(),
-            maintenance_drain: super::vacate::MaintenanceDrain::default(),
+            upkeep_drain: super::vacate::UpkeepDrain::default(),
             crash_log: super::crash::CrashLog::default(),
             reservations: super::compact::Reservations::default(),
             interference: super::interference::InterferenceModel::default(),
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -90,13 +90,13 @@
 impl Shard {
     /// Returns the room on a VM, or `None` if it accepts no work at the moment.
     pub(super) fn room(&self, vm: &Vm) -> Option<VmCapacity> {
-        if self.maintenance_drain.is_draining(&vm.id) {
+        if self.upkeep_drain.is_draining(&vm.id) {
             return None;
         }
         let mut room = VmCapacity::of(vm, self.now.steady)?;
         let now = self.now.steady;
         room.is_reserved = self.reservations.is_reserved(&vm.id);
-        room.drains_soon = self.maintenance_drain.is_drain_scheduled(&vm.id);
+        room.drains_soon = self.upkeep_drain.is_drain_scheduled(&vm.id);
         room.is_overloaded =
             vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
         let mut long_running_share = 0.0;
--- a/src/shard/vacate.rs
+++ b/src/shard/vacate.rs
@@ -1,6 +1,6 @@
-//! Draining of VMs whose machines go down for maintenance.
+//! Draining of VMs whose machines go down for upkeep.
 //!
-//! Carrying out the maintenance order ends everything on the machine, so the VM has to be empty by
+//! Carrying out the upkeep order ends everything on the machine, so the VM has to be empty by
 //! then. No new tasks are placed on it. Long-running tasks move to other VMs, with no more tasks of
 //! a step unavailable at a time than the step allows. Tasks that can resume from a checkpoint are
 //! stopped. All others get some time to finish, since stopping them discards their work.
@@ -21,9 +21,9 @@
 /// Interval between checks for runs that can be stopped.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// VMs that are being drained for maintenance.
+/// VMs that are being drained for upkeep.
 #[derive(Debug, Default)]
-pub struct MaintenanceDrain {
+pub struct UpkeepDrain {
     /// VMs that are being drained, with the start time.
     vms: IndexMap<VmId, Duration>,
     /// VMs that are drained later: long-running tasks are not started there.
@@ -34,7 +34,7 @@
     next_log: Duration,
 }
 
-impl MaintenanceDrain {
+impl UpkeepDrain {
     /// Returns whether a VM is being drained, so that nothing may be placed on it.
     pub fn is_draining(&self, vm: &VmId) -> bool {
         self.vms.contains_key(vm)
@@ -52,19 +52,19 @@
     pub(super) fn set_draining_vms(&mut self, order: DrainOrder) {
         let DrainOrder { vms, upcoming, finish_timeout } = order;
         let now = self.now.steady;
-        let before = std::mem::take(&mut self.maintenance_drain);
+        let before = std::mem::take(&mut self.upkeep_drain);
         for vm in vms {
             let since = before.vms.get(&vm).copied();
             if since.is_none() {
                 let runs = self.vms.get(&vm).map_or(0, |vm| vm.runs.len());
                 self.note(Note::VmVacating { vm: vm.clone(), runs, outcome: "begun" });
             }
-            self.maintenance_drain.vms.insert(vm, since.unwrap_or(now));
+            self.upkeep_drain.vms.insert(vm, since.unwrap_or(now));
         }
-        self.maintenance_drain.next_check = before.next_check;
-        self.maintenance_drain.next_log = before.next_log;
-        self.maintenance_drain.upcoming = upcoming.into_iter().collect();
-        self.maintenance_drain.finish_timeout = finish_timeout;
+        self.upkeep_drain.next_check = before.next_check;
+        self.upkeep_drain.next_log = before.next_log;
+        self.upkeep_drain.upcoming = upcoming.into_iter().collect();
+        self.upkeep_drain.finish_timeout = finish_timeout;
         self.request_schedule();
     }
 
@@ -72,24 +72,24 @@
     pub fn drained_vms(&self) -> Vec<VmId> {
         let now = self.now.steady;
         let is_empty = |vm: &&Vm| vm.runs.is_empty() && vm.is_responsive(now);
-        let vms = self.maintenance_drain.vms.keys().filter_map(|id| self.vms.get(id));
+        let vms = self.upkeep_drain.vms.keys().filter_map(|id| self.vms.get(id));
         vms.filter(is_empty).map(|vm| vm.id.clone()).collect()
     }
 
     /// Stops the runs on draining VMs that may be stopped now.
     pub(super) fn stop_runs_on_draining_vms(&mut self) {
         let now = self.now.steady;
-        if self.maintenance_drain.vms.is_empty() || now < self.maintenance_drain.next_check {
+        if self.upkeep_drain.vms.is_empty() || now < self.upkeep_drain.next_check {
             return;
         }
-        self.maintenance_drain.next_check = now + CHECK_INTERVAL;
+        self.upkeep_drain.next_check = now + CHECK_INTERVAL;
         let draining: Vec<(VmId, Duration)> =
-            self.maintenance_drain.vms.iter().map(|(vm, since)| (vm.clone(), *since)).collect();
+            self.upkeep_drain.vms.iter().map(|(vm, since)| (vm.clone(), *since)).collect();
         for (vm, since) in draining {
             for key in self.runs_on(&vm) {
                 // Each stop reduces the number of further tasks of the step that may be stopped.
                 match self.stop_blocker(&vm, key, since) {
-                    None => self.stop_run(&vm, key, "its VM is drained for maintenance"),
+                    None => self.stop_run(&vm, key, "its VM is drained for upkeep"),
                     Some(reason) => self.log_blocked_stop(&vm, key, reason),
                 }
             }
@@ -98,8 +98,8 @@
 
     fn log_blocked_stop(&mut self, vm: &VmId, key: RunKey, reason: StaticText) {
         let now = self.now.steady;
-        if now >= self.maintenance_drain.next_log {
-            self.maintenance_drain.next_log = now + LOG_INTERVAL;
+        if now >= self.upkeep_drain.next_log {
+            self.upkeep_drain.next_log = now + LOG_INTERVAL;
             self.note(Note::VacateWaits { vm: vm.clone(), task: key.task, reason });
         }
     }
@@ -127,7 +127,7 @@
                 Some("no other VM has room for it")
             }
             (Life::Finite, Resume::FromStart)
-                if now.saturating_sub(since) < self.maintenance_drain.finish_timeout
+                if now.saturating_sub(since) < self.upkeep_drain.finish_timeout
                     || ends_soon(run, now) =>
             {
                 Some("it may finish on its own")
@@ -167,7 +167,7 @@
         self.vms.values().any(|vm| {
             vm.entry.service == job.job.service
                 && vm.takes_work(now)
-                && !self.maintenance_drain.is_draining(&vm.id)
+                && !self.upkeep_drain.is_draining(&vm.id)
                 && step.reserved_resources().fits_in(&vm.free())
                 && self.has_label(&vm.id, step)
         })
