--- a/tests/shards/vacate.rs
+++ b/tests/shards/vacate.rs
@@ -1,4 +1,4 @@
-//! VMs drained because their machines go down for maintenance.
+//! VMs drained because their machines go down for upkeep.
 
 use crate::faults::NoFaults;
 use crate::invariants::check;
