--- a/benches/policy/world/reports.rs
+++ b/benches/policy/world/reports.rs
@@ -1,10 +1,10 @@
-//! What a policy is told late, and what it then does.
+//! Delayed usage reports, and the relief steps that the policy takes.
 
 use super::*;
 
-impl World<'_> {
-    /// Sends reports on their way.
-    pub(super) fn measure(&mut self, now: u64) {
+impl Simulation<'_> {
+    /// Queues usage reports for delivery with simulated delay, loss and repetition.
+    pub(super) fn send_reports(&mut self, now: u64) {
         let wire = self.scenario.wire;
         for index in 0..self.vms.len() {
             if !self.vms[index].up || !(now + index as u64).is_multiple_of(REPORT_EVERY) {
@@ -33,11 +33,17 @@
         {
             let number = 1_000_000_000 + (index * 10 + instance) as u64;
             let task = TaskId::new(PartitionId(9), number);
-            tenants.push(usage(task, class, slowdown * (1.0 + noise * gauss(&mut self.rng)), 0.0));
+            tenants.push(usage(
+                task,
+                class,
+                slowdown * (1.0 + noise * standard_normal(&mut self.rng)),
+                0.0,
+            ));
         }
         for running in &vm.tasks {
             let job = &self.jobs[running.job];
-            let slowdown = running.slowdown / running.share * (1.0 + noise * gauss(&mut self.rng));
+            let slowdown =
+                running.slowdown / running.share * (1.0 + noise * standard_normal(&mut self.rng));
             let progress = (running.done / job.work).clamp(0.0, 1.0);
             tenants.push(usage(job.id, &job.spec.class, slowdown, progress));
         }
@@ -50,7 +56,7 @@
         }
     }
 
-    pub(super) fn deliver(&mut self, now: u64) {
+    pub(super) fn deliver_reports(&mut self, now: u64) {
         while let Some(entry) = self.reports.first_entry() {
             if entry.key().0 > now {
                 return;
@@ -58,18 +64,18 @@
             let (index, measured, mut report) = entry.remove();
             report.age = Duration::from_secs(now - measured);
             let vm = self.vms[index].id.clone();
-            self.row.observe(&vm, &report, Duration::from_secs(now));
+            self.policy.handle_report(&vm, &report, Duration::from_secs(now));
         }
     }
 
-    pub(super) fn residents(&self, index: usize) -> Vec<Resident> {
+    pub(super) fn running_tasks(&self, index: usize) -> Vec<RunningTask> {
         let running = self.vms[index].tasks.iter().filter(|task| task.closing.is_none());
         running
             .map(|task| {
                 let job = &self.jobs[task.job];
                 let resumable = Scenario::resumable(job);
                 let saved_at = Duration::from_secs(task.saved_at);
-                Resident {
+                RunningTask {
                     task: job.id,
                     attempt: task.attempt,
                     spec: job.spec.clone(),
@@ -86,33 +92,34 @@
             if !self.vms[index].up || !(now + index as u64).is_multiple_of(RELIEVE_EVERY) {
                 continue;
             }
-            let residents = self.residents(index);
+            let running_tasks = self.running_tasks(index);
             let vm = self.vms[index].id.clone();
-            for relief in self.row.relieve(&vm, &residents, Duration::from_secs(now)) {
+            for relief in self.policy.decide_relief(&vm, &running_tasks, Duration::from_secs(now)) {
                 self.apply(&relief, now);
             }
         }
     }
 
-    pub(super) fn apply(&mut self, relief: &Relief, now: u64) {
+    pub(super) fn apply(&mut self, relief: &ReliefStep, now: u64) {
         match relief {
-            Relief::Throttle { vm, task, share } => {
+            ReliefStep::Throttle { vm, task, share } => {
                 self.out.throttles += u64::from(*share < 1.0);
                 if let Some(running) = self.task_mut(vm, task) {
                     running.share = *share;
                 }
             }
-            Relief::Health { vm, health } => {
+            ReliefStep::Health { vm, health } => {
                 let index = self.index[vm];
                 self.vms[index].health = *health;
-                self.tell(index);
+                self.update_view(index);
             }
-            Relief::Evict { vm, task, .. } => {
+            ReliefStep::Evict { vm, task, .. } => {
                 self.out.evictions += 1;
                 let never = self.jobs[task.number as usize].spec.resumption == Resumption::Never;
-                self.out.broken_promises += u64::from(never);
+                self.out.violations += u64::from(never);
                 if let Some(running) = self.task_mut(vm, task) {
-                    running.closing = Some(Closing { at: now + STOP_TIME, why: Why::Evicted });
+                    running.closing =
+                        Some(Closing { at: now + STOP_TIME, reason: StopReason::Evicted });
                 }
             }
         }
--- a/src/cluster/member.rs
+++ b/src/cluster/member.rs
@@ -18,7 +18,8 @@
     pub addr: String,
     pub stage: MemberStage,
     /// CPU available to the daemon, in thousandths of a core.
-    pub power: u32,
+    #[serde(rename = "power")]
+    pub milli_cores: u32,
 }
 
 /// Whether a daemon accepts shards.
@@ -31,7 +32,7 @@
 
 /// Whether a daemon can reach the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreReach {
+pub enum StoreReachability {
     Reached,
     Away,
 }
@@ -40,29 +41,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     pub from: Member,
-    pub store: StoreReach,
+    pub store: StoreReachability,
     /// Version of the configuration in force at the sender.
     pub config: u64,
     /// Shards owned by the sender.
-    pub shards: Vec<ShardNews>,
+    pub shards: Vec<ShardReport>,
 }
 
 impl Hello {
     /// A shorter hello for receivers that own no shard. It omits the free room of VMs, which is the
     /// largest part of a hello and is needed only to lend tasks.
-    pub fn brief(&self) -> Self {
-        let mut brief = self.clone();
-        for news in &mut brief.shards {
-            news.summary.rooms.clear();
-            news.summary.harmless_free.clear();
+    pub fn without_free_room(&self) -> Self {
+        let mut shortened = self.clone();
+        for report in &mut shortened.shards {
+            report.summary.rooms.clear();
+            report.summary.harmless_free.clear();
         }
-        brief
+        shortened
     }
 }
 
 /// State of a shard as reported by its owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShardNews {
+pub struct ShardReport {
     pub name: String,
     pub fence: u64,
     pub summary: Summary,
--- a/src/cluster/ownership/members.rs
+++ b/src/cluster/ownership/members.rs
@@ -1,10 +1,10 @@
-//! MemberState daemons and the schedule of hellos to them.
+//! State of the other daemons and the schedule of hellos to them.
 
 use super::orphans::OWNER_TIMEOUT;
 use super::{Action, Ownership};
-use crate::cluster::member::{Hello, Member, StoreReach};
+use crate::cluster::member::{Hello, Member, StoreReachability};
 use crate::ids::DaemonId;
-use crate::note::{Ms, Note, Word};
+use crate::note::{Millis, Note, StaticText};
 use std::time::Duration;
 
 /// Interval between hellos of a daemon that owns a shard.
@@ -24,7 +24,7 @@
     pub(super) last_heard: Duration,
     /// When this process of the daemon was first heard of.
     pub(super) joined: Duration,
-    pub(super) store: StoreReach,
+    pub(super) store: StoreReachability,
     /// When `store` last changed.
     pub(super) store_since: Duration,
     pub(super) shards: Vec<String>,
@@ -46,13 +46,13 @@
             .collect()
     }
 
-    /// The daemons that are due for a hello. Owners send hellos to everyone frequently, since
-    /// others rely on them. Daemons without shards send them to owners less often, and to each
-    /// other at an interval that grows with the size of the cluster.
-    pub fn to_greet(&mut self, now: Duration) -> Vec<Member> {
+    /// Returns the daemons that are due for a hello and schedules the next one for each. Owners send
+    /// hellos to everyone frequently, since others rely on them. Daemons without shards send them to
+    /// owners less often, and to each other at an interval that grows with the size of the cluster.
+    pub fn take_due_hellos(&mut self, now: Duration) -> Vec<Member> {
         let owns = !self.held.is_empty();
         let idle_interval = idle_hello_interval(self.members.len());
-        let mut greeted = Vec::new();
+        let mut due = Vec::new();
         for known in self.members.values_mut().filter(|known| now >= known.next_hello) {
             let pause = match (owns, known.shards.is_empty()) {
                 (true, _) => OWNER_HELLO_INTERVAL,
@@ -60,13 +60,13 @@
                 (false, true) => idle_interval,
             };
             known.next_hello = now + pause;
-            greeted.push(known.member.clone());
+            due.push(known.member.clone());
         }
-        greeted
+        due
     }
 
     /// Makes a hello to every daemon due at once, because of an important change.
-    pub fn greet_all(&mut self) {
+    pub fn schedule_hello_to_all(&mut self) {
         self.members.values_mut().for_each(|known| known.next_hello = self.now);
     }
 
@@ -101,7 +101,7 @@
             member,
             last_heard: self.now,
             joined: self.now,
-            store: StoreReach::Away,
+            store: StoreReachability::Away,
             store_since: self.now,
             shards: Vec::new(),
             config: 0,
@@ -134,10 +134,10 @@
             known.store_since = self.now;
         }
         known.config = hello.config;
-        known.shards = hello.shards.iter().map(|news| news.name.clone()).collect();
-        for news in hello.shards {
-            self.learn(&news.name, hello.from.id.clone(), news.fence);
-            let view = self.shards.get_mut(&news.name);
+        known.shards = hello.shards.iter().map(|report| report.name.clone()).collect();
+        for report in hello.shards {
+            self.record_owner(&report.name, hello.from.id.clone(), report.fence);
+            let view = self.shards.get_mut(&report.name);
             if let Some(view) = view.filter(|view| view.owner.as_ref() == Some(&hello.from.id)) {
                 view.announced = true;
             }
@@ -167,8 +167,8 @@
         known.refused_at.is_none() && now.saturating_sub(known.last_heard) < timeout
     }
 
-    pub(super) fn log_member(&mut self, member: DaemonId, state: Word, silent: Duration) {
-        let silent_ms = Ms(silent);
+    pub(super) fn log_member(&mut self, member: DaemonId, state: StaticText, silent: Duration) {
+        let silent_ms = Millis(silent);
         self.actions.push(Action::Note(Note::MemberChanged { member, state, silent_ms }));
     }
 }
--- a/src/cluster/ownership/orphans.rs
+++ b/src/cluster/ownership/orphans.rs
@@ -2,10 +2,10 @@
 
 use super::members::MemberState;
 use super::{Action, HoldState, Ownership, ShardView};
-use crate::cluster::head::Replaced;
-use crate::cluster::member::{Member, MemberStage, StoreReach};
+use crate::cluster::head::ExpectedOwner;
+use crate::cluster::member::{Member, MemberStage, StoreReachability};
 use crate::ids::{DaemonId, DomainId};
-use crate::note::{Ms, Note, Word};
+use crate::note::{Millis, Note, StaticText};
 use crate::shard::PreviousOwner;
 use indexmap::IndexMap;
 use std::time::Duration;
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Cause {
     pub(super) previous: PreviousOwner,
-    pub(super) reason: Word,
+    pub(super) reason: StaticText,
     /// Time since the owner was last heard from.
     pub(super) silent: Duration,
     /// Additional delay of the claim, in which a live owner may still become known.
@@ -90,9 +90,10 @@
     }
 
     pub(super) fn claim_orphans(&mut self) {
-        let settled = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
-        let fit = self.me.stage == MemberStage::Serving && self.store == StoreReach::Reached;
-        if !settled || !fit {
+        let startup_done = self.now.saturating_sub(self.started) >= STARTUP_GRACE;
+        let eligible =
+            self.me.stage == MemberStage::Serving && self.store == StoreReachability::Reached;
+        if !startup_done || !eligible {
             return;
         }
         let orphans: Vec<(String, Orphan, DomainId, Option<DaemonId>)> = self
@@ -120,11 +121,11 @@
             shard: shard.to_owned(),
             owner: owner.map_or_else(String::new, ToString::to_string),
             reason: cause.reason,
-            silent_ms: Ms(cause.silent),
+            silent_ms: Millis(cause.silent),
         }));
         let previous = cause.previous;
         let fence = self.fence(shard).0;
-        let replaces = Replaced { owner: owner.cloned(), fence };
+        let replaces = ExpectedOwner { owner: owner.cloned(), fence };
         self.actions.push(Action::Claim { shard: shard.to_owned(), previous, replaces });
     }
 
@@ -135,7 +136,7 @@
             .members
             .values()
             .filter(|known| self.is_alive(known) && known.member.stage == MemberStage::Serving)
-            .filter(|known| known.store == StoreReach::Reached)
+            .filter(|known| known.store == StoreReachability::Reached)
             .filter(|known| self.rank(shard, domain, &known.member, known.shards.len()) < mine)
             .count();
         let remote_delay =
@@ -197,7 +198,7 @@
 
 /// Cause for a shard that appears to have no owner, though one may become known during the grace
 /// period.
-fn unowned(reason: Word) -> Cause {
+fn unowned(reason: StaticText) -> Cause {
     let (previous, silent) = (PreviousOwner::MaybeActive, Duration::ZERO);
     Cause { previous, reason, silent, grace: PROPAGATION_DELAY }
 }
--- a/src/cluster/ownership/sharing.rs
+++ b/src/cluster/ownership/sharing.rs
@@ -2,7 +2,7 @@
 
 use super::members::MemberState;
 use super::{Action, HandOver, HoldState, Ownership};
-use crate::cluster::member::{Member, MemberStage, StoreReach};
+use crate::cluster::member::{Member, MemberStage, StoreReachability};
 use crate::ids::DomainId;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -32,19 +32,19 @@
     /// Hands shards over to better placed daemons.
     pub(super) fn rebalance(&mut self) {
         let owned = self.owned();
-        let lost = self.store == StoreReach::Away
+        let store_lost = self.store == StoreReachability::Away
             && self.now.saturating_sub(self.store_since) >= STORE_DOWN_DELAY;
         for shard in &owned {
             let Some(domain) = self.shards.get(shard).map(|view| view.domain.clone()) else {
                 continue;
             };
-            let away = domain != self.me.domain;
-            if lost || away {
-                let how = if lost { HandOver::AtOnce } else { HandOver::Settled };
+            let is_remote = domain != self.me.domain;
+            if store_lost || is_remote {
+                let how = if store_lost { HandOver::Immediate } else { HandOver::AfterCommit };
                 self.hand_over_to_best(shard, &domain, how);
             }
         }
-        if !lost {
+        if !store_lost {
             self.balance_load(&owned);
         }
     }
@@ -77,7 +77,7 @@
         let Some(shard) = owned.iter().find(is_home).cloned() else { return };
         if let Some(to) = self.best_candidate(&shard, &home, eligible) {
             self.next_rebalance = now + REBALANCE_INTERVAL;
-            self.hand_over(shard, to, HandOver::Settled);
+            self.hand_over(shard, to, HandOver::AfterCommit);
         }
     }
 
@@ -90,14 +90,14 @@
             // The shard stays here if no daemon can take it. When it was released instead, it had
             // no owner for as long as several daemons were restarting at once.
             let Some(to) = self.best_candidate(&shard, &domain, eligible) else { continue };
-            self.hand_over(shard, to, HandOver::Settled);
+            self.hand_over(shard, to, HandOver::AfterCommit);
         }
     }
 
     /// Releases the remaining shards, so that the next daemon finds them without an owner.
     pub(super) fn release_all(&mut self) {
         for shard in self.owned() {
-            self.hand_over(shard, self.me.clone(), HandOver::Settled);
+            self.hand_over(shard, self.me.clone(), HandOver::AfterCommit);
         }
     }
 
@@ -105,14 +105,14 @@
     fn hand_over_to_best(&mut self, shard: &str, domain: &DomainId, how: HandOver) {
         let now = self.now;
         let min_age = match how {
-            HandOver::AtOnce => Duration::ZERO,
-            HandOver::Settled => STABLE_AFTER,
+            HandOver::Immediate => Duration::ZERO,
+            HandOver::AfterCommit => STABLE_AFTER,
         };
         let eligible = |known: &&MemberState| {
             self.can_take(known)
                 && known.member.domain == *domain
                 && now.saturating_sub(known.joined) >= min_age
-                && (how == HandOver::Settled
+                && (how == HandOver::AfterCommit
                     || now.saturating_sub(known.store_since) >= STORE_UP_DELAY)
         };
         if let Some(to) = self.best_candidate(shard, domain, eligible) {
@@ -128,7 +128,7 @@
     fn can_take(&self, known: &MemberState) -> bool {
         self.is_alive(known)
             && known.member.stage == MemberStage::Serving
-            && known.store == StoreReach::Reached
+            && known.store == StoreReachability::Reached
     }
 
     fn best_candidate(
@@ -168,5 +168,5 @@
 
 /// Number of shards relative to a daemon's CPU, in millionths of a shard per thousandth of a core.
 pub(super) fn load(member: &Member, shards: usize) -> u64 {
-    shards as u64 * 1_000_000 / u64::from(member.power.max(1))
+    shards as u64 * 1_000_000 / u64::from(member.milli_cores.max(1))
 }
--- a/src/core/policy/relieve.rs
+++ b/src/core/policy/relieve.rs
@@ -1,63 +1,75 @@
-//! Gathers what a step on one VM is decided from, and notes what was decided.
+//! Collects the inputs of relief steps on VMs and records the steps that were decided.
 
-use super::decide::{PARTS, batch_trigger};
-use super::explain::{self, Recorded};
-use super::index::allowed;
+use super::decide::{PPM, batch_trigger};
+use super::explain::{self, RecordedInputs};
+use super::index::pool_includes;
 use super::interference::{Band, Neighbours};
-use super::ladder::{self, Culprit, Ladder, Rung, dwell, to_parts};
+use super::ladder::{self, Aggressor, EscalationLevel, Ladder, dwell, to_ppm};
 use super::room::{self, Plan, Progress};
 use super::score::without_self;
-use super::{Candidate, Decided, Policy, Relief, Resident, eviction, health};
+use super::{Candidate, Decision, Policy, ReliefStep, RunningTask, eviction, health};
 use crate::ids::{ClassName, VmId};
 use crate::model::Urgency;
 use crate::peer::VmHealth;
 use indexmap::IndexMap;
 use std::time::Duration;
 
-/// A change of health that was not taken over is asked for again after this.
-const REPEAT_HEALTH: Duration = Duration::from_secs(5);
+/// Time after which a requested change of health that was not applied is requested again.
+const HEALTH_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A VM without batch tasks is opened again after this much calm, since none of them is to blame.
+/// Calm period after which a VM without batch tasks is opened again: no batch task there can be the
+/// cause of a slowdown.
 const CALM_WHEN_EMPTY: Duration = Duration::from_secs(10);
 
-/// Health that was asked for.
+/// A requested change of health.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct HealthRequest {
     health: VmHealth,
     at: Duration,
 }
 
 impl Policy {
-    pub(super) fn steps(
+    pub(super) fn relief_steps(
         &mut self,
         vm: &VmId,
-        residents: &[Resident],
+        running_tasks: &[RunningTask],
         now: Duration,
-    ) -> Vec<Decided<Relief>> {
+    ) -> Vec<Decision<ReliefStep>> {
         self.blame.end_if_overdue(vm, now);
         let mut steps = Vec::new();
-        if let Some(inputs) = self.ladder_inputs(vm, residents, now)
+        if let Some(inputs) = self.ladder_inputs(vm, running_tasks, now)
             && let Some(relief) = inputs.decide()
         {
-            self.note_step(vm, &relief, &inputs, now);
-            if !matches!(relief, Relief::Health { .. }) {
-                steps.push(self.decided(relief, &Recorded::Ladder(inputs), now));
+            self.record_step(vm, &relief, &inputs, now);
+            if !matches!(relief, ReliefStep::Health { .. }) {
+                steps.push(self.decision(relief, &RecordedInputs::Ladder(inputs), now));
             }
         }
         steps.extend(self.health_step(vm, now));
         steps
     }
 
-    fn decided(&self, relief: Relief, recorded: &Recorded, now: Duration) -> Decided<Relief> {
-        let record = explain::relief(&relief, recorded, &self.config, now);
-        Decided { choice: relief, record }
+    fn decision(
+        &self,
+        relief: ReliefStep,
+        recorded: &RecordedInputs,
+        now: Duration,
+    ) -> Decision<ReliefStep> {
+        let record = explain::relief_record(&relief, recorded, &self.config, now);
+        Decision { choice: relief, record }
     }
 
-    fn note_step(&mut self, vm: &VmId, relief: &Relief, inputs: &ladder::Inputs, now: Duration) {
+    fn record_step(
+        &mut self,
+        vm: &VmId,
+        relief: &ReliefStep,
+        inputs: &ladder::Inputs,
+        now: Duration,
+    ) {
         if let Some(ladder) = self.ladders.get_mut(vm) {
-            ladder.stepped(relief, inputs, now);
+            ladder.record_step(relief, inputs, now);
         }
-        if let Relief::Evict { .. } = relief {
+        if let ReliefStep::Evict { .. } = relief {
             self.budget.spend();
         }
     }
@@ -65,7 +77,7 @@
     fn ladder_inputs(
         &mut self,
         vm: &VmId,
-        residents: &[Resident],
+        running_tasks: &[RunningTask],
         now: Duration,
     ) -> Option<ladder::Inputs> {
         let shares = self.shares();
@@ -73,19 +85,19 @@
         let lag = self.reports.get(vm)?.lag;
         let budget = self.budget.available(&shares, now);
         let ladder = self.ladders.get_mut(vm)?;
-        ladder.retain(|task| residents.iter().any(|resident| resident.task == *task));
+        ladder.retain(|task| running_tasks.iter().any(|running_task| running_task.task == *task));
         let mut inputs = ladder.inputs(vm, shares, trigger, now);
         inputs.dwell = dwell(lag);
-        if residents.is_empty() {
+        if running_tasks.is_empty() {
             inputs.calm_needed = inputs.calm_needed.min(CALM_WHEN_EMPTY);
         }
         inputs.budget = budget;
-        inputs.culprits = self.culprits(vm, residents, now);
+        inputs.culprits = self.aggressors(vm, running_tasks, now);
         Some(inputs)
     }
 
-    /// Excess slowdown at which the services on a VM are helped: what services there cause each
-    /// other is no fault of batch.
+    /// Excess slowdown above which the services on a VM are relieved. It includes the slowdown that
+    /// the services cause each other, which batch tasks are not responsible for.
     pub(super) fn trigger_on(&self, vm: &VmId) -> f64 {
         let trigger = self.trigger();
         let Some(reports) = self.reports.get(vm) else { return trigger };
@@ -99,61 +111,67 @@
         let excess = |(index, service): (usize, &Neighbours<'_>)| {
             self.model.excess(service.class, &without_self(&services, index), band)
         };
-        let by_services = to_parts(services.iter().enumerate().map(excess).fold(0.0, f64::max));
-        let for_batch = batch_trigger(to_parts(trigger), by_services);
-        (for_batch + by_services) as f64 / PARTS
+        let by_services = to_ppm(services.iter().enumerate().map(excess).fold(0.0, f64::max));
+        let for_batch = batch_trigger(to_ppm(trigger), by_services);
+        (for_batch + by_services) as f64 / PPM
     }
 
-    fn culprits(&self, vm: &VmId, residents: &[Resident], now: Duration) -> Vec<Culprit> {
+    fn aggressors(
+        &self,
+        vm: &VmId,
+        running_tasks: &[RunningTask],
+        now: Duration,
+    ) -> Vec<Aggressor> {
         let Some(reports) = self.reports.get(vm) else { return Vec::new() };
         let Some(ladder) = self.ladders.get(vm) else { return Vec::new() };
         let band = Band::of(reports.load);
-        let culprit = |resident: &Resident| self.culprit(vm, resident, ladder, band, now);
-        let mut culprits: Vec<_> = residents.iter().map(culprit).collect();
-        culprits.sort_by_key(|culprit| culprit.task);
-        culprits
+        let aggressor =
+            |running_task: &RunningTask| self.aggressor(vm, running_task, ladder, band, now);
+        let mut aggressors: Vec<_> = running_tasks.iter().map(aggressor).collect();
+        aggressors.sort_by_key(|aggressor| aggressor.task);
+        aggressors
     }
 
-    fn culprit(
+    fn aggressor(
         &self,
         vm: &VmId,
-        resident: &Resident,
+        running_task: &RunningTask,
         ladder: &Ladder,
         band: Band,
         now: Duration,
-    ) -> Culprit {
-        let share = ladder.share(&resident.task);
-        let harm = self.harm(vm, &resident.spec.class, band) * share;
-        let evictable = !eviction::nearly_done(resident, now);
-        Culprit {
-            task: resident.task,
-            attempt: resident.attempt,
-            harm: to_parts(harm),
-            share: to_parts(share),
-            loss: eviction::cost(resident, now).filter(|_| evictable),
+    ) -> Aggressor {
+        let share = ladder.share(&running_task.task);
+        let harm = self.harm(vm, &running_task.spec.class, band) * share;
+        let evictable = !eviction::nearly_done(running_task, now);
+        Aggressor {
+            task: running_task.task,
+            attempt: running_task.attempt,
+            harm: to_ppm(harm),
+            share: to_ppm(share),
+            loss: eviction::cost(running_task, now).filter(|_| evictable),
         }
     }
 
-    /// Slowdown that one task of the class causes to the service there that it slows most.
+    /// Excess slowdown that one task of the class causes to the service there that it affects most.
     fn harm(&self, vm: &VmId, class: &ClassName, band: Band) -> f64 {
         let Some(reports) = self.reports.get(vm) else { return 0.0 };
         let services = reports.classes.keys().filter(|name| self.services.contains(*name));
         services.map(|service| self.model.effect(service, class, band)).fold(0.0, f64::max)
     }
 
-    fn health_step(&mut self, vm: &VmId, now: Duration) -> Option<Decided<Relief>> {
+    fn health_step(&mut self, vm: &VmId, now: Duration) -> Option<Decision<ReliefStep>> {
         let inputs = self.health_inputs(vm, now)?;
         let Some(relief) = inputs.decide() else {
-            self.asked.swap_remove(vm);
+            self.health_requests.swap_remove(vm);
             return None;
         };
-        let Relief::Health { health, .. } = relief else { return None };
-        let asked = self.asked.get(vm);
-        if asked.is_some_and(|asked| asked.health == health && now < asked.at + REPEAT_HEALTH) {
+        let ReliefStep::Health { health, .. } = relief else { return None };
+        let last = self.health_requests.get(vm);
+        if last.is_some_and(|last| last.health == health && now < last.at + HEALTH_RETRY_INTERVAL) {
             return None;
         }
-        self.asked.insert(vm.clone(), Asked { health, at: now });
-        Some(self.decided(relief, &Recorded::Health(inputs), now))
+        self.health_requests.insert(vm.clone(), HealthRequest { health, at: now });
+        Some(self.decision(relief, &RecordedInputs::Health(inputs), now))
     }
 
     fn health_inputs(&self, vm: &VmId, now: Duration) -> Option<health::Inputs> {
@@ -163,59 +181,59 @@
             at: now,
             vm: vm.clone(),
             present: self.fleet.get(vm)?.view.health,
-            blame: to_parts(self.blame.of(vm)),
+            blame: to_ppm(self.blame.of_vm(vm)),
             quarantined_for: quarantine.map(|quarantine| now.saturating_sub(quarantine.since)),
-            rung: ladder.map_or(Rung::Calm, |ladder| ladder.rung),
-            ladder: ladder.and_then(Ladder::reason).cloned(),
+            rung: ladder.map_or(EscalationLevel::Calm, |ladder| ladder.rung),
+            ladder: ladder.and_then(Ladder::last_health_step).cloned(),
         })
     }
 
     pub(super) fn eviction_for(
         &mut self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
-    ) -> Option<Decided<Relief>> {
+    ) -> Option<Decision<ReliefStep>> {
         if candidate.spec.urgency != Urgency::Urgent {
             return None;
         }
         let plans = match self.plans.progress(candidate.task, now) {
             Progress::Waiting => return None,
             Progress::Next(rest) => vec![rest],
-            Progress::None => self.room_plans(candidate, residents, now),
+            Progress::None => self.room_plans(candidate, running_tasks, now),
         };
         let need = candidate.spec.resources;
         let mut inputs = room::Inputs { at: now, task: candidate.task, need, plans };
-        inputs.shorten();
+        inputs.truncate();
         let relief = inputs.decide()?;
         let best = inputs.best()?.clone();
-        self.plans.carried_out(candidate.task, &best, now);
-        self.holds.hold(candidate.task, &best.vm, now);
-        Some(self.decided(relief, &Recorded::Room(inputs), now))
+        self.plans.record_eviction(candidate.task, &best, now);
+        self.reservations.reserve(candidate.task, &best.vm, now);
+        Some(self.decision(relief, &RecordedInputs::Room(inputs), now))
     }
 
     fn room_plans(
         &self,
         candidate: &Candidate,
-        residents: &IndexMap<VmId, Vec<Resident>>,
+        running_tasks: &IndexMap<VmId, Vec<RunningTask>>,
         now: Duration,
     ) -> Vec<Plan> {
         let need = &candidate.spec.resources;
         let over_quota = self.domains_over_quota(candidate);
         let pool = self.config.pools.get(&candidate.spec.pool);
         let mut plans = Vec::new();
-        for (id, residents) in residents {
+        for (id, running_tasks) in running_tasks {
             let Some(vm) = self.fleet.get(id) else { continue };
             let view = &vm.view;
             let usable = view.health == VmHealth::Open
-                && allowed(pool, &view.domain)
+                && pool_includes(pool, &view.domain)
                 && pool.is_none_or(|pool| pool.min_size.fits_in(&view.size))
                 && need.fits_in(&view.size)
                 && !over_quota.contains(&view.domain)
                 && !candidate.avoid.contains(id)
-                && !self.plans.concerns(id);
+                && !self.plans.targets(id);
             if usable {
-                plans.extend(room::plan(id, &view.free, need, residents, now));
+                plans.extend(room::plan(id, &view.free, need, running_tasks, now));
             }
         }
         plans.retain(|plan| !plan.victims.is_empty());
--- a/src/core/policy/tests.rs
+++ b/src/core/policy/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, on views and reports made by hand.
+//! Unit tests of the policy's decisions, on constructed views and reports.
 
 mod failures;
 mod learning;
@@ -67,7 +67,7 @@
     }
 }
 
-pub fn beside(mut view: VmView, class: &str, count: u32) -> VmView {
+pub fn with_tasks(mut view: VmView, class: &str, count: u32) -> VmView {
     let cores = if class == "build" { 8 } else { 4 };
     let taken = Resources::new(cores * 1000, cores * 2048, 0).saturating_mul(count);
     view.free = view.free.saturating_sub(&taken);
@@ -101,7 +101,7 @@
     }
 }
 
-/// A policy that knows `views`, and for long enough to refuse what can't fit.
+/// A policy that knows `views` and has no settle time, so that it refuses what can't fit at once.
 pub fn policy(config: Config, views: impl IntoIterator<Item = VmView>) -> Policy {
     let mut policy = Policy::new(Arc::new(config)).with_settle(Duration::ZERO);
     for view in views {
@@ -110,7 +110,7 @@
     policy
 }
 
-/// A report of one measurement, `age` ago.
+/// A report of a measurement taken `age` ago.
 pub fn report(seq: u64, age: Duration, load: f64, tenants: Vec<TenantUsage>) -> UsageReport {
     UsageReport { boot: BootId(1), seq, age, load, tenants }
 }
@@ -127,8 +127,8 @@
 }
 
 /// A batch task that started at `since` and has no checkpoint.
-pub fn resident(config: &Config, class: &str, number: u64, since: Duration) -> Resident {
-    Resident {
+pub fn running_task(config: &Config, class: &str, number: u64, since: Duration) -> RunningTask {
+    RunningTask {
         task: TaskId::new(PartitionId(1), number),
         attempt: Attempt(1),
         spec: spec(config, class),
@@ -138,10 +138,10 @@
     }
 }
 
-/// Applies what a core would: a change of health goes into the view.
-pub fn apply_health(policy: &mut Policy, steps: &[Decided<Relief>]) {
+/// Applies changes of health to the views, as the core does.
+pub fn apply_health(policy: &mut Policy, steps: &[Decision<ReliefStep>]) {
     for step in steps {
-        if let Relief::Health { vm, health } = &step.choice {
+        if let ReliefStep::Health { vm, health } = &step.choice {
             let mut view = policy.fleet.get(vm).expect("the VM is known").view.clone();
             view.health = *health;
             policy.upsert_vm(view);
@@ -149,9 +149,9 @@
     }
 }
 
-pub fn assert_replays(decided: &Decided<Relief>) {
-    let text = serde_json::to_string(&decided.record).expect("a record can be written");
+pub fn assert_replays(decision: &Decision<ReliefStep>) {
+    let text = serde_json::to_string(&decision.record).expect("a record can be written");
     let record = serde_json::from_str(&text).expect("a record can be read");
     let replayed = explain::replay(&record).expect("it can be replayed");
-    assert_eq!(replayed, explain::Replayed::Relief(Some(decided.choice.clone())));
+    assert_eq!(replayed, explain::Replayed::Relief(Some(decision.choice.clone())));
 }
--- a/src/core/policy/tests/failures.rs
+++ b/src/core/policy/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Blame for failures, and what follows.
+//! Attribution of failures, quarantine and probes.
 
 use super::*;
 
@@ -6,15 +6,15 @@
     Outcome::Failed { reason: "exit 1".to_owned() }
 }
 
-fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decided<Relief>> {
-    let steps = policy.relieve(&vm(index), &[], now);
+fn relieve(policy: &mut Policy, index: usize, now: Duration) -> Vec<Decision<ReliefStep>> {
+    let steps = policy.decide_relief(&vm(index), &[], now);
     apply_health(policy, &steps);
     steps
 }
 
-/// One VM of eight fails every task at once, so that it always looks the freest. Each waiting task
-/// is sent there and fails, until the queue is empty. The failures of classes that work elsewhere
-/// are the VM's; it is quarantined after a few, and gets single probes.
+/// One VM of eight fails every task immediately, so it always has the most free resources. Without
+/// quarantine every waiting task would be placed there and fail. Failures of classes that succeed
+/// elsewhere are attributed to the VM; it is quarantined after a few and gets single probes.
 #[test]
 fn a_vm_that_fails_everything_does_not_drain_the_queue() {
     let config = config();
@@ -24,14 +24,14 @@
         let now = secs(number);
         let others = if number % 3 == 0 { 4 } else { 8 };
         for index in 1..8 {
-            policy.upsert_vm(beside(view(index), "narration", others));
+            policy.upsert_vm(with_tasks(view(index), "narration", others));
         }
         let task = candidate(&config, ["build", "wash"][number as usize % 2], number);
         let class = task.spec.class.clone();
-        let Choice::Place { vm: to } = policy.choose(&task, now).choice else { continue };
+        let PlacementDecision::Place { vm: to } = policy.place(&task, now).choice else { continue };
         let outcome = if to == vm(0) { failed() } else { Outcome::Succeeded };
         lost += u32::from(to == vm(0));
-        policy.ended(&to, &class, &outcome, now);
+        policy.record_outcome(&to, &class, &outcome, now);
         for step in relieve(&mut policy, 0, now) {
             assert_replays(&step);
         }
@@ -47,13 +47,13 @@
     for number in 0..600 {
         let now = secs(number);
         let good = candidate(&config, "wash", 10_000 + number);
-        if let Choice::Place { vm } = policy.choose(&good, now).choice {
-            policy.ended(&vm, &good.spec.class, &Outcome::Succeeded, now);
+        if let PlacementDecision::Place { vm } = policy.place(&good, now).choice {
+            policy.record_outcome(&vm, &good.spec.class, &Outcome::Succeeded, now);
         }
         let bad = candidate(&config, "build", number);
-        if let Choice::Place { vm } = policy.choose(&bad, now).choice {
+        if let PlacementDecision::Place { vm } = policy.place(&bad, now).choice {
             starts += 1;
-            policy.ended(&vm, &bad.spec.class, &failed(), now);
+            policy.record_outcome(&vm, &bad.spec.class, &failed(), now);
         }
         for index in 0..8 {
             assert_eq!(relieve(&mut policy, index, now), [], "at {now:?}");
@@ -65,47 +65,52 @@
 #[test]
 fn a_repaired_vm_is_opened_after_good_probes() {
     let config = config();
-    let mut policy = policy(config.clone(), [view(0), beside(view(1), "build", 4)]);
+    let mut policy = policy(config.clone(), [view(0), with_tasks(view(1), "build", 4)]);
     let wash: ClassName = "wash".into();
-    policy.ended(&vm(1), &wash, &Outcome::Succeeded, secs(1));
+    policy.record_outcome(&vm(1), &wash, &Outcome::Succeeded, secs(1));
     for number in 0..4 {
-        policy.ended(&vm(0), &wash, &failed(), secs(2 + number));
+        policy.record_outcome(&vm(0), &wash, &failed(), secs(2 + number));
     }
     let steps = relieve(&mut policy, 0, secs(10));
-    let quarantined = Relief::Health { vm: vm(0), health: VmHealth::Quarantined };
+    let quarantined = ReliefStep::Health { vm: vm(0), health: VmHealth::Quarantined };
     assert_eq!(steps[0].choice, quarantined);
-    let too_early = policy.choose(&candidate(&config, "wash", 1), secs(11)).choice;
-    assert!(matches!(too_early, Choice::Wait { .. }), "{too_early:?}");
+    let too_early = policy.place(&candidate(&config, "wash", 1), secs(11)).choice;
+    assert!(matches!(too_early, PlacementDecision::Wait { .. }), "{too_early:?}");
     for number in 0..2 {
         let now = secs(120 + 60 * number);
-        let probe = policy.choose(&candidate(&config, "wash", number), now).choice;
-        assert_eq!(probe, Choice::Place { vm: vm(0) });
-        let second = policy.choose(&candidate(&config, "wash", 50 + number), now).choice;
-        assert!(matches!(second, Choice::Wait { .. }), "two probes at once: {second:?}");
-        policy.ended(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
+        let probe = policy.place(&candidate(&config, "wash", number), now).choice;
+        assert_eq!(probe, PlacementDecision::Place { vm: vm(0) });
+        let second = policy.place(&candidate(&config, "wash", 50 + number), now).choice;
+        assert!(matches!(second, PlacementDecision::Wait { .. }), "two probes at once: {second:?}");
+        policy.record_outcome(&vm(0), &wash, &Outcome::Succeeded, now + secs(1));
     }
     let steps = relieve(&mut policy, 0, secs(300));
-    assert_eq!(steps[0].choice, Relief::Health { vm: vm(0), health: VmHealth::Open });
+    assert_eq!(steps[0].choice, ReliefStep::Health { vm: vm(0), health: VmHealth::Open });
 }
 
 #[test]
-fn a_task_that_may_not_be_repeated_is_no_probe() {
+fn a_non_idempotent_task_is_not_used_as_a_probe() {
     let config = config();
     let mut quarantined = view(0);
     quarantined.health = VmHealth::Quarantined;
     let mut policy = policy(config.clone(), [quarantined]);
     let mut build = candidate(&config, "build", 1);
     build.spec.idempotency = Idempotency::NonIdempotent;
-    let choice = policy.choose(&build, HOUR).choice;
-    assert!(matches!(choice, Choice::Wait { .. }), "{choice:?}");
+    let choice = policy.place(&build, HOUR).choice;
+    assert!(matches!(choice, PlacementDecision::Wait { .. }), "{choice:?}");
 }
 
 #[test]
-fn cancelled_tasks_are_nobodys_fault() {
+fn cancelled_tasks_are_not_attributed_to_the_vm() {
     let config = config();
     let mut policy = policy(config, [view(0)]);
     for number in 0..10_000 {
-        policy.ended(&vm(0), &"build".into(), &Outcome::Cancelled, Duration::from_millis(number));
+        policy.record_outcome(
+            &vm(0),
+            &"build".into(),
+            &Outcome::Cancelled,
+            Duration::from_millis(number),
+        );
     }
-    assert_eq!(policy.relieve(&vm(0), &[], secs(11)), []);
+    assert_eq!(policy.decide_relief(&vm(0), &[], secs(11)), []);
 }
--- a/src/core/policy/tests/placement.rs
+++ b/src/core/policy/tests/placement.rs
@@ -1,18 +1,18 @@
-//! Where a task goes, waits or is refused.
+//! Placements, waits and refusals.
 
 use super::*;
 
 #[test]
 fn a_task_is_never_placed_where_it_has_no_room() {
     let config = config();
-    let full = (0..20).map(|index| beside(view(index), "build", 4));
-    let one_left = beside(view(20), "build", 3);
+    let full = (0..20).map(|index| with_tasks(view(index), "build", 4));
+    let one_left = with_tasks(view(20), "build", 3);
     let mut policy = policy(config.clone(), full.chain([one_left]));
-    let decided = policy.choose(&candidate(&config, "build", 1), secs(1));
-    assert_eq!(decided.choice, Choice::Place { vm: vm(20) });
-    policy.upsert_vm(beside(view(20), "build", 4));
-    let decided = policy.choose(&candidate(&config, "build", 2), secs(2));
-    let Choice::Wait { reason } = &decided.choice else { panic!("{decided:?}") };
+    let decision = policy.place(&candidate(&config, "build", 1), secs(1));
+    assert_eq!(decision.choice, PlacementDecision::Place { vm: vm(20) });
+    policy.upsert_vm(with_tasks(view(20), "build", 4));
+    let decision = policy.place(&candidate(&config, "build", 2), secs(2));
+    let PlacementDecision::Wait { reason } = &decision.choice else { panic!("{decision:?}") };
     assert!(reason.contains("no room (21 VMs)"), "{reason}");
 }
 
@@ -20,33 +20,34 @@
 fn a_task_larger_than_every_vm_is_refused_with_the_nearest_size() {
     let config = config();
     let mut policy = policy(config.clone(), (0..8).map(view));
-    let mut huge = candidate(&config, "build", 1);
-    huge.spec.resources = Resources::new(48_000, 20_000, 0);
-    let decided = policy.admit(&huge, secs(1));
-    let Choice::Never { nearest, .. } = decided.choice else { panic!("{decided:?}") };
+    let mut oversized = candidate(&config, "build", 1);
+    oversized.spec.resources = Resources::new(48_000, 20_000, 0);
+    let decision = policy.check_admission(&oversized, secs(1));
+    let PlacementDecision::Never { nearest, .. } = decision.choice else { panic!("{decision:?}") };
     assert_eq!(nearest, Some(Resources::new(32_000, 20_000, 0)));
-    let verdict = decided.record.verdict;
+    let verdict = decision.record.verdict;
     assert!(verdict.contains("nearest size that fits is 32000m"), "{verdict}");
 }
 
 #[test]
-fn a_waiting_task_is_told_when_a_new_configuration_makes_it_impossible() {
+fn a_waiting_task_is_refused_when_a_new_configuration_makes_it_infeasible() {
     let config = config();
-    let mut policy = policy(config.clone(), (0..2).map(|index| beside(view(index), "build", 4)));
+    let mut policy =
+        policy(config.clone(), (0..2).map(|index| with_tasks(view(index), "build", 4)));
     let candidate = candidate(&config, "build", 1);
-    let before = policy.choose(&candidate, secs(1)).choice;
-    assert!(matches!(before, Choice::Wait { .. }), "{before:?}");
+    let before = policy.place(&candidate, secs(1)).choice;
+    assert!(matches!(before, PlacementDecision::Wait { .. }), "{before:?}");
     let mut narrower = config;
     let pool = Pool { domains: vec!["remera".into()], min_size: Resources::ZERO };
     narrower.pools.insert("all".into(), pool);
     policy.configure(Arc::new(narrower));
-    let after = policy.choose(&candidate, secs(2)).choice;
-    assert!(matches!(after, Choice::Never { nearest: None, .. }), "{after:?}");
+    let after = policy.place(&candidate, secs(2)).choice;
+    assert!(matches!(after, PlacementDecision::Never { nearest: None, .. }), "{after:?}");
 }
 
-/// A daemon has just started and knows one small VM; the views of the others' VMs arrive a second
-/// later. A task for a large VM that was refused in between would have been accepted everywhere
-/// else, and its caller told that it can never run.
+/// A daemon that has just started knows only one small VM until the views of other daemons' VMs
+/// arrive. Without the settle time it would refuse a task for a large VM for good, although every
+/// other daemon would accept it.
 #[test]
 fn nothing_is_refused_for_its_size_before_the_other_daemons_views_arrived() {
     let config = config();
@@ -56,10 +57,10 @@
     small.free = small.size;
     policy.upsert_vm(small);
     let candidate = candidate(&config, "build", 1);
-    let early = policy.admit(&candidate, secs(100)).choice;
-    assert!(matches!(early, Choice::Wait { .. }), "{early:?}");
-    let late = policy.admit(&candidate, secs(106)).choice;
-    assert!(matches!(late, Choice::Never { .. }), "{late:?}");
+    let early = policy.check_admission(&candidate, secs(100)).choice;
+    assert!(matches!(early, PlacementDecision::Wait { .. }), "{early:?}");
+    let late = policy.check_admission(&candidate, secs(106)).choice;
+    assert!(matches!(late, PlacementDecision::Never { .. }), "{late:?}");
 }
 
 #[test]
@@ -69,18 +70,18 @@
     let mut backward = policy(config.clone(), (0..300).rev().map(view));
     for number in 0..50 {
         let candidate = candidate(&config, "narration", number);
-        assert_eq!(forward.choose(&candidate, secs(1)), backward.choose(&candidate, secs(1)));
+        assert_eq!(forward.place(&candidate, secs(1)), backward.place(&candidate, secs(1)));
     }
 }
 
 #[test]
-fn writers_that_choose_at_once_from_the_same_views_choose_different_vms() {
+fn concurrent_writers_with_the_same_views_choose_different_vms() {
     let config = config();
     let mut policy = policy(config.clone(), (0..1000).map(view));
     let mut chosen = std::collections::BTreeSet::new();
     for number in 0..56 {
-        if let Choice::Place { vm } =
-            policy.choose(&candidate(&config, "build", number), secs(1)).choice
+        if let PlacementDecision::Place { vm } =
+            policy.place(&candidate(&config, "build", number), secs(1)).choice
         {
             chosen.insert(vm);
         }
@@ -89,30 +90,30 @@
 }
 
 #[test]
-fn every_explanation_is_enough_to_decide_again() {
+fn every_placement_record_can_be_replayed() {
     let config = with_quota(config(), "audio", 200);
-    let views = (0..40).map(|index| beside(view(index), "narration", (index % 9) as u32));
+    let views = (0..40).map(|index| with_tasks(view(index), "narration", (index % 9) as u32));
     let mut policy = policy(config.clone(), views);
     for number in 0..60 {
         let mut candidate = candidate(&config, "build", number);
         candidate.spec.resources.milli_cores.0 = 1000 * number as u32;
-        let decided = policy.choose(&candidate, secs(1));
-        let text = serde_json::to_string(&decided.record).expect("a record can be written");
+        let decision = policy.place(&candidate, secs(1));
+        let text = serde_json::to_string(&decision.record).expect("a record can be written");
         let record = serde_json::from_str(&text).expect("a record can be read");
         let replayed = explain::replay(&record).expect("it can be replayed");
-        assert_eq!(replayed, explain::Replayed::Choice(decided.choice));
+        assert_eq!(replayed, explain::Replayed::Choice(decision.choice));
     }
 }
 
 #[test]
 fn a_team_at_its_quota_waits_while_others_are_placed() {
     let config = with_quota(config(), "audio", 8);
-    let mut policy = policy(config.clone(), [beside(view(0), "build", 1), view(1)]);
-    let audio = policy.choose(&candidate(&config, "narration", 1), secs(1)).choice;
-    let Choice::Wait { reason } = audio else { panic!("{audio:?}") };
+    let mut policy = policy(config.clone(), [with_tasks(view(0), "build", 1), view(1)]);
+    let audio = policy.place(&candidate(&config, "narration", 1), secs(1)).choice;
+    let PlacementDecision::Wait { reason } = audio else { panic!("{audio:?}") };
     assert!(reason.contains("allowance"), "{reason}");
-    let cellar = policy.choose(&candidate(&config, "wash", 2), secs(1)).choice;
-    assert!(matches!(cellar, Choice::Place { .. }), "{cellar:?}");
+    let cellar = policy.place(&candidate(&config, "wash", 2), secs(1)).choice;
+    assert!(matches!(cellar, PlacementDecision::Place { .. }), "{cellar:?}");
 }
 
 #[test]
@@ -126,37 +127,37 @@
         let mut policy = policy(config.clone(), [short.clone()]);
         let mut build = candidate(&config, "build", 1);
         build.spec.resources = Resources::new(8000, 16_384, 1);
-        let choice = policy.choose(&build, secs(1)).choice;
-        assert!(matches!(choice, Choice::Wait { .. }), "{:?}: {choice:?}", short.free);
+        let choice = policy.place(&build, secs(1)).choice;
+        assert!(matches!(choice, PlacementDecision::Wait { .. }), "{:?}: {choice:?}", short.free);
         short.free = build.spec.resources;
         policy.upsert_vm(short);
-        let choice = policy.choose(&build, secs(2)).choice;
-        assert_eq!(choice, Choice::Place { vm: vm(0) });
+        let choice = policy.place(&build, secs(2)).choice;
+        assert_eq!(choice, PlacementDecision::Place { vm: vm(0) });
     }
 }
 
 #[test]
-fn explanations_that_weigh_services_are_enough_too() {
+fn placement_records_with_services_can_be_replayed() {
     let config = config();
-    let views = (0..12).map(|index| beside(view(index), "shop", (index % 4) as u32));
+    let views = (0..12).map(|index| with_tasks(view(index), "shop", (index % 4) as u32));
     let mut policy = policy(config.clone(), views);
     for seq in 1..=60 {
         let tenants = vec![tenant("shop", 1, 1.25), tenant("build", 2, 1.1)];
-        policy.observe(&vm(1), &report(seq, secs(1), 0.7, tenants), secs(seq));
+        policy.handle_report(&vm(1), &report(seq, secs(1), 0.7, tenants), secs(seq));
     }
     let mut kinds = std::collections::BTreeSet::new();
     for number in 0..80 {
         let mut build = candidate(&config, "build", number);
         build.waited = secs(number * 10);
-        let decided = policy.choose(&build, secs(100));
-        kinds.insert(decided.record.verdict.split(&[' ', ':'][..]).next().map(str::to_owned));
-        let text = serde_json::to_string(&decided.record).expect("a record can be written");
+        let decision = policy.place(&build, secs(100));
+        kinds.insert(decision.record.verdict.split(&[' ', ':'][..]).next().map(str::to_owned));
+        let text = serde_json::to_string(&decision.record).expect("a record can be written");
         let record = serde_json::from_str(&text).expect("a record can be read");
         let replayed = explain::replay(&record).expect("it can be replayed");
-        assert_eq!(replayed, explain::Replayed::Choice(decided.choice.clone()));
-        if let Choice::Place { vm: to } = decided.choice {
+        assert_eq!(replayed, explain::Replayed::Choice(decision.choice.clone()));
+        if let PlacementDecision::Place { vm: to } = decision.choice {
             let known = policy.fleet.get(&to).expect("a known VM").view.clone();
-            policy.upsert_vm(beside(known, "build", 1));
+            policy.upsert_vm(with_tasks(known, "build", 1));
         }
     }
     assert_eq!(kinds.len(), 2, "both placements and waits: {kinds:?}");
--- a/src/job/progress.rs
+++ b/src/job/progress.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::{Checkpoint, JobId, RunNumber, ShownState, TaskRef};
+use super::{Checkpoint, JobId, JobState, RunNumber, TaskRef};
 use crate::ids::VmId;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -26,17 +26,17 @@
 /// Durable progress of one job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    pub state: ShownState,
+    pub state: JobState,
     /// Shard that lent tasks of the job to this one; `None` in the shard that accepted it.
-    pub home: Option<String>,
+    pub lender: Option<String>,
     /// VMs that bindings refer to by index.
     pub vms: Vec<BoundVm>,
     /// Shards that loans refer to by index.
     pub shards: Vec<String>,
     /// Number of occurrences started so far.
-    pub begun: u32,
+    pub started_occurrences: u32,
     /// Occurrences that have started and not ended.
-    pub open: Vec<OccurrenceProgress>,
+    pub open_occurrences: Vec<OccurrenceProgress>,
     /// Tasks that VMs crashed under. Encoded after the rest of the record, and only if not empty,
     /// so that releases without this field can still decode the record.
     #[serde(skip)]
@@ -63,7 +63,7 @@
 
 impl Crashes {
     /// The maximum of each count.
-    pub fn most(self, other: Self) -> Self {
+    pub fn max(self, other: Self) -> Self {
         Self { all: self.all.max(other.all), sudden: self.sudden.max(other.sudden) }
     }
 }
@@ -152,7 +152,7 @@
 }
 
 /// A VM that tasks are bound to. The address is stored because the VM may no longer be listed when
-/// the next owner takes over: a new VM id at that address proves that this incarnation has ended.
+/// the next owner takes over: a new VM id at that address proves that this instance has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoundVm {
     pub id: VmId,
--- a/src/job/progress/tests.rs
+++ b/src/job/progress/tests.rs
@@ -1,14 +1,14 @@
 use super::{CrashRow, Crashes, Progress, decode, encode};
-use crate::job::{JobId, ShownState, TaskRef};
+use crate::job::{JobId, JobState, TaskRef};
 
 fn progress() -> Progress {
     Progress {
-        state: ShownState::Running,
-        home: None,
+        state: JobState::Running,
+        lender: None,
         vms: Vec::new(),
         shards: Vec::new(),
-        begun: 1,
-        open: Vec::new(),
+        started_occurrences: 1,
+        open_occurrences: Vec::new(),
         crashes: Vec::new(),
     }
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -4,7 +4,7 @@
 //! | component | responsibility | when its mailbox is full |
 //! |---|---|---|
 //! | `control` | makes all decisions: shards and their ownership | new calls are refused as not run; responses from other components wait |
-//! | `machines` | lists machines, orders their maintenance, stores the records of maintenance waves | the wave waits |
+//! | `machines` | lists machines, orders their upkeep, stores the records of upkeep waves | the wave waits |
 //! | `records` | reads and writes the store | commits wait in control |
 //! | `orders` | calls the VMs and the permit service | VM calls wait in control |
 //! | `links` | exchanges messages with other daemons | messages are dropped; the senders repeat them |
@@ -26,11 +26,11 @@
 pub mod stop;
 pub mod view;
 
-use crate::kv::{Item, Kv, Put};
-use crate::permit::PermitPort;
+use crate::kv::{Item, KvStore, Put};
+use crate::permit::PermitApi;
 use crate::queues::Queues;
-use crate::upkeep::{MachinePort, Wave, WaveState};
-use crate::vm::{VmEntry, VmPort};
+use crate::upkeep::{MachineApi, Wave, WaveState};
+use crate::vm::{VmApi, VmEntry};
 
 /// A store entry that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -53,13 +53,13 @@
 /// Clients for the platform's services, and decoders for its entries in the store.
 pub trait Platform: Clone + Send + Unpin + 'static {
     /// Client for the store.
-    type Store: Kv + Clone + Unpin + 'static;
+    type Store: KvStore + Clone + Unpin + 'static;
     /// Client for the VMs.
-    type Vms: VmPort + Clone + Unpin + 'static;
+    type Vms: VmApi + Clone + Unpin + 'static;
     /// Client for the service that permits steps on VMs.
-    type Permits: PermitPort + Clone + Unpin + 'static;
-    /// Client for the machine maintenance service.
-    type Machines: MachinePort + Clone + Unpin + 'static;
+    type Permits: PermitApi + Clone + Unpin + 'static;
+    /// Client for the machine upkeep service.
+    type Machines: MachineApi + Clone + Unpin + 'static;
 
     /// Creates a store client. Called on the thread that uses it.
     fn store(&self) -> Self::Store;
@@ -70,7 +70,7 @@
     /// Creates a permit service client. Called on the thread that uses it.
     fn permits(&self) -> Self::Permits;
 
-    /// Creates a machine maintenance client. Called on the thread that uses it.
+    /// Creates a machine upkeep client. Called on the thread that uses it.
     fn machines(&self) -> Self::Machines;
 
     /// Key prefix of the VM announcements.
--- a/src/jobs/control/messages.rs
+++ b/src/jobs/control/messages.rs
@@ -1,7 +1,7 @@
 //! Messages handled by the control actor.
 
 use super::{ActorHandles, Control, ShardOffer, TimedLapses};
-use crate::cluster::{self, Head, Hello, Member, Plan, StoreReach};
+use crate::cluster::{self, Head, Hello, Member, Plan, StoreReachability};
 use crate::ids::{DaemonId, Ticket};
 use crate::jobs::calls::{Call, Reply};
 use crate::jobs::follow::operators::LoadedConfig;
@@ -87,7 +87,7 @@
         reason: String,
     },
     Reach {
-        reach: StoreReach,
+        reach: StoreReachability,
         silent: Duration,
         reason: String,
     },
@@ -107,7 +107,7 @@
             StoreEvent::Plan(plan) => {
                 if plan != self.plan {
                     self.plan = plan.clone();
-                    self.step_maintenance(upkeep::duty::Event::Plan(plan.clone()), cx);
+                    self.step_upkeep(upkeep::duty::Event::Plan(plan.clone()), cx);
                     self.step_ownership(cluster::Event::Plan(plan), cx);
                 }
             }
@@ -128,7 +128,7 @@
                 self.update_fleet(vms, list_status, at, cx);
             }
             StoreEvent::Config(loaded) => self.apply_config(*loaded, cx),
-            StoreEvent::Wave(wave) => self.step_maintenance(upkeep::duty::Event::Wave(wave), cx),
+            StoreEvent::Wave(wave) => self.step_upkeep(upkeep::duty::Event::Wave(wave), cx),
             StoreEvent::ConfigConfirmed { at } => self.confirm_config(at),
             StoreEvent::ConfigReadFailed { reason } => self.config_error = Some(reason),
             StoreEvent::Reach { reach, silent, reason } => {
@@ -140,17 +140,17 @@
     }
 }
 
-/// Result of an action for a maintenance wave.
+/// Result of an action for an upkeep wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct MaintenanceResult(pub upkeep::duty::Event);
+pub struct UpkeepResult(pub upkeep::duty::Event);
 
-impl Handler<MaintenanceResult> for Control {
+impl Handler<UpkeepResult> for Control {
     type Result = ();
 
-    fn handle(&mut self, msg: MaintenanceResult, cx: &mut Self::Context) {
+    fn handle(&mut self, msg: UpkeepResult, cx: &mut Self::Context) {
         self.begin_handler(cx);
-        self.step_maintenance(msg.0, cx);
+        self.step_upkeep(msg.0, cx);
     }
 }
 
@@ -164,17 +164,21 @@
 
     fn handle(&mut self, msg: HelloReceived, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
-        for news in &msg.0.shards {
-            let shared: Arc<str> = Arc::from(news.name.as_str());
-            news.accepted.iter().for_each(|job| self.add_to_directory(*job, &shared));
-            let summary = Arc::new(news.summary.clone());
+        for report in &msg.0.shards {
+            let shared: Arc<str> = Arc::from(report.name.as_str());
+            report.accepted.iter().for_each(|job| self.add_to_directory(*job, &shared));
+            let summary = Arc::new(report.summary.clone());
             self.remote_shards
-                .insert(news.name.clone(), ShardView { owner: None, summary, summary_at: now });
-            let lapses = TimedLapses { at: now, lapses: news.lapses.clone() };
-            self.reported_lapses.insert(news.name.clone(), lapses);
+                .insert(report.name.clone(), ShardView { owner: None, summary, summary_at: now });
+            let lapses = TimedLapses { at: now, lapses: report.lapses.clone() };
+            self.reported_lapses.insert(report.name.clone(), lapses);
         }
-        let learned: Vec<(String, Vec<PairEstimate>)> =
-            msg.0.shards.iter().map(|news| (news.name.clone(), news.learned.clone())).collect();
+        let learned: Vec<(String, Vec<PairEstimate>)> = msg
+            .0
+            .shards
+            .iter()
+            .map(|report| (report.name.clone(), report.learned.clone()))
+            .collect();
         for (from, learned) in learned {
             self.share_learned(&from, learned, cx);
         }
@@ -284,7 +288,7 @@
     fn handle(&mut self, _: Drain, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
         self.step_ownership(cluster::Event::Drain, cx);
-        self.ownership.greet_all();
+        self.ownership.schedule_hello_to_all();
         self.publish(now);
     }
 }
@@ -299,8 +303,8 @@
 
     fn handle(&mut self, _: ReleaseShards, cx: &mut Self::Context) {
         let now = self.begin_handler(cx).steady;
-        self.step_ownership(cluster::Event::GiveUp, cx);
-        self.ownership.greet_all();
+        self.step_ownership(cluster::Event::ReleaseAll, cx);
+        self.ownership.schedule_hello_to_all();
         self.publish(now);
     }
 }
--- a/src/jobs/control/shards.rs
+++ b/src/jobs/control/shards.rs
@@ -2,7 +2,7 @@
 
 use super::publish::LEARNED_INTERVAL;
 use super::{Control, HostedShard, TimedLapses};
-use crate::cluster::{self, HandOver, StoreReach};
+use crate::cluster::{self, HandOver, StoreReachability};
 use crate::ids::Ticket;
 use crate::job::JobId;
 use crate::jobs::calls::Reply;
@@ -11,7 +11,7 @@
 use crate::jobs::links::{OfferShard, ProbeMember};
 use crate::jobs::records::{ClaimShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard};
 use crate::journal::Journal;
-use crate::note::{Ms, Note};
+use crate::note::{Millis, Note};
 use crate::shard::{Action, Event, FleetListStatus, Recovered, Shard};
 use crate::vm::{Fence, VmEntry};
 use actix::prelude::*;
@@ -111,7 +111,7 @@
         if let Some(actors) = &self.actors {
             actors.removals.do_send(RemoveShard { shard: shard.to_owned() });
         }
-        let dropped = cluster::Event::Gone { shard: shard.to_owned(), reason };
+        let dropped = cluster::Event::NoLongerOwned { shard: shard.to_owned(), reason };
         self.step_ownership(dropped, cx);
     }
 
@@ -127,8 +127,8 @@
                         hosted.new_owner = Some(to);
                     }
                     match how {
-                        HandOver::Settled => self.step_shard(&shard, Event::HandOver, cx),
-                        HandOver::AtOnce => self.complete_hand_over(&shard, cx),
+                        HandOver::AfterCommit => self.step_shard(&shard, Event::HandOver, cx),
+                        HandOver::Immediate => self.complete_hand_over(&shard, cx),
                     }
                 }
                 other => self.execute_ownership_action(other),
@@ -169,7 +169,7 @@
         }
         let (name, fence) = (recovered.shard.clone(), recovered.fence);
         let jobs = recovered.jobs.len();
-        let accepted = recovered.progress.iter().filter(|(_, p)| p.home.is_none());
+        let accepted = recovered.progress.iter().filter(|(_, p)| p.lender.is_none());
         let accepted_jobs: Vec<JobId> = accepted.map(|(id, _)| *id).collect();
         let shard = Shard::new(
             recovered,
@@ -199,7 +199,7 @@
         }
         self.step_ownership(cluster::Event::Claimed { shard: name.clone(), fence: fence.0 }, cx);
         self.step_shard(&name, Event::Tick, cx);
-        self.ownership.greet_all();
+        self.ownership.schedule_hello_to_all();
         self.publish(now.steady);
     }
 
@@ -215,8 +215,8 @@
             before,
             queues: queues.queues.len(),
             bytes: encoded_bytes,
-            decode_ms: Ms(decode_time),
-            unconfirmed_ms: Ms(self.config_confirmation.age(now)),
+            decode_ms: Millis(decode_time),
+            unconfirmed_ms: Millis(self.config_confirmation.age(now)),
         });
         let queues = Arc::new(queues);
         self.queues = Some(queues.clone());
@@ -227,7 +227,7 @@
     /// Records that the store confirmed the configuration in force.
     pub(super) fn confirm_config(&mut self, at: Duration) {
         let now = self.now().steady;
-        let unconfirmed_ms = Ms(self.config_confirmation.age(now));
+        let unconfirmed_ms = Millis(self.config_confirmation.age(now));
         self.config_confirmation.confirm(at);
         self.config_error = None;
         if self.config_unconfirmed
@@ -251,7 +251,7 @@
             return;
         }
         self.config_unconfirmed = true;
-        let unconfirmed_ms = Ms(self.config_confirmation.age(now));
+        let unconfirmed_ms = Millis(self.config_confirmation.age(now));
         self.journal.write(Note::ConfigUnconfirmed { version, newest, unconfirmed_ms });
     }
 
@@ -285,19 +285,19 @@
 
     pub(super) fn update_store_reach(
         &mut self,
-        reach: StoreReach,
+        reach: StoreReachability,
         silent: Duration,
         reason: String,
     ) {
         let now = self.now().steady;
         match (reach, self.store_reach) {
-            (StoreReach::Away, StoreReach::Reached) => {
+            (StoreReachability::Away, StoreReachability::Reached) => {
                 self.store_lost_at = Some(now);
-                self.journal.write(Note::StoreLost { reason, silent_ms: Ms(silent) });
+                self.journal.write(Note::StoreLost { reason, silent_ms: Millis(silent) });
             }
-            (StoreReach::Reached, StoreReach::Away) => {
+            (StoreReachability::Reached, StoreReachability::Away) => {
                 let away = self.store_lost_at.take().map_or(Duration::ZERO, |at| now - at);
-                self.journal.write(Note::StoreRegained { away_ms: Ms(away) });
+                self.journal.write(Note::StoreRegained { away_ms: Millis(away) });
             }
             _ => {}
         }
@@ -307,6 +307,6 @@
 
 fn journal_claim(journal: &Journal, name: &str, fence: Fence, jobs: usize, runs: usize) {
     let shard = name.to_owned();
-    let took_ms = Ms(Duration::ZERO);
+    let took_ms = Millis(Duration::ZERO);
     journal.write(Note::ShardOwned { shard, fence: fence.0, jobs, runs, took_ms });
 }
--- a/src/jobs/control/tests.rs
+++ b/src/jobs/control/tests.rs
@@ -1,13 +1,13 @@
 use super::{ActorHandles, Connect, Control, HandleCall, HasShards, HelloReceived, StoreEvent};
 use crate::clock::{Clock, ManualClock};
-use crate::cluster::ownership::OWN_PAUSE;
-use crate::cluster::{Hello, Member, MemberStage, ShardNews, StoreReach};
+use crate::cluster::ownership::OWN_PAUSE_THRESHOLD;
+use crate::cluster::{Hello, Member, MemberStage, ShardReport, StoreReachability};
 use crate::ids::{DaemonId, DomainId, ServiceName, VmId};
 use crate::job::progress::{Binding, BoundVm, OccurrenceProgress, Progress, TaskProgress};
-use crate::job::{Job, JobId, Life, QueueName, Repeat, Resume, RunNumber, ShownState, Step};
+use crate::job::{Job, JobId, JobState, Life, QueueName, Repeat, Resume, RunNumber, Step};
 use crate::jobs::calls::{Call, Reply};
 use crate::jobs::links::PeerLinks;
-use crate::jobs::machines::MaintenanceAction;
+use crate::jobs::machines::UpkeepAction;
 use crate::jobs::orders::{RequestPermits, VmCall};
 use crate::jobs::records::{
     ClaimShard, CommitShard, ConfirmOwnership, OwnershipStatus, ReadHeads, RemoveShard,
@@ -66,7 +66,7 @@
     };
 }
 
-ignored!(VmCall, MaintenanceAction, ClaimShard, CommitShard, RemoveShard, ReadHeads);
+ignored!(VmCall, UpkeepAction, ClaimShard, CommitShard, RemoveShard, ReadHeads);
 
 fn me() -> Member {
     Member {
@@ -75,7 +75,7 @@
         domain: DomainId::new("kacyiru"),
         addr: "127.0.0.1:1".to_owned(),
         stage: MemberStage::Serving,
-        power: 100,
+        milli_cores: 100,
     }
 }
 
@@ -98,7 +98,7 @@
     control.do_send(Connect(ActorHandles {
         vm_calls: Ring::new(others.clone(), WhenFull::Drop),
         permits: others.clone().recipient(),
-        maintenance: others.clone().recipient(),
+        upkeep: others.clone().recipient(),
         links: PeerLinks::new(control.clone()).start(),
         claims: others.clone().recipient(),
         commits: others.clone().recipient(),
@@ -132,13 +132,13 @@
     let clock = Arc::new(ManualClock::new());
     let control = control(clock.clone());
     control.send(claimed()).await.expect("a control");
-    clock.advance(2 * OWN_PAUSE);
+    clock.advance(2 * OWN_PAUSE_THRESHOLD);
     for call in [Call::Show(JobId(1)), Call::Cancel(JobId(1))] {
         let asked = control.send(HandleCall { shard: SHARD.to_owned(), call });
         let reply = tokio::time::timeout(TEST_TIMEOUT, asked).await.expect("an answer");
         assert_eq!(reply.expect("a control"), Reply::NotOwner);
     }
-    assert!(clock.now() >= OWN_PAUSE);
+    assert!(clock.now() >= OWN_PAUSE_THRESHOLD);
 }
 
 /// Collects log output for the test.
@@ -195,12 +195,12 @@
     let bound = vec![Binding { vm: 0, run }];
     let task = TaskProgress { last_run: run, bound, ..TaskProgress::default() };
     let progress = Progress {
-        state: ShownState::Running,
-        home: None,
+        state: JobState::Running,
+        lender: None,
         vms: vec![BoundVm { id: VmId::new(VM), addr: Arc::from("127.0.0.1:1") }],
         shards: Vec::new(),
-        begun: 1,
-        open: vec![OccurrenceProgress { number: 0, steps: vec![vec![task]] }],
+        started_occurrences: 1,
+        open_occurrences: vec![OccurrenceProgress { number: 0, steps: vec![vec![task]] }],
         crashes: Vec::new(),
     };
     let StoreEvent::Claimed(mut recovered) = claimed() else { unreachable!("a claim") };
@@ -213,7 +213,7 @@
 /// Hello in which an earlier owner reports the silent VM.
 fn hello() -> Hello {
     let lapse = VmLapse { vm: VmId::new(VM), left: Duration::from_secs(5) };
-    let news = ShardNews {
+    let report = ShardReport {
         name: SHARD.to_owned(),
         fence: 5,
         summary: Summary::default(),
@@ -222,7 +222,7 @@
         lapses: vec![ReportedLapse { lapse, mark: SilenceMark(3) }],
     };
     let from = Member { id: DaemonId::new("two@1"), name: "two".to_owned(), ..me() };
-    Hello { from, store: StoreReach::Reached, config: 1, shards: vec![news] }
+    Hello { from, store: StoreReachability::Reached, config: 1, shards: vec![report] }
 }
 
 // A daemon loses a shard and claims it again. Guards against it forgetting what it reported about
@@ -235,7 +235,7 @@
     control.send(HelloReceived(hello())).await.expect("a control");
     control.send(claimed_with_silent_vm()).await.expect("a control");
     assert!(lines.wait_for("vm-lapse-told", 1).await, "the earlier owner reported the VM");
-    clock.advance(2 * OWN_PAUSE);
+    clock.advance(2 * OWN_PAUSE_THRESHOLD);
     control.send(HandleCall { shard: SHARD.to_owned(), call: Call::Show(JobId(1)) }).await.ok();
     assert!(
         !control.send(HasShards).await.expect("a control"),
--- a/src/jobs/follow.rs
+++ b/src/jobs/follow.rs
@@ -9,8 +9,10 @@
 use crate::cluster::plan::PLAN_KEY;
 use crate::cluster::{Member, Plan};
 use crate::job::progress::{decode, encode};
-use crate::kv::{Condition, Error, Freshness, Item, Kv, LeaseId, More, Put, Result, Rev, Txn};
-use crate::note::{Ms, Note, Word};
+use crate::kv::{
+    Condition, Error, Freshness, HasMore, Item, KvStore, LeaseId, Put, Result, Rev, Txn,
+};
+use crate::note::{Millis, Note, StaticText};
 use crate::vm::VmEntry;
 use actix::Recipient;
 use bytes::Bytes;
@@ -54,14 +56,14 @@
 
 /// Tracks consecutive failed reads.
 struct FailureStreak {
-    what: Word,
+    what: StaticText,
     in_row: u32,
     /// Time of the last successful read.
     last_success: Duration,
 }
 
 impl FailureStreak {
-    fn new(what: Word, now: Duration) -> Self {
+    fn new(what: StaticText, now: Duration) -> Self {
         Self { what, in_row: 0, last_success: now }
     }
 
@@ -74,7 +76,7 @@
     fn record_failure(&mut self, now: Duration, e: &Error) -> Option<Note> {
         self.in_row += 1;
         let (what, in_row) = (self.what, self.in_row);
-        let unread_ms = Ms(now.saturating_sub(self.last_success));
+        let unread_ms = Millis(now.saturating_sub(self.last_success));
         let reason = e.to_string();
         in_row.is_power_of_two().then_some(Note::FollowUnread { what, in_row, unread_ms, reason })
     }
@@ -154,7 +156,7 @@
     let key = format!("{MEMBER_PREFIX}{}", me.name);
     let lease_id = match *lease {
         Some(lease_id) => lease_id,
-        None => *lease.insert(store.call(|store| store.grant(lease_ttl)).await?),
+        None => *lease.insert(store.call(|store| store.grant_lease(lease_ttl)).await?),
     };
     register(store, &key, me, lease_id).await?;
     loop {
@@ -163,7 +165,7 @@
         ctx.control.do_send(StoreEvent::Members(members));
         failures.record_success(store.clock().now());
         tokio::time::sleep(MEMBER_POLL_INTERVAL).await;
-        store.call(|store| store.keep(lease_id)).await?;
+        store.call(|store| store.renew_lease(lease_id)).await?;
         // Keys can vanish while their lease is still valid.
         if !items.iter().any(|item| item.key == key) {
             register(store, &key, me, lease_id).await?;
@@ -171,7 +173,7 @@
     }
 }
 
-async fn register<S: Kv>(
+async fn register<S: KvStore>(
     store: &MonitoredStore<S>,
     key: &str,
     me: &Member,
@@ -185,7 +187,7 @@
 
 /// Reads every page of a range. Returns the revision of the first page; a watch from there reports
 /// all later changes.
-pub(super) async fn read_all<S: Kv>(
+pub(super) async fn read_all<S: KvStore>(
     store: &MonitoredStore<S>,
     prefix: &str,
     freshness: Freshness,
@@ -200,7 +202,7 @@
         // between pages.
         let at = *at.get_or_insert(page.at);
         items.extend(page.items);
-        if page.more == More::No {
+        if page.more == HasMore::No {
             return Ok((items, at));
         }
     }
--- a/src/jobs/machines.rs
+++ b/src/jobs/machines.rs
@@ -1,23 +1,22 @@
-//! The actor that lists machines, orders their maintenance, and stores the records of maintenance
-//! waves.
+//! The actor that lists machines, orders their upkeep, and stores the records of upkeep waves.
 //!
 //! Control decides what to do, in [`upkeep::duty`](crate::upkeep::duty); the result of each call is
 //! sent back to it.
 
 use super::Platform;
-use super::control::{Control, MaintenanceResult};
+use super::control::{Control, UpkeepResult};
 use super::records::MonitoredStore;
 use crate::clock::Clock;
 use crate::job::progress::{decode, encode};
-use crate::kv::{self, Condition, Kv, Put, Rev, Txn};
+use crate::kv::{self, Condition, KvStore, Put, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::upkeep::duty::{Action, Event};
-use crate::upkeep::{MachinePort, Record};
+use crate::upkeep::{MachineApi, WaveRecord};
 use actix::prelude::*;
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Actor for machine maintenance.
+/// Actor for machine upkeep.
 pub struct Machines<P: Platform> {
     platform: P,
     machines: P::Machines,
@@ -43,15 +42,15 @@
     }
 }
 
-/// Carries out an action for a maintenance wave.
+/// Carries out an action for an upkeep wave.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct MaintenanceAction(pub Action);
+pub struct UpkeepAction(pub Action);
 
-impl<P: Platform> Handler<MaintenanceAction> for Machines<P> {
+impl<P: Platform> Handler<UpkeepAction> for Machines<P> {
     type Result = ();
 
-    fn handle(&mut self, msg: MaintenanceAction, _: &mut Self::Context) {
+    fn handle(&mut self, msg: UpkeepAction, _: &mut Self::Context) {
         let (machines, store) = (self.machines.clone(), self.store.clone());
         let (platform, control) = (self.platform.clone(), self.control.clone());
         let clock = self.clock.clone();
@@ -61,9 +60,9 @@
                     let sent = clock.now();
                     Event::Listed { sent, machines: machines.list().await }
                 }
-                Action::Call(req) => {
-                    let result = machines.upkeep(&req).await;
-                    Event::Called { wave: req.wave, machine: req.machine, result }
+                Action::StartUpkeep(req) => {
+                    let result = machines.start_upkeep(&req).await;
+                    Event::UpkeepAnswered { wave: req.wave, machine: req.machine, result }
                 }
                 Action::Read { wave } => read_record(&store, wave).await,
                 Action::Write { wave, rev, record, state } => {
@@ -73,15 +72,15 @@
                 // Handled by control itself.
                 Action::Vacate { .. } | Action::Note(_) => return,
             };
-            control.do_send(MaintenanceResult(event));
+            control.do_send(UpkeepResult(event));
         });
     }
 }
 
-async fn read_record<S: Kv>(store: &MonitoredStore<S>, wave: u64) -> Event {
-    let key = Record::key(wave);
+async fn read_record<S: KvStore>(store: &MonitoredStore<S>, wave: u64) -> Event {
+    let key = WaveRecord::key(wave);
     match store.call(|store| store.get(&key)).await {
-        Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: Record::default() },
+        Ok(None) => Event::Recorded { wave, rev: Rev::ABSENT, record: WaveRecord::default() },
         Ok(Some(item)) => match decode(&item.value) {
             Ok(record) => Event::Recorded { wave, rev: item.rev, record },
             Err(_) => Event::NotRecorded { wave },
@@ -90,14 +89,14 @@
     }
 }
 
-async fn write_record<S: Kv>(
+async fn write_record<S: KvStore>(
     store: &MonitoredStore<S>,
     wave: u64,
     rev: Rev,
-    record: Record,
+    record: WaveRecord,
     status: Put,
 ) -> Event {
-    let key = Record::key(wave);
+    let key = WaveRecord::key(wave);
     let value = Bytes::from(encode(&record));
     let txn = Txn {
         conditions: vec![Condition { key: key.clone(), rev }],
--- a/src/jobs/records.rs
+++ b/src/jobs/records.rs
@@ -9,10 +9,10 @@
 use super::follow::{self, FollowContext, OwnershipSignal};
 use super::{Platform, UnreadableEntry};
 use crate::clock::Clock;
-use crate::cluster::{Member, Replaced, StoreReach};
+use crate::cluster::{ExpectedOwner, Member, StoreReachability};
 use crate::ids::DaemonId;
 use crate::job::JobId;
-use crate::kv::{Error, Kv, Result, Rev, Revised, Txn};
+use crate::kv::{Error, HasRevision, KvStore, Result, Rev, Txn};
 use crate::ring::RING_CAPACITY;
 use crate::shard::{Keys, PreviousOwner};
 use actix::prelude::*;
@@ -46,7 +46,7 @@
 
 impl Reachability {
     /// Records the result of a call.
-    pub fn record<T: Revised>(&self, now: Duration, result: &Result<T>) {
+    pub fn record<T: HasRevision>(&self, now: Duration, result: &Result<T>) {
         if let Ok(answer) = result {
             self.newest.set(self.newest.get().max(answer.revision()));
         }
@@ -56,7 +56,7 @@
                 *self.reason.borrow_mut() = e.to_string();
             }
             _ => {
-                if self.state(now) == StoreReach::Away {
+                if self.state(now) == StoreReachability::Away {
                     self.regained.set(now);
                 }
                 self.failures.set(0);
@@ -66,12 +66,12 @@
     }
 
     /// Whether the store is reachable.
-    pub fn state(&self, now: Duration) -> StoreReach {
-        let Some(answered) = self.answered.get() else { return StoreReach::Away };
+    pub fn state(&self, now: Duration) -> StoreReachability {
+        let Some(answered) = self.answered.get() else { return StoreReachability::Away };
         let silent = now.saturating_sub(answered);
         let away =
             (self.failures.get() >= 2 && silent >= FAILING_TIMEOUT) || silent >= SILENCE_TIMEOUT;
-        if away { StoreReach::Away } else { StoreReach::Reached }
+        if away { StoreReachability::Away } else { StoreReachability::Reached }
     }
 
     /// Time since the last answer.
@@ -103,7 +103,7 @@
     clock: Arc<dyn Clock>,
 }
 
-impl<S: Kv> MonitoredStore<S> {
+impl<S: KvStore> MonitoredStore<S> {
     /// Wraps a client that has made no calls yet.
     pub fn new(store: S, clock: Arc<dyn Clock>) -> Self {
         Self { store, reach: Rc::default(), clock }
@@ -112,7 +112,7 @@
     /// Makes a call and records its result.
     pub async fn call<'a, T, F>(&'a self, call: impl FnOnce(&'a S) -> F) -> Result<T>
     where
-        T: Revised,
+        T: HasRevision,
         F: Future<Output = Result<T>> + 'a,
     {
         let result = call(&self.store).await;
@@ -139,7 +139,7 @@
     shards: IndexMap<String, mpsc::Sender<CommitRequest>>,
     /// Claims in progress.
     claims: u32,
-    reported_reach: StoreReach,
+    reported_reach: StoreReachability,
     ownership: Rc<OwnershipSignal>,
     lease_ttl: Duration,
 }
@@ -167,7 +167,7 @@
             control,
             shards: IndexMap::new(),
             claims: 0,
-            reported_reach: StoreReach::Away,
+            reported_reach: StoreReachability::Away,
             ownership: Rc::default(),
             lease_ttl,
         }
@@ -225,7 +225,7 @@
 pub struct ClaimShard {
     pub shard: String,
     pub previous: PreviousOwner,
-    pub replaces: Replaced,
+    pub replaces: ExpectedOwner,
 }
 
 impl<P: Platform> Handler<ClaimShard> for Records<P> {
@@ -265,7 +265,7 @@
 }
 
 /// Writes a shard's commits in sequence, until the shard is lost.
-async fn write_commits<S: Kv>(
+async fn write_commits<S: KvStore>(
     store: MonitoredStore<S>,
     control: Recipient<StoreEvent>,
     shard: String,
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -48,7 +48,7 @@
 pub use silence::{ReportedLapse, SilenceMark, SilentVm};
 
 use crate::ids::VmId;
-use crate::job::{JobId, Life, Share, ShownState};
+use crate::job::{JobId, JobState, Life, Share};
 use crate::note::Note;
 use crate::queues::{Queue, Queues};
 use crate::vm::Fence;
@@ -74,7 +74,7 @@
     interference: interference::InterferenceModel,
     loans: loan::Loans,
     permit_requests: permits::PermitRequests,
-    maintenance_drain: vacate::MaintenanceDrain,
+    upkeep_drain: vacate::UpkeepDrain,
     crash_log: crash::CrashLog,
     reservations: compact::Reservations,
     vm_list: fleet::VmListSource,
@@ -92,7 +92,7 @@
 /// A finished job of which only the final state is kept.
 #[derive(Clone, Copy, Debug)]
 struct ClosedJob {
-    state: ShownState,
+    state: JobState,
     since: Duration,
 }
 
@@ -256,8 +256,8 @@
             lasting_cores: summary.lasting / 1000,
             lasting_waiting: self.count_reserved_waiting(Life::Lasting),
             short_waiting: self.count_reserved_waiting(Life::Finite),
-            commit_age_ms: crate::note::Ms(self.log.age(self.now.steady)),
-            vms_age_ms: crate::note::Ms(self.list_age()),
+            commit_age_ms: crate::note::Millis(self.log.age(self.now.steady)),
+            vms_age_ms: crate::note::Millis(self.list_age()),
         }));
         self.report_waiting();
     }
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -1,7 +1,7 @@
 //! Input events and output actions of a shard.
 
 use crate::ids::{RackId, ServiceName, Ticket, VmId};
-use crate::job::{Image, Job, JobId, Label, QueueName, RunNumber, ShownState, StepRef, TaskRef};
+use crate::job::{Image, Job, JobId, JobState, Label, QueueName, RunNumber, StepRef, TaskRef};
 use crate::kv::Txn;
 use crate::note::Note;
 use crate::permit::{self, PermitReq, PermitResp};
@@ -10,7 +10,7 @@
 use crate::shard::loan::LoanMsg;
 use crate::units::Resources;
 use crate::vm::{
-    self, Fence, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmEntry, VmTime,
+    self, Fence, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmEntry, VmTime,
 };
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     /// meaningful, and when the list was requested; `None` if its age is unknown.
     Fleet { vms: Vec<VmEntry>, list_status: FleetListStatus, at: Option<Duration> },
     /// Response to [`Action::Poll`].
-    Polled { vm: VmId, sent: Duration, result: vm::Result<LookResp> },
+    Polled { vm: VmId, sent: Duration, result: vm::Result<PollResp> },
     /// Response to [`Action::Start`].
     Started { vm: VmId, task: TaskRef, run: RunNumber, result: vm::Result<VmTime> },
     /// Response to [`Action::Stop`].
@@ -79,7 +79,7 @@
     }
 }
 
-/// VMs to drain because their machines go down for maintenance.
+/// VMs to drain because their machines go down for upkeep.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrainOrder {
     /// VMs to drain immediately.
@@ -132,7 +132,7 @@
 pub enum Action {
     Poll {
         vm: VmAddr,
-        req: LookReq,
+        req: PollReq,
     },
     Start {
         vm: VmAddr,
@@ -186,7 +186,7 @@
     /// The outcome of the call is unknown; it can be retried with the same id.
     Unknown { reason: String },
     /// The job's state.
-    Shown(ShownState),
+    Shown(JobState),
     /// The cancellation is durable.
     Cancelling,
     /// The job isn't in this shard.
--- a/src/shard/intake.rs
+++ b/src/shard/intake.rs
@@ -6,8 +6,8 @@
 use super::vm_run::RunKey;
 use super::{ClosedJob, Shard, Stage};
 use crate::ids::Ticket;
-use crate::job::{Job, JobId, Life, Share, ShownState};
-use crate::note::{Ms, Note, state_word};
+use crate::job::{Job, JobId, JobState, Life, Share};
+use crate::note::{Millis, Note, job_state_name};
 use indexmap::IndexSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -51,7 +51,7 @@
                 job: id,
                 queue: job.queue.clone(),
                 reason: reason.to_owned(),
-                retry_ms: Ms(retry_after),
+                retry_ms: Millis(retry_after),
             };
             self.note(note);
             let reason = reason.to_owned();
@@ -103,7 +103,7 @@
         }
         job.effects.push(Effect::Reply { ticket, answer: Answer::Cancelling });
         if !job.is_final() {
-            job.state = ShownState::Cancelled;
+            job.state = JobState::Cancelled;
             let (queue, runs) = (job.job.queue.clone(), job.placed_runs().len());
             self.note(Note::JobCancelled { job: id, queue, runs });
             self.stop_job(id, "cancelled");
@@ -210,13 +210,7 @@
         }
     }
 
-    fn handle_job_committed(
-        &mut self,
-        id: JobId,
-        state: ShownState,
-        record: RecordState,
-        seq: u64,
-    ) {
+    fn handle_job_committed(&mut self, id: JobId, state: JobState, record: RecordState, seq: u64) {
         let now = self.now.steady;
         let Some(target_duration) = self.jobs.get(&id).map(|job| self.target_duration(job)) else {
             return;
@@ -233,12 +227,12 @@
             return;
         }
         if was == RecordState::New {
-            let waited_ms = Ms(waited);
+            let waited_ms = Millis(waited);
             self.note(Note::JobAccepted { job: id, queue: queue.clone(), tasks, waited_ms, seq });
         }
         if state.is_final() && before != Some(state) {
-            let aim_ms = Ms(target_duration);
-            let (state, took_ms) = (state_word(state), Ms(waited));
+            let aim_ms = Millis(target_duration);
+            let (state, took_ms) = (job_state_name(state), Millis(waited));
             self.note(Note::JobEnded { job: id, queue, state, took_ms, aim_ms, seq });
         }
         if record == RecordState::Closed && !self.log.is_pending(id) {
@@ -286,9 +280,9 @@
 
 /// The state shown to callers. A job counts as running once one of its tasks has started, even if
 /// its durable state is still queued.
-fn visible_state(job: &JobRun, durable: ShownState) -> ShownState {
+fn visible_state(job: &JobRun, durable: JobState) -> JobState {
     match durable {
-        ShownState::Queued if job.started == Started::Yes => ShownState::Running,
+        JobState::Queued if job.started == Started::Yes => JobState::Running,
         state => state,
     }
 }
--- a/src/shard/loan.rs
+++ b/src/shard/loan.rs
@@ -256,7 +256,8 @@
     fn return_stuck_tasks(&mut self, id: JobId) {
         let now = self.now.steady;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let tasks = job.open.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
+        let tasks =
+            job.open_occurrences.iter_mut().flat_map(|o| &mut o.steps).flat_map(|s| &mut s.tasks);
         let stuck = tasks.filter(|task| {
             let away = task.not_running_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
             task.is_waiting() && away >= RETURN_TIMEOUT
@@ -363,7 +364,7 @@
             if back.checkpoint.is_some() {
                 task.checkpoint = back.checkpoint;
             }
-            task.crashes = task.crashes.most(back.crashes);
+            task.crashes = task.crashes.max(back.crashes);
             match back.result {
                 LoanOutcome::Succeeded => task.phase = TaskPhase::Succeeded,
                 LoanOutcome::Failed => failed = true,
@@ -486,12 +487,12 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?.clone();
         // A group runs in one shard, and a borrowed task is not lent again.
-        if job.is_borrowed() || step.members.as_one() {
+        if job.is_borrowed() || step.grouping.is_gang() {
             return None;
         }
         let delay = match (step.share, step.life) {
             (Share::Leftover, _) => LEFTOVER_LEND_DELAY,
-            _ if step.members.one_rack() => LONG_RUNNING_LEND_DELAY,
+            _ if step.grouping.prefers_one_rack() => LONG_RUNNING_LEND_DELAY,
             (Share::Reserved, Life::Lasting) => LONG_RUNNING_LEND_DELAY,
             (Share::Reserved, Life::Finite) => LEND_DELAY,
         };
@@ -537,7 +538,7 @@
 
 /// Estimated number of a shard's VMs with room for a task of a step.
 fn fitting_rooms(summary: &Summary, step: &Step, service: &crate::ids::ServiceName) -> f64 {
-    let need = step.reserved();
+    let need = step.reserved_resources();
     let fits = |room: &&FreeRoom| {
         need.fits_in(&room.free)
             && room.service == *service
@@ -557,7 +558,7 @@
 
 /// Subtracts a task that was just lent from a shard's summary.
 fn subtract_lent(summary: &mut Summary, step: &Step, image: &Image) {
-    let need = step.reserved();
+    let need = step.reserved_resources();
     match step.share {
         Share::Reserved => {
             let room = summary.rooms.iter_mut().find(|room| need.fits_in(&room.free));
@@ -577,8 +578,8 @@
 /// Adds a borrowed task to a job; returns false if the task is already present.
 fn add_borrowed_task(job: &mut JobRun, lent: LentTask, loan: u64, now: Duration) -> bool {
     let number = lent.task.occurrence;
-    if !job.open.iter().any(|occurrence| occurrence.number == number) {
-        job.open.push(placeholder_occurrence(&job.job, number, now));
+    if !job.open_occurrences.iter().any(|occurrence| occurrence.number == number) {
+        job.open_occurrences.push(placeholder_occurrence(&job.job, number, now));
     }
     let Some(task) = job.task_mut(lent.task) else { return false };
     if task.loan == loan {
--- a/src/shard/room.rs
+++ b/src/shard/room.rs
@@ -77,14 +77,11 @@
 const DEFAULT_EXPECTED_LOAD: f64 = 0.6;
 
 /// Lower bound of the own load expected while work placed next to a serving task runs, since a low
-/// load rises again. Mean score of 18 days on each of three sites at 0.45: 0.611, 0.576, 0.499; at
-/// 0.35: 0.619, 0.580, 0.500.
+/// load rises again.
 const MIN_EXPECTED_LOAD: f64 = 0.35;
 
 /// Share of a leftover task's value that is lost for each serving task over its target. Higher than
-/// for slowing down running work, since work that waits a moment finds another VM. Mean score of 18
-/// days on each of three sites at 0.5: 0.585, 0.570, 0.533; at 1.25: 0.620, 0.582, 0.540; at 2.6:
-/// 0.609, 0.576, 0.497.
+/// for slowing down running work, since work that waits a moment finds another VM.
 const HARM_COST: f64 = 1.25;
 
 /// Time from now to the middle of the run of a task placed now.
@@ -93,13 +90,13 @@
 impl Shard {
     /// Returns the room on a VM, or `None` if it accepts no work at the moment.
     pub(super) fn room(&self, vm: &Vm) -> Option<VmCapacity> {
-        if self.maintenance_drain.is_draining(&vm.id) {
+        if self.upkeep_drain.is_draining(&vm.id) {
             return None;
         }
         let mut room = VmCapacity::of(vm, self.now.steady)?;
         let now = self.now.steady;
         room.is_reserved = self.reservations.is_reserved(&vm.id);
-        room.drains_soon = self.maintenance_drain.is_drain_scheduled(&vm.id);
+        room.drains_soon = self.upkeep_drain.is_drain_scheduled(&vm.id);
         room.is_overloaded =
             vm.runs.values().any(|run| run.serving.is_over_for(STOP_ALL_AFTER, now));
         let mut long_running_share = 0.0;
@@ -171,7 +168,7 @@
             leftover: (room.leftover - used).max(0.0),
             leftover_demand,
             probation,
-            steps: vm.runs.keys().map(|key: &RunKey| key.task.of_step()).collect(),
+            steps: vm.runs.keys().map(|key: &RunKey| key.task.step_ref()).collect(),
             ..room
         })
     }
@@ -211,12 +208,13 @@
 
     /// Returns whether a task of the step fits now.
     pub fn takes(&self, step: &Step, key: StepRef) -> bool {
-        step.reserved().fits_in(&self.free) && self.is_below_vm_limit(step, key)
+        step.reserved_resources().fits_in(&self.free) && self.is_below_vm_limit(step, key)
     }
 
     /// Returns whether a task of the step will fit once all finite tasks have ended.
     pub fn fits_without_finite(&self, step: &Step, key: StepRef) -> bool {
-        step.reserved().fits_in(&self.finite_capacity) && self.is_below_vm_limit(step, key)
+        step.reserved_resources().fits_in(&self.finite_capacity)
+            && self.is_below_vm_limit(step, key)
     }
 
     /// Returns whether the step's per-VM limit allows one more task.
@@ -236,7 +234,7 @@
 
     /// Returns how many tasks of a step fit.
     pub fn fitting(&self, step: &Step) -> usize {
-        let need = step.reserved();
+        let need = step.reserved_resources();
         let fits = self.free.times(&need);
         if step.per_vm == 0 { fits } else { fits.min(step.per_vm as usize) }
     }
@@ -259,9 +257,9 @@
         key: StepRef,
         interference: &InterferenceModel,
     ) {
-        self.free = self.free.saturating_sub(&step.reserved());
+        self.free = self.free.saturating_sub(&step.reserved_resources());
         if step.life == Life::Lasting {
-            self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved());
+            self.finite_capacity = self.finite_capacity.saturating_sub(&step.reserved_resources());
             self.long_running_tasks += 1;
         }
         let share = f64::from(step.size.milli_cores.0) / self.size;
@@ -332,7 +330,7 @@
     /// Returns the share of the VM's processors left by long-running tasks once a task of the step
     /// is added.
     pub fn share_left_with(&self, step: &Step) -> f64 {
-        let left = self.finite_capacity.saturating_sub(&step.reserved());
+        let left = self.finite_capacity.saturating_sub(&step.reserved_resources());
         f64::from(left.milli_cores.0) / self.size
     }
 
--- a/src/upkeep/duty.rs
+++ b/src/upkeep/duty.rs
@@ -4,11 +4,11 @@
 //! requires, so that one can go down as soon as another is back. Decisions are made only with a
 //! machine list and a wave record that were read recently.
 
-use super::{Error, Machine, MachineId, MachineState, Record, UpkeepReq, Wave, WaveState};
+use super::{Error, Machine, MachineId, MachineState, UpkeepReq, Wave, WaveRecord, WaveState};
 use crate::cluster::Plan;
 use crate::ids::VmId;
 use crate::kv::Rev;
-use crate::note::{Ms, Note};
+use crate::note::{Millis, Note};
 use crate::shard::DrainOrder;
 use crate::vm::Fence;
 use indexmap::IndexMap;
@@ -25,7 +25,7 @@
 const MAX_DATA_AGE: Duration = Duration::from_millis(2000);
 
 /// Delay before an unconfirmed upkeep order is retried.
-const CALL_RETRY: Duration = Duration::from_millis(400);
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Time after the answer to an order in which a list may still show the machine as up because the
 /// list predates the order; the platform takes a few milliseconds for each call.
@@ -36,18 +36,18 @@
 
 /// A shard owned by this daemon.
 #[derive(Clone, Debug)]
-pub struct OwnShard {
+pub struct OwnedShard {
     pub name: String,
     pub fence: Fence,
     /// VMs that have been vacated on request.
     pub vacated: Vec<VmId>,
 }
 
-/// Input of [`Duty::step`].
+/// Input of [`WaveScheduler::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Periodic tick with the shards that this daemon owns now.
-    Tick(Vec<OwnShard>),
+    Tick(Vec<OwnedShard>),
     /// A wave as configured by operators.
     Wave(Wave),
     Plan(Plan),
@@ -60,21 +60,21 @@
     Recorded {
         wave: u64,
         rev: Rev,
-        record: Record,
+        record: WaveRecord,
     },
     /// The record couldn't be read or written; another daemon may have changed it.
     NotRecorded {
         wave: u64,
     },
-    /// Answer to [`Action::Call`].
-    Called {
+    /// Answer to [`Action::StartUpkeep`].
+    UpkeepAnswered {
         wave: u64,
         machine: MachineId,
         result: super::Result<()>,
     },
 }
 
-/// Output of [`Duty::step`].
+/// Output of [`WaveScheduler::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     List,
@@ -85,10 +85,10 @@
     Write {
         wave: u64,
         rev: Rev,
-        record: Record,
+        record: WaveRecord,
         state: WaveState,
     },
-    Call(UpkeepReq),
+    StartUpkeep(UpkeepReq),
     /// Vacates VMs of a shard.
     Vacate {
         shard: String,
@@ -99,7 +99,7 @@
 
 /// State of an upkeep order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Call {
+enum OrderState {
     InFlight,
     /// Time of the confirmation that the machine is down or has had its upkeep.
     Confirmed(Duration),
@@ -119,18 +119,18 @@
 struct ActiveWave {
     wave: Wave,
     since: Duration,
-    record: Option<(Rev, Record)>,
+    record: Option<(Rev, WaveRecord)>,
     read_at: Duration,
     /// Whether a read or write of the record is in flight.
-    busy: bool,
+    record_in_flight: bool,
     next_read: Duration,
-    calls: IndexMap<MachineId, Call>,
+    upkeep_orders: IndexMap<MachineId, OrderState>,
     missing: IndexMap<MachineId, Duration>,
     closed: bool,
 }
 
 /// State machine that runs the waves.
-pub struct Duty {
+pub struct WaveScheduler {
     holder: String,
     now: Duration,
     plan: Plan,
@@ -144,7 +144,7 @@
     actions: Vec<Action>,
 }
 
-impl Duty {
+impl WaveScheduler {
     /// Creates the state machine without waves; `holder` identifies this daemon to the platform.
     pub fn new(holder: &str) -> Self {
         Self {
@@ -162,7 +162,7 @@
     }
 
     /// Whether any wave is unfinished.
-    pub fn has_open(&self) -> bool {
+    pub fn has_open_wave(&self) -> bool {
         self.waves.values().any(|active| !active.closed)
     }
 
@@ -177,13 +177,13 @@
             Event::Recorded { wave, rev, record } => self.handle_record(wave, rev, record),
             Event::NotRecorded { wave } => {
                 if let Some(active) = self.waves.get_mut(&wave) {
-                    active.busy = false;
+                    active.record_in_flight = false;
                     active.record = None;
                     active.next_read = now;
                 }
             }
-            Event::Called { wave, machine, result } => {
-                self.handle_call_result(wave, machine, &result)
+            Event::UpkeepAnswered { wave, machine, result } => {
+                self.handle_upkeep_answer(wave, machine, &result)
             }
         }
         std::mem::take(&mut self.actions)
@@ -196,15 +196,16 @@
             known.wave = wave;
             return;
         }
-        let (machines, max_down, within_ms) = (wave.machines.len(), wave.max_down, Ms(wave.within));
+        let (machines, max_down, within_ms) =
+            (wave.machines.len(), wave.max_down, Millis(wave.time_limit));
         let active = ActiveWave {
             wave,
             since: now,
             record: None,
             read_at: now,
-            busy: false,
+            record_in_flight: false,
             next_read: now,
-            calls: IndexMap::new(),
+            upkeep_orders: IndexMap::new(),
             missing: IndexMap::new(),
             closed: false,
         };
@@ -227,29 +228,29 @@
         }
     }
 
-    fn handle_record(&mut self, wave: u64, rev: Rev, record: Record) {
+    fn handle_record(&mut self, wave: u64, rev: Rev, record: WaveRecord) {
         let Some(active) = self.waves.get_mut(&wave) else { return };
         active.log_returned(&record, self.now, &mut self.actions);
-        active.busy = false;
+        active.record_in_flight = false;
         active.read_at = self.now;
         active.next_read = self.now + RECORD_INTERVAL;
         if record.is_complete(&active.wave) && rev != Rev::ABSENT && !active.closed {
             active.closed = true;
-            let took_ms = Ms(self.now.saturating_sub(active.since));
+            let took_ms = Millis(self.now.saturating_sub(active.since));
             let machines = active.wave.machines.len();
             self.actions.push(Action::Note(Note::WaveDone { wave, machines, took_ms }));
         }
         active.record = Some((rev, record));
     }
 
-    fn handle_call_result(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
+    fn handle_upkeep_answer(&mut self, wave: u64, machine: MachineId, result: &super::Result<()>) {
         let now = self.now;
         let Some(active) = self.waves.get_mut(&wave) else { return };
-        let call = match result {
-            Ok(()) => Call::Confirmed(now),
-            Err(_) => Call::Failed { retry: now + CALL_RETRY },
+        let order = match result {
+            Ok(()) => OrderState::Confirmed(now),
+            Err(_) => OrderState::Failed { retry: now + ORDER_RETRY_DELAY },
         };
-        active.calls.insert(machine.clone(), call);
+        active.upkeep_orders.insert(machine.clone(), order);
         let note = match result {
             Ok(()) => Note::MachineDown { wave, machine },
             Err(e) => Note::UpkeepFailed { wave, machine, reason: e.to_string() },
@@ -260,9 +261,9 @@
         }
     }
 
-    fn tick(&mut self, shards: &[OwnShard]) {
+    fn tick(&mut self, shards: &[OwnedShard]) {
         let mut vacate: IndexMap<String, DrainOrder> = IndexMap::new();
-        if self.has_open() && !shards.is_empty() {
+        if self.has_open_wave() && !shards.is_empty() {
             self.start_reads();
             let numbers: Vec<u64> = self.waves.keys().copied().collect();
             for number in numbers {
@@ -283,8 +284,8 @@
             self.actions.push(Action::List);
         }
         for active in self.waves.values_mut().filter(|active| !active.closed) {
-            if !active.busy && now >= active.next_read {
-                active.busy = true;
+            if !active.record_in_flight && now >= active.next_read {
+                active.record_in_flight = true;
                 active.next_read = now + RECORD_INTERVAL;
                 self.actions.push(Action::Read { wave: active.wave.number });
             }
@@ -295,7 +296,7 @@
     fn advance_wave(
         &mut self,
         number: u64,
-        shards: &[OwnShard],
+        shards: &[OwnedShard],
         vacate: &mut IndexMap<String, DrainOrder>,
     ) -> DataAge {
         let now = self.now;
@@ -312,8 +313,8 @@
         active.mark_returned(&owned, listed, &mut next);
         active.mark_removed(&owned, now, &mut next);
         active.reserve_slots(&owned, &mut next);
-        if next != record && !active.busy {
-            active.busy = true;
+        if next != record && !active.record_in_flight {
+            active.record_in_flight = true;
             let complete = next.is_complete(&active.wave);
             let state = if complete { WaveState::Done } else { WaveState::Running };
             self.actions.push(Action::Write { wave: number, rev, record: next, state });
@@ -326,7 +327,7 @@
     /// Sends the shards' vacate orders that have changed.
     fn send_vacate_orders(
         &mut self,
-        shards: &[OwnShard],
+        shards: &[OwnedShard],
         mut vacate: IndexMap<String, DrainOrder>,
     ) {
         self.last_orders.retain(|(name, fence), _| {
@@ -347,13 +348,13 @@
 /// Machines of the shards owned by this daemon.
 struct OwnedMachines<'a> {
     plan: &'a Plan,
-    shards: &'a [OwnShard],
+    shards: &'a [OwnedShard],
     machines: &'a IndexMap<MachineId, Machine>,
 }
 
 impl OwnedMachines<'_> {
     /// Looks up a machine in an owned shard, together with that shard.
-    fn get(&self, id: &MachineId) -> Option<(&Machine, &OwnShard)> {
+    fn get(&self, id: &MachineId) -> Option<(&Machine, &OwnedShard)> {
         let machine = self.machines.get(id)?;
         let name = self.plan.shard_of_rack(&machine.domain, &machine.rack)?;
         Some((machine, self.shards.iter().find(|shard| shard.name == name)?))
@@ -368,11 +369,11 @@
 
 impl ActiveWave {
     /// Marks machines as done that are back after their upkeep.
-    fn mark_returned(&self, owned: &OwnedMachines<'_>, listed: Duration, next: &mut Record) {
+    fn mark_returned(&self, owned: &OwnedMachines<'_>, listed: Duration, next: &mut WaveRecord) {
         let down: Vec<MachineId> = next.down.keys().cloned().collect();
         for id in down {
             let Some((machine, _)) = owned.get(&id) else { continue };
-            let Some(Call::Confirmed(at)) = self.calls.get(&id) else { continue };
+            let Some(OrderState::Confirmed(at)) = self.upkeep_orders.get(&id) else { continue };
             let is_up = machine.state == MachineState::Up && machine.vm.is_some();
             if is_up && listed >= *at + LIST_LAG {
                 next.down.shift_remove(&id);
@@ -382,18 +383,18 @@
     }
 
     /// Logs machines whose upkeep this daemon ordered and that are now done.
-    fn log_returned(&self, record: &Record, now: Duration, actions: &mut Vec<Action>) {
+    fn log_returned(&self, record: &WaveRecord, now: Duration, actions: &mut Vec<Action>) {
         let Some((_, before)) = &self.record else { return };
         for machine in record.done.difference(&before.done) {
-            let Some(Call::Confirmed(at)) = self.calls.get(machine) else { continue };
+            let Some(OrderState::Confirmed(at)) = self.upkeep_orders.get(machine) else { continue };
             let (wave, machine) = (self.wave.number, machine.clone());
-            let took_ms = Ms(now.saturating_sub(*at));
+            let took_ms = Millis(now.saturating_sub(*at));
             actions.push(Action::Note(Note::MachineBack { wave, machine, took_ms }));
         }
     }
 
     /// Marks machines as done that the platform no longer lists.
-    fn mark_removed(&mut self, owned: &OwnedMachines<'_>, now: Duration, next: &mut Record) {
+    fn mark_removed(&mut self, owned: &OwnedMachines<'_>, now: Duration, next: &mut WaveRecord) {
         for id in &self.wave.machines {
             if owned.machines.contains_key(id) || next.done.contains(id) {
                 self.missing.shift_remove(id);
@@ -408,7 +409,7 @@
     }
 
     /// Adds vacated machines to the down list, up to the wave's limit.
-    fn reserve_slots(&self, owned: &OwnedMachines<'_>, next: &mut Record) {
+    fn reserve_slots(&self, owned: &OwnedMachines<'_>, next: &mut WaveRecord) {
         for id in &self.wave.machines {
             if next.down.len() >= self.wave.max_down {
                 return;
@@ -430,24 +431,24 @@
     fn order_upkeep(
         &mut self,
         owned: &OwnedMachines<'_>,
-        record: &Record,
+        record: &WaveRecord,
         holder: &str,
         now: Duration,
         actions: &mut Vec<Action>,
     ) {
         for id in record.down.keys() {
             let Some((machine, shard)) = owned.get(id) else { continue };
-            let may_call = match self.calls.get(id) {
+            let may_order = match self.upkeep_orders.get(id) {
                 None => true,
-                Some(Call::Failed { retry }) => now >= *retry,
-                Some(Call::InFlight | Call::Confirmed(_)) => false,
+                Some(OrderState::Failed { retry }) => now >= *retry,
+                Some(OrderState::InFlight | OrderState::Confirmed(_)) => false,
             };
             // The order is repeated for a machine that is already down or may be down after an
             // unanswered call: this is harmless and confirms that the upkeep was done.
             let is_empty = machine.vm.as_ref().is_none_or(|vm| shard.vacated.contains(vm));
-            if may_call && is_empty {
-                self.calls.insert(id.clone(), Call::InFlight);
-                actions.push(Action::Call(UpkeepReq {
+            if may_order && is_empty {
+                self.upkeep_orders.insert(id.clone(), OrderState::InFlight);
+                actions.push(Action::StartUpkeep(UpkeepReq {
                     machine: id.clone(),
                     wave: self.wave.number,
                     holder: holder.to_owned(),
@@ -461,15 +462,15 @@
     fn plan_vacate(
         &self,
         owned: &OwnedMachines<'_>,
-        record: &Record,
+        record: &WaveRecord,
         now: Duration,
         vacate: &mut IndexMap<String, DrainOrder>,
     ) {
-        let time_left = (self.since + self.wave.within).saturating_sub(now);
+        let time_left = (self.since + self.wave.time_limit).saturating_sub(now);
         let mut open: IndexMap<&str, Vec<(&MachineId, &Machine)>> = IndexMap::new();
         for id in &self.wave.machines {
             let is_down = record.down.contains_key(id);
-            let confirmed = matches!(self.calls.get(id), Some(Call::Confirmed(_)));
+            let confirmed = matches!(self.upkeep_orders.get(id), Some(OrderState::Confirmed(_)));
             if record.done.contains(id) || (is_down && confirmed) {
                 continue;
             }
@@ -479,15 +480,15 @@
         }
         for (shard, machines) in open {
             let order = vacate.entry(shard.to_owned()).or_default();
-            let mut ahead = self.ahead(machines.len(), time_left);
-            order.finish_timeout = patience(machines.len(), ahead, time_left);
+            let mut to_vacate = self.vacate_count(machines.len(), time_left);
+            order.finish_timeout = finish_timeout(machines.len(), to_vacate, time_left);
             for (id, machine) in machines {
                 let Some(vm) = machine.vm.clone() else { continue };
-                let is_next = ahead > 0 && machine.state == MachineState::Up;
+                let is_next = to_vacate > 0 && machine.state == MachineState::Up;
                 if record.down.contains_key(id) {
                     order.vms.push(vm);
                 } else if is_next {
-                    ahead -= 1;
+                    to_vacate -= 1;
                     order.vms.push(vm);
                 } else {
                     order.upcoming.push(vm);
@@ -497,7 +498,7 @@
     }
 
     /// Number of machines that a shard vacates at once to meet the wave's deadline.
-    fn ahead(&self, machines: usize, time_left: Duration) -> usize {
+    fn vacate_count(&self, machines: usize, time_left: Duration) -> usize {
         let rounds = (time_left.as_secs_f64() / ROUND_TIME.as_secs_f64()).max(1.0);
         let needed = (machines as f64 / rounds).ceil() as usize;
         needed.clamp(1, self.wave.max_down)
@@ -509,11 +510,11 @@
 const ROUND_TIME: Duration = Duration::from_millis(4500);
 
 /// Longest wait for tasks that can't be resumed; most of them take 1 to 3 s.
-const MAX_PATIENCE: Duration = Duration::from_millis(2500);
+const MAX_FINISH_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long to wait for tasks that can't be resumed, within the wave's deadline.
-fn patience(machines: usize, at_once: usize, time_left: Duration) -> Duration {
+fn finish_timeout(machines: usize, at_once: usize, time_left: Duration) -> Duration {
     let rounds = machines.div_ceil(at_once.max(1));
     let rounds = u32::try_from(rounds).unwrap_or(u32::MAX).max(1);
-    (time_left / rounds).saturating_sub(ROUND_TIME).min(MAX_PATIENCE)
+    (time_left / rounds).saturating_sub(ROUND_TIME).min(MAX_FINISH_TIMEOUT)
 }
--- a/standin/src/fakes.rs
+++ b/standin/src/fakes.rs
@@ -6,10 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use waxwingstall::clock::Clock;
-use waxwingstall::kv::{self, Changes, Freshness, Item, Kv, LeaseId, Page, Rev, Txn, Watch};
-use waxwingstall::vm::{
-    self, LookReq, LookResp, PaceReq, RunReq, StartReq, VmAddr, VmPort, VmTime,
-};
+use waxwingstall::kv::{self, Changes, Freshness, Item, KvStore, LeaseId, Page, Rev, Txn, Watch};
+use waxwingstall::vm::{self, PaceReq, PollReq, PollResp, RunReq, StartReq, VmAddr, VmApi, VmTime};
 
 /// The store.
 #[derive(Clone)]
@@ -36,7 +34,7 @@
     }
 }
 
-impl Kv for FakeStore {
+impl KvStore for FakeStore {
     async fn get(&self, key: &str) -> kv::Result<Option<Item>> {
         let key = key.to_owned();
         self.call(move |table, _| Ok(table.get(&key)))
@@ -57,15 +55,15 @@
         self.call(move |table, _| table.commit(&txn))
     }
 
-    async fn grant(&self, ttl: Duration) -> kv::Result<LeaseId> {
+    async fn grant_lease(&self, ttl: Duration) -> kv::Result<LeaseId> {
         self.call(move |table, now| Ok(table.grant(ttl, now)))
     }
 
-    async fn keep(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn renew_lease(&self, lease: LeaseId) -> kv::Result<()> {
         self.call(move |table, now| table.keep(lease, now))
     }
 
-    async fn end(&self, lease: LeaseId) -> kv::Result<()> {
+    async fn end_lease(&self, lease: LeaseId) -> kv::Result<()> {
         self.call(move |table, _| table.end(lease))
     }
 }
@@ -86,21 +84,21 @@
         let (now, to) = (self.clock.now(), to.id.clone());
         let met = self.table.call(move |table| {
             if table.id != to {
-                return Err(vm::Error::OtherLife);
+                return Err(vm::Error::InstanceChanged);
             }
             call(table, now)
         });
         match met {
             Met::Answered(result) => result,
-            Met::Refused => Err(vm::Error::Unwell { status: 503 }),
+            Met::Refused => Err(vm::Error::Unavailable { status: 503 }),
             Met::NoAnswer => Err(vm::Error::NoAnswer { reason: "trouble".to_owned() }),
         }
     }
 }
 
-impl VmPort for FakeVm {
-    async fn look(&self, vm: &VmAddr, req: LookReq) -> vm::Result<LookResp> {
-        self.call(vm, move |table, now| table.look(now, &req))
+impl VmApi for FakeVm {
+    async fn poll(&self, vm: &VmAddr, req: PollReq) -> vm::Result<PollResp> {
+        self.call(vm, move |table, now| table.poll(now, &req))
     }
 
     async fn start(&self, vm: &VmAddr, req: StartReq) -> vm::Result<VmTime> {
@@ -111,7 +109,7 @@
         self.call(vm, move |table, now| table.stop(now, &req))
     }
 
-    async fn pace(&self, vm: &VmAddr, req: PaceReq) -> vm::Result<VmTime> {
-        self.call(vm, move |table, now| table.pace(now, &req))
+    async fn set_pace(&self, vm: &VmAddr, req: PaceReq) -> vm::Result<VmTime> {
+        self.call(vm, move |table, now| table.set_pace(now, &req))
     }
 }
--- a/standin/src/runs.rs
+++ b/standin/src/runs.rs
@@ -10,7 +10,7 @@
 use waxwingstall::job::{Checkpoint, RunNumber, StepRef, TaskRef};
 use waxwingstall::units::Resources;
 use waxwingstall::vm::{
-    EndKind, EndedRun, Error, Fence, LookReq, LookResp, PaceReq, Result, RunReq, RunningTask,
+    EndKind, EndedRun, Error, Fence, PaceReq, PollReq, PollResp, Result, RunReq, RunningTask,
     StartReq, VmTime,
 };
 
@@ -117,7 +117,7 @@
         at: Duration,
         task: TaskRef,
         run: RunNumber,
-        how: EndKind,
+        outcome: EndKind,
     },
     /// The time that the VM was given to keep running passed.
     Lapsed {
@@ -128,7 +128,7 @@
         at: Duration,
         task: TaskRef,
         run: RunNumber,
-        how: EndKind,
+        outcome: EndKind,
     },
 }
 
@@ -190,10 +190,10 @@
         }
         let barred = self.barred.get(&req.task).copied().unwrap_or_default();
         if known.is_some() || req.run <= barred {
-            return Err(Error::OldRun);
+            return Err(Error::StaleRun);
         }
         if req.keep_until <= self.clock(now) {
-            return Err(Error::TooLate);
+            return Err(Error::LeaseExpired);
         }
         let work = Work::read(&req.payload);
         let resumed = req.resume.as_ref().map_or(Duration::ZERO, checkpointed);
@@ -233,7 +233,7 @@
     }
 
     /// Sets the speed of a run.
-    pub fn pace(&mut self, now: Duration, req: &PaceReq) -> Result<VmTime> {
+    pub fn set_pace(&mut self, now: Duration, req: &PaceReq) -> Result<VmTime> {
         self.pass(now);
         self.check(req.fence)?;
         if let Some(running) = self.running.get_mut(&req.task).filter(|r| r.run == req.run) {
@@ -243,27 +243,28 @@
     }
 
     /// Keeps everything running, forgets what may be forgotten, and tells the news.
-    pub fn look(&mut self, now: Duration, req: &LookReq) -> Result<LookResp> {
+    pub fn poll(&mut self, now: Duration, req: &PollReq) -> Result<PollResp> {
         self.pass(now);
         self.check(req.fence)?;
         if let Some(keep_until) = req.keep_until {
             self.keep(now, keep_until);
         }
-        let (forgotten, kept): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.ended).into_iter().partition(|end| end.number <= req.forget);
+        let (forgotten, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ended)
+            .into_iter()
+            .partition(|end| end.number <= req.ack_up_to);
         self.ended = kept;
         for end in forgotten {
-            let (task, run, how) = (end.task, end.run, end.how);
-            self.seen.push(Seen::Forgotten { at: now, task, run, how });
+            let (task, run, outcome) = (end.task, end.run, end.outcome);
+            self.seen.push(Seen::Forgotten { at: now, task, run, outcome });
         }
         let running = self.running.iter().map(|(task, running)| RunningTask {
             task: *task,
             run: running.run,
             checkpoint: running.checkpoint(self.settings.checkpoint_every),
             percent: running.percent(),
-            gauge: running.work.size.milli_cores.0,
+            measurement: running.work.size.milli_cores.0,
         });
-        Ok(LookResp {
+        Ok(PollResp {
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
@@ -271,15 +272,15 @@
     }
 
     /// Whether an end is listed that a look with this number would bring.
-    pub fn has_news(&mut self, now: Duration, forget: u64) -> bool {
+    pub fn has_news(&mut self, now: Duration, ack_up_to: u64) -> bool {
         self.pass(now);
-        self.ended.iter().any(|end| end.number > forget)
+        self.ended.iter().any(|end| end.number > ack_up_to)
     }
 
     /// Ends the runs of a step, since another member of their group has ended.
     pub fn end_group(&mut self, now: Duration, step: StepRef) {
         self.pass(now);
-        let members = self.running.keys().filter(|task| task.of_step() == step);
+        let members = self.running.keys().filter(|task| task.step_ref() == step);
         for task in members.copied().collect::<Vec<TaskRef>>() {
             self.end(task, now, EndKind::Broken);
         }
@@ -306,8 +307,8 @@
         let tasks: Vec<TaskRef> = self.running.keys().copied().collect();
         for task in tasks {
             if let Some(running) = self.running.shift_remove(&task) {
-                let (run, how) = (running.run, EndKind::Lapsed);
-                self.seen.push(Seen::Ended { at: now, task, run, how });
+                let (run, outcome) = (running.run, EndKind::Lapsed);
+                self.seen.push(Seen::Ended { at: now, task, run, outcome });
             }
         }
     }
@@ -336,12 +337,12 @@
         let tasks: Vec<TaskRef> = self.running.keys().copied().collect();
         for task in tasks {
             let Some(running) = self.running.get_mut(&task) else { continue };
-            let Some((at, how)) = running.end(now, self.keep_until) else {
+            let Some((at, outcome)) = running.end(now, self.keep_until) else {
                 running.work_until(now);
                 continue;
             };
             running.work_until(at);
-            self.end(task, at, how);
+            self.end(task, at, outcome);
         }
         self.ended.sort_by_key(|end| end.number);
         if !self.lapsed && self.keep_until <= now {
@@ -350,20 +351,20 @@
         }
     }
 
-    fn end(&mut self, task: TaskRef, at: Duration, how: EndKind) {
+    fn end(&mut self, task: TaskRef, at: Duration, outcome: EndKind) {
         let Some(running) = self.running.shift_remove(&task) else { return };
         self.ends += 1;
         self.barred.insert(task, running.run);
-        let saved = match how {
+        let saved = match outcome {
             EndKind::Stopped => Some(Checkpoint::new(&running.total().as_millis().to_string())),
             _ => running.checkpoint(self.settings.checkpoint_every),
         };
-        self.seen.push(Seen::Ended { at, task, run: running.run, how });
+        self.seen.push(Seen::Ended { at, task, run: running.run, outcome });
         self.ended.push(EndedRun {
             number: self.ends,
             task,
             run: running.run,
-            how,
+            outcome,
             checkpoint: saved,
         });
     }
@@ -376,8 +377,8 @@
         if self.work.time > Duration::ZERO && self.pace > 0 {
             let left = self.work.time.saturating_sub(self.total());
             let left = left.mul_f64(100.0 / f64::from(self.pace));
-            let how = if self.fails { EndKind::Failed } else { EndKind::Succeeded };
-            ends.push((self.at + left, how));
+            let outcome = if self.fails { EndKind::Failed } else { EndKind::Succeeded };
+            ends.push((self.at + left, outcome));
         }
         ends.extend(self.stop_at.map(|at| (at, EndKind::Stopped)));
         ends.push((keep_until.max(self.at), EndKind::Lapsed));
